--- a/internal/cell/scheduler/advice.go
+++ b/internal/cell/scheduler/advice.go
@@ -12,69 +12,77 @@
 )
 
 const (
-	// mostAsked bounds the workers named in one question.
-	mostAsked = 30
-	// ticketMargin is the validity that a ticket must have left to be used: it
-	// covers the record of the start and the order's way.
-	ticketMargin = 120 * time.Millisecond
-	// questionOverlap is how long before a VM is done it gets the next question,
-	// which covers the way there and back.
-	questionOverlap = 15 * time.Millisecond
-	// askTimeout is added to the time that a question should take.
-	askTimeout = 400 * time.Millisecond
-	// adviserPause is how long a VM that failed to get advice is not asked: about
-	// the time that the questions take which it has left with the adviser.
-	adviserPause = 600 * time.Millisecond
-	// adviserShare is the largest share of the VMs that ask for one service, so
-	// that its slow questions do not hold up those of another.
-	adviserShare = 0.7
-	// slowQuestion is the length from which on a question holds a VM up for longer
-	// than urgent jobs can wait; at most slowShare of the VMs are busy with such.
-	slowQuestion = 300 * time.Millisecond
-	slowShare    = 0.5
-	// shortQuestion is the length up to which questions hold nobody up.
-	shortQuestion = 60 * time.Millisecond
-	// askedAhead bounds the steps without room that are asked about, for each
-	// service.
-	askedAhead = 6
-	// askAhead is how long before a step opens its workers are asked for.
-	askAhead = 500 * time.Millisecond
+	// maxWorkersPerRequest limits the workers named in one request.
+	maxWorkersPerRequest = 30
+	// minTicketValidity is the remaining validity that a ticket needs to be used. It
+	// covers storing the placement and sending the order.
+	minTicketValidity = 120 * time.Millisecond
+	// requestOverlap is how long before the expected answer a VM gets its next
+	// request. It covers the network round trip.
+	requestOverlap = 15 * time.Millisecond
+	// requestTimeoutMargin is added to the expected time of a request to get its
+	// timeout.
+	requestTimeoutMargin = 400 * time.Millisecond
+	// failedRequestPause is how long a VM gets no request after one that failed:
+	// about as long as the adviser still works on the requests that the VM has sent
+	// to it.
+	failedRequestPause = 600 * time.Millisecond
+	// maxServiceShare is the largest share of the VMs that may be busy with requests
+	// for one service, so that its slow requests do not delay those of other
+	// services.
+	maxServiceShare = 0.7
+	// slowRequestTime is the time from which on a request keeps a VM busy for longer
+	// than urgent jobs can wait. At most maxSlowShare of the VMs are busy with such
+	// requests.
+	slowRequestTime = 300 * time.Millisecond
+	maxSlowShare    = 0.5
+	// shortRequestTime is the time up to which a request delays no others, so that
+	// it is not limited.
+	shortRequestTime = 60 * time.Millisecond
+	// maxStepsAhead limits the steps of a service that request advice while there is
+	// no room for them.
+	maxStepsAhead = 6
+	// requestLead is how long before a step is expected to open it requests advice.
+	requestLead = 500 * time.Millisecond
 )
 
-// advice is what is known of the workers that a step may use.
+// advice holds the answers of the adviser for a step.
 type advice struct {
-	// tickets holds the good workers; a ticket may have expired.
+	// tickets maps the approved workers to their tickets, which may have expired.
 	tickets map[*worker]ticket
-	// asked holds every worker with a known verdict.
-	asked map[*worker]bool
-	// asking holds the workers in questions that are on their way.
-	asking map[*worker]bool
-	// kept are the workers that the last plan keeps for the step, and keptIn is when
-	// they should have room, from that plan on.
-	kept   []*worker
-	keptIn time.Duration
+	// answered holds every worker that the adviser has approved or rejected.
+	answered map[*worker]bool
+	// awaited holds the workers named in requests in flight.
+	awaited map[*worker]bool
+	// reserved lists the workers that the last plan reserved for the step.
+	// reservedFreeIn is the expected time from that plan until they have room.
+	reserved       []*worker
+	reservedFreeIn time.Duration
 }
 
+// ticket allows a start on one worker; text is the ticket as the adviser issued it.
 type ticket struct {
 	text    string
 	expires time.Time
 }
 
-func (a *advice) ticket(w *worker) string { return a.tickets[w].text }
+func (a *advice) ticketText(w *worker) string { return a.tickets[w].text }
 
-func (a *advice) drop(w *worker) {
+// expireTicket marks the ticket for a worker as expired.
+func (a *advice) expireTicket(w *worker) {
 	if t, ok := a.tickets[w]; ok {
 		t.expires = time.Time{}
 		a.tickets[w] = t
 	}
 }
 
-func (a *advice) valid(w *worker, now time.Time) bool {
+// hasValidTicket reports whether a ticket for a worker can be used now.
+func (a *advice) hasValidTicket(w *worker, now time.Time) bool {
 	t, ok := a.tickets[w]
-	return ok && t.expires.Sub(now) > ticketMargin
+	return ok && t.expires.Sub(now) > minTicketValidity
 }
 
-// Ask is a question that an entry VM has to put to the adviser.
+// Ask is a request for advice that an entry VM has to send to the adviser service.
 type Ask struct {
 	Number  int64
 	VM      string
@@ -83,180 +91,188 @@
 	Timeout time.Duration
 }
 
-// advisers spreads questions over the entry VMs, each of which can ask one at a
-// time.
-type advisers struct {
-	vms map[string]*adviserVM
-	// waiting holds the steps that lack tickets, as of the last plan.
-	waiting map[*step]*queue.Queue
-	open    map[int64]openAsk
-	number  int64
-	// good is the share of workers that may run the steps of a queue, as learned.
-	good map[string]float64
+// adviceDispatcher distributes requests for advice over the entry VMs. A VM sends
+// its requests to the adviser one at a time.
+type adviceDispatcher struct {
+	vms map[string]*adviceVM
+	// pending maps the steps that need tickets, as of the last plan, to their
+	// queues.
+	pending    map[*step]*queue.Queue
+	inFlight   map[int64]inFlightRequest
+	lastNumber int64
+	// approvedShares maps a queue to the moving average of the share of workers that
+	// the adviser approved in each answer.
+	approvedShares map[string]float64
 }
 
-// defaultGood is the share of good workers that is assumed before the first answer.
-const defaultGood = 0.4
+// defaultApprovedShare is assumed for queues without an answer yet.
+const defaultApprovedShare = 0.4
 
-// goodShare returns the share of workers that should be good for steps of a queue.
-func (a *advisers) goodShare(queueName string) float64 {
-	if share, ok := a.good[queueName]; ok {
+// approvedShare returns the expected share of approved workers in a request.
+func (a *adviceDispatcher) approvedShare(queueName string) float64 {
+	if share, ok := a.approvedShares[queueName]; ok {
 		return share
 	}
-	return defaultGood
+	return defaultApprovedShare
 }
 
-// learn notes which share of the workers in a question was good.
-func (a *advisers) learn(queueName string, share float64) {
-	a.good[queueName] = a.goodShare(queueName) + learnWeight*(share-a.goodShare(queueName))
+// recordApprovedShare updates the average of a queue with the share of one answer.
+func (a *adviceDispatcher) recordApprovedShare(queueName string, share float64) {
+	a.approvedShares[queueName] = a.approvedShare(queueName) + averageWeight*(share-a.approvedShare(queueName))
 }
 
-type adviserVM struct {
-	// open counts the questions on their way through the VM, which are answered
-	// one after the other, the last of them about busyUntil.
-	open       int
-	busyUntil  time.Time
-	pauseUntil time.Time
+// adviceVM is an entry VM that can request advice.
+type adviceVM struct {
+	// requestsInFlight counts the requests sent to the VM, which handles them one
+	// after the other. busyUntil is when it is expected to have answered the last.
+	requestsInFlight int
+	busyUntil        time.Time
+	pauseUntil       time.Time
 }
 
-type question struct {
+// requestSpec is a request to send: the workers to ask about, and how long the
+// adviser needs for them.
+type requestSpec struct {
 	workers []*worker
 	cost    *queue.AdviceCost
 }
 
-type openAsk struct {
+type inFlightRequest struct {
 	step    *step
 	vm      string
 	workers []*worker
-	// cost is the time that the adviser takes for the question.
-	cost    time.Duration
-	sent    time.Time
-	expires time.Time
+	// expectedTime is how long the adviser needs for the request.
+	expectedTime time.Duration
+	sent         time.Time
+	expires      time.Time
 }
 
-func newAdvisers() advisers {
-	return advisers{vms: map[string]*adviserVM{}, waiting: map[*step]*queue.Queue{}, open: map[int64]openAsk{}, good: map[string]float64{}}
+func newAdviceDispatcher() adviceDispatcher {
+	return adviceDispatcher{vms: map[string]*adviceVM{}, pending: map[*step]*queue.Queue{}, inFlight: map[int64]inFlightRequest{}, approvedShares: map[string]float64{}}
 }
 
-// SetAdvisers names the entry VMs that can ask for advice.
+// SetAdvisers replaces the list of entry VMs that can request advice.
 func (s *Scheduler) SetAdvisers(names []string) {
 	for _, n := range names {
-		if s.advisers.vms[n] == nil {
-			s.advisers.vms[n] = &adviserVM{}
+		if s.dispatcher.vms[n] == nil {
+			s.dispatcher.vms[n] = &adviceVM{}
 		}
 	}
-	for n := range s.advisers.vms {
+	for n := range s.dispatcher.vms {
 		if !slices.Contains(names, n) {
-			delete(s.advisers.vms, n)
+			delete(s.dispatcher.vms, n)
 		}
 	}
 	s.planNeeded = true
 }
 
-func (a *advisers) forget(st *step) { delete(a.waiting, st) }
+func (a *adviceDispatcher) dequeue(st *step) { delete(a.pending, st) }
 
-// want notes that a step lacks tickets.
-func (a *advisers) want(st *step, q *queue.Queue) {
+// enqueue adds a step that needs tickets. Steps of queues that need no advice are
+// ignored.
+func (a *adviceDispatcher) enqueue(st *step, q *queue.Queue) {
 	if q.Advice != nil {
-		a.waiting[st] = q
+		a.pending[st] = q
 	}
 }
 
-// idle returns the VM that can take a question and has been idle longest; ok is false
-// where there is none.
-func (a *advisers) idle(now time.Time) (name string, ok bool) {
-	var first *adviserVM
+// idleVM returns the VM that can take a request and has been idle for longest; ok
+// is false if there is none.
+func (a *adviceDispatcher) idleVM(now time.Time) (name string, ok bool) {
+	var longestIdle *adviceVM
 	for n, v := range a.vms {
-		if !now.After(v.pauseUntil) || (v.open > 0 && v.busyUntil.Sub(now) >= questionOverlap) {
+		if !now.After(v.pauseUntil) || (v.requestsInFlight > 0 && v.busyUntil.Sub(now) >= requestOverlap) {
 			continue
 		}
-		if first == nil || cmp.Or(v.busyUntil.Compare(first.busyUntil), cmp.Compare(n, name)) < 0 {
-			name, first = n, v
+		if longestIdle == nil || cmp.Or(v.busyUntil.Compare(longestIdle.busyUntil), cmp.Compare(n, name)) < 0 {
+			name, longestIdle = n, v
 		}
 	}
-	return name, first != nil
+	return name, longestIdle != nil
 }
 
-func (s *Scheduler) ask(st *step, q question, vm string, now time.Time) {
-	a := &s.advisers
-	delete(a.waiting, st)
-	a.number++
+// sendRequest sends a request for a step through an entry VM.
+func (s *Scheduler) sendRequest(st *step, q requestSpec, vm string, now time.Time) {
+	a := &s.dispatcher
+	delete(a.pending, st)
+	a.lastNumber++
 	v, cost := a.vms[vm], q.cost.Of(len(q.workers))
-	if v.open == 0 {
+	if v.requestsInFlight == 0 {
 		v.busyUntil = now
 	}
-	timeout := max(v.busyUntil.Sub(now), 0) + cost + askTimeout
-	v.open++
+	timeout := max(v.busyUntil.Sub(now), 0) + cost + requestTimeoutMargin
+	v.requestsInFlight++
 	v.busyUntil = v.busyUntil.Add(cost)
-	if st.advice.asking == nil {
-		st.advice.asking = map[*worker]bool{}
+	if st.advice.awaited == nil {
+		st.advice.awaited = map[*worker]bool{}
 	}
-	a.open[a.number] = openAsk{step: st, vm: vm, workers: q.workers, cost: cost, sent: now, expires: now.Add(timeout + askTimeout)}
+	a.inFlight[a.lastNumber] = inFlightRequest{step: st, vm: vm, workers: q.workers, expectedTime: cost, sent: now, expires: now.Add(timeout + requestTimeoutMargin)}
 	ids := make([]string, len(q.workers))
 	for i, w := range q.workers {
-		w.questions++
-		st.advice.asking[w] = true
+		w.requestsInFlight++
+		st.advice.awaited[w] = true
 		ids[i] = w.registration.Life.ID
 	}
-	s.effects.Asks = append(s.effects.Asks, Ask{Number: a.number, VM: vm, Step: st.id, Workers: ids, Timeout: timeout})
+	s.effects.Asks = append(s.effects.Asks, Ask{Number: a.lastNumber, VM: vm, Step: st.id, Workers: ids, Timeout: timeout})
 }
 
-// AdviceAnswered handles the answer to a question; failed tells that there was
-// none.
+// AdviceAnswered handles the answer to a request. failed means that there was no
+// answer.
 func (s *Scheduler) AdviceAnswered(number int64, answer backend.Advice, failed bool, now time.Time) {
-	o, ok := s.advisers.open[number]
+	o, ok := s.dispatcher.inFlight[number]
 	if !ok {
 		return
 	}
-	delete(s.advisers.open, number)
+	delete(s.dispatcher.inFlight, number)
 	for _, w := range o.workers {
-		w.questions--
-		delete(o.step.advice.asking, w)
+		w.requestsInFlight--
+		delete(o.step.advice.awaited, w)
 	}
-	s.advisers.settle(o.vm, failed, now)
+	s.dispatcher.updateVM(o.vm, failed, now)
 	s.planNeeded = true
 	if failed {
 		s.log.Info("advice_failed", "job", o.step.id.Job, "step", o.step.id.Step, "vm", o.vm)
 		return
 	}
-	s.observe("advice", o.step.job, now.Sub(o.sent))
+	s.addObservation("advice", o.step.job, now.Sub(o.sent))
 	a := &o.step.advice
-	if a.asked == nil {
-		a.asked, a.tickets = map[*worker]bool{}, map[*worker]ticket{}
+	if a.answered == nil {
+		a.answered, a.tickets = map[*worker]bool{}, map[*worker]ticket{}
 	}
 	for _, w := range o.workers {
-		a.asked[w] = true
+		a.answered[w] = true
 		if text, good := answer.Tickets[w.registration.Life.ID]; good {
 			a.tickets[w] = ticket{text: text, expires: now.Add(answer.Validity)}
 		}
 	}
-	s.advisers.learn(o.step.job.spec.Queue, float64(len(answer.Tickets))/float64(len(o.workers)))
+	s.dispatcher.recordApprovedShare(o.step.job.spec.Queue, float64(len(answer.Tickets))/float64(len(o.workers)))
 	s.log.Info("advice_received", "job", o.step.id.Job, "step", o.step.id.Step, "vm", o.vm, "asked", len(o.workers), "good", len(answer.Tickets), "took_ms", now.Sub(o.sent).Milliseconds())
-	s.hasten(o.step.job, now)
+	s.planUrgentJob(o.step.job, now)
 }
 
-// settle notes that a question has left a VM. The questions that are still there are
-// answered one after the other from now on.
-func (a *advisers) settle(name string, failed bool, now time.Time) {
+// updateVM updates a VM after one of its requests was answered or has failed. The
+// expected answers to its other requests are counted from now.
+func (a *adviceDispatcher) updateVM(name string, failed bool, now time.Time) {
 	v := a.vms[name]
 	if v == nil {
 		return
 	}
-	v.open, v.busyUntil = 0, now
-	for _, o := range a.open {
+	v.requestsInFlight, v.busyUntil = 0, now
+	for _, o := range a.inFlight {
 		if o.vm == name {
-			v.open++
-			v.busyUntil = v.busyUntil.Add(o.cost)
+			v.requestsInFlight++
+			v.busyUntil = v.busyUntil.Add(o.expectedTime)
 		}
 	}
 	if failed {
-		v.pauseUntil = now.Add(adviserPause)
+		v.pauseUntil = now.Add(failedRequestPause)
 	}
 }
 
-func (s *Scheduler) expireAsks(now time.Time) {
-	for _, number := range slices.Sorted(maps.Keys(s.advisers.open)) {
-		if o := s.advisers.open[number]; now.After(o.expires) {
+// expireRequests treats requests that have timed out as failed.
+func (s *Scheduler) expireRequests(now time.Time) {
+	for _, number := range slices.Sorted(maps.Keys(s.dispatcher.inFlight)) {
+		if o := s.dispatcher.inFlight[number]; now.After(o.expires) {
 			s.AdviceAnswered(number, backend.Advice{}, true, now)
 		}
 	}
--- a/internal/cell/scheduler/choose.go
+++ b/internal/cell/scheduler/choose.go
@@ -8,68 +8,72 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// usable reports whether a worker could run tasks of a step at all.
-func usable(w *worker, st *step) bool {
+// canRun reports whether a worker has the label and the total capacity that tasks
+// of a step need.
+func canRun(w *worker, st *step) bool {
 	return w.registration.HasLabel(st.spec.Label) && st.spec.Room().Fits(w.registration.Capacity)
 }
 
-// answerDelay is the silence beyond the time of a hold after which a worker gets
-// no new work.
-const answerDelay = 400 * time.Millisecond
+// maxAnswerDelay is how long after the wait of a hold its answer may come. A worker
+// that is silent for longer gets no new work.
+const maxAnswerDelay = 400 * time.Millisecond
 
-// choose returns the best worker for a task, or nil. racks counts the members of
-// its gang that have a place.
-func (s *Scheduler) choose(st *step, q *queue.Queue, t *task, reserved *reservations, racks map[string]int, now time.Time) *worker {
-	c := choice{scheduler: s, task: t, reserved: reserved, racks: racks, room: st.spec.Room(), now: now, until: now.Add(s.runTimes.expectLasting(st))}
+// chooseWorker returns the best worker for a task, or nil if none has room.
+// gangRacks counts, by rack, the members of the task's gang that are already
+// placed.
+func (s *Scheduler) chooseWorker(st *step, q *queue.Queue, t *task, reserved *reservations, gangRacks map[string]int, now time.Time) *worker {
+	c := workerSelection{scheduler: s, task: t, reserved: reserved, gangRacks: gangRacks, room: st.spec.Room(), now: now, expectedEnd: now.Add(s.runTimes.expectedOccupancy(st))}
 	if q.Advice == nil {
-		for _, w := range s.poolOf(q.Service).ready {
+		for _, w := range s.poolOf(q.Service).readyWorkers {
 			c.consider(w)
 		}
 		return c.best
 	}
-	// The good workers of a step are few in a large pool.
+	// In a large pool, the workers with tickets are few, so only these are searched.
 	for w := range st.advice.tickets {
-		if w.ready && w.takes(q) && st.advice.valid(w, now) {
+		if w.ready && w.accepts(q) && st.advice.hasValidTicket(w, now) {
 			c.consider(w)
 		}
 	}
 	return c.best
 }
 
-// choice finds the best of several workers for a task.
-type choice struct {
+// workerSelection finds the best of several workers for a task.
+type workerSelection struct {
 	scheduler *Scheduler
 	task      *task
 	reserved  *reservations
-	racks     map[string]int
+	gangRacks map[string]int
 	room      resource.Vector
-	// until is when the task should end if it starts now.
-	now, until time.Time
-	best       *worker
-	score      float64
+	// expectedEnd is when the task is expected to end if it starts now.
+	now, expectedEnd time.Time
+	best             *worker
+	bestScore        float64
 }
 
-// consider takes a worker if it is better than the best so far.
-func (c *choice) consider(w *worker) {
+// consider selects a worker if it may take the task and is better than the best one
+// so far.
+func (c *workerSelection) consider(w *worker) {
 	st := c.task.step
-	if !c.room.Fits(w.free()) || !w.registration.HasLabel(st.spec.Label) || c.reserved.blocks(w, st.job, c.until) || !keepsApart(w, st) || w.leftRunOf(c.task.id) {
+	if !c.room.Fits(w.free()) || !w.registration.HasLabel(st.spec.Label) || c.reserved.blocks(w, st.job, c.expectedEnd) || !belowTaskLimit(w, st) || w.hasOrphanOf(c.task.id) {
 		return
 	}
-	score := c.scheduler.score(w, st, c.task, c.racks)
+	score := c.scheduler.score(w, st, c.task, c.gangRacks)
 	if c.now.Before(w.slowUntil) {
-		score -= weightSlow
+		score -= penaltySlow
 	}
-	if c.best == nil || score > c.score || (score == c.score && compareLives(w.registration.Life, c.best.registration.Life) < 0) {
-		c.best, c.score = w, score
+	if c.best == nil || score > c.bestScore || (score == c.bestScore && compareLives(w.registration.Life, c.best.registration.Life) < 0) {
+		c.best, c.bestScore = w, score
 	}
 }
 
-// keepsApart reports whether a worker may take one more task of a step.
-func keepsApart(w *worker, st *step) bool { return placesApart(w, st) > 0 }
+// belowTaskLimit reports whether MostPerWorker allows one more task of a step on a
+// worker.
+func belowTaskLimit(w *worker, st *step) bool { return taskLimitLeft(w, st) > 0 }
 
-// placesApart returns how many more tasks of a step a worker may take besides what
-// its room allows.
-func placesApart(w *worker, st *step) int {
+// taskLimitLeft returns how many more tasks of a step MostPerWorker allows on a
+// worker.
+func taskLimitLeft(w *worker, st *step) int {
 	if st.spec.MostPerWorker == 0 {
 		return work.MaxTasks
 	}
@@ -79,7 +83,7 @@
 			n++
 		}
 	}
-	for v := range w.left {
+	for v := range w.orphans {
 		if v.task.StepID == st.id {
 			n++
 		}
@@ -87,41 +91,43 @@
 	return max(st.spec.MostPerWorker-n, 0)
 }
 
-// The weights of what speaks for a worker, against a tight fit that counts up
-// to 1.
+// The bonuses and penalties in the score of a worker. The fraction of the worker
+// that would be in use counts up to 1.
 const (
-	// weightRack is for the rack that holds the data, or the rest of the gang.
-	weightRack = 4.0
-	// weightFailed is against the worker on which the task failed last.
-	weightFailed = 3.0
-	// weightSlow is against workers that are slow at the moment.
-	weightSlow = 6.0
-	// weightMixed is against putting filling tasks beside serving ones.
-	weightMixed = 2.0
+	// bonusRack is for the rack that holds the data, or other members of the gang.
+	bonusRack = 4.0
+	// penaltyFailed is for the worker on which the task failed last.
+	penaltyFailed = 3.0
+	// penaltySlow is for workers that are slow at the moment.
+	penaltySlow = 6.0
+	// penaltyInterference is for placing filling tasks beside serving tasks, or the
+	// reverse.
+	penaltyInterference = 2.0
 )
 
-// score values a worker for a task; the fullest worker that fits is best, so
+// score rates a worker for a task. The fullest worker with room is the best, so
 // that whole workers stay free for large tasks.
-func (s *Scheduler) score(w *worker, st *step, t *task, racks map[string]int) float64 {
+func (s *Scheduler) score(w *worker, st *step, t *task, gangRacks map[string]int) float64 {
 	score := w.used.Add(st.spec.Room()).DominantFraction(w.registration.Capacity)
 	if st.spec.Rack != "" && w.rack() == st.spec.Rack {
-		score += weightRack
+		score += bonusRack
 	}
-	if st.spec.SameRack && racks[w.rack()] > 0 {
-		score += weightRack
+	if st.spec.SameRack && gangRacks[w.rack()] > 0 {
+		score += bonusRack
 	}
-	if t.avoid == w.registration.Life.ID {
-		score -= weightFailed
+	if t.avoidedWorker == w.registration.Life.ID {
+		score -= penaltyFailed
 	}
-	if mixes(w, st) {
-		score -= weightMixed
+	if interferes(w, st) {
+		score -= penaltyInterference
 	}
 	return score
 }
 
-// mixes reports whether a task of the step would share the worker with tasks
-// that it disturbs, or that disturb it.
-func mixes(w *worker, st *step) bool {
+// interferes reports whether a worker has filling tasks while the step has serving
+// ones, or the reverse. A filling task uses processor time that other tasks leave
+// over; a serving task has a latency target.
+func interferes(w *worker, st *step) bool {
 	if !st.spec.Fills && st.spec.Target == 0 {
 		return false
 	}
--- a/internal/cell/scheduler/commit.go
+++ b/internal/cell/scheduler/commit.go
@@ -10,37 +10,38 @@
 	"github.com/almondpost/almondpost/internal/peer/store"
 )
 
-// Commit is a set of progress records to store, with what waits for them.
+// Commit is a set of progress records to store in one append, with the changes that
+// become effective when it is stored.
 type Commit struct {
-	Records []store.Record
-	begun   time.Time
-	tasks   []*task
-	ends    map[*worker]int64
-	shown   map[*job]work.State
+	Records   []store.Record
+	startedAt time.Time
+	tasks     []*task
+	ends      map[*worker]int64
+	states    map[*job]work.State
 }
 
-// NextCommit returns the progress that has to be stored, or nil. The caller
-// stores one commit at a time, in order.
+// NextCommit returns the progress to store next, or nil if nothing has changed. The
+// caller stores one commit at a time, in the order in which they were returned.
 func (s *Scheduler) NextCommit(now time.Time) *Commit {
-	c := &Commit{begun: now, ends: map[*worker]int64{}, shown: map[*job]work.State{}}
-	for _, id := range slices.Sorted(maps.Keys(s.dirty)) {
-		j := s.dirty[id]
+	c := &Commit{startedAt: now, ends: map[*worker]int64{}, states: map[*job]work.State{}}
+	for _, id := range slices.Sorted(maps.Keys(s.dirtyJobs)) {
+		j := s.dirtyJobs[id]
 		c.Records = append(c.Records, store.Record{Key: id, Value: work.Encode(j.progress())})
-		c.shown[j] = j.state
-		for _, t := range j.recorded() {
+		c.states[j] = j.state
+		for _, t := range j.unstoredPlacements() {
 			t.inCommit = true
-			t.deadline = t.worker.deadline(now, s.rightEnd(), s.timing)
+			t.leaseDeadline = t.worker.leaseDeadline(now, s.leadershipEnd(), s.timing)
 			c.tasks = append(c.tasks, t)
 		}
 	}
-	clear(s.dirty)
-	for _, id := range s.forgotten {
+	clear(s.dirtyJobs)
+	for _, id := range s.expiredJobs {
 		c.Records = append(c.Records, store.Record{Key: id})
 	}
-	s.forgotten = nil
+	s.expiredJobs = nil
 	for _, w := range s.workers {
-		if w.applied > w.stored {
-			c.ends[w] = w.applied
+		if w.lastHandledEnd > w.lastStoredEnd {
+			c.ends[w] = w.lastHandledEnd
 		}
 	}
 	if len(c.Records) == 0 && len(c.ends) == 0 {
@@ -49,68 +50,72 @@
 	return c
 }
 
-// Committed tells that a commit is stored. One without records needs no append and
-// proves nothing about the claim.
+// Committed handles a stored commit: it orders the starts whose placements are now
+// stored. A commit without records needs no append, so it does not confirm that
+// this VM is still the leader.
 func (s *Scheduler) Committed(c *Commit, now time.Time) {
 	if len(c.Records) > 0 {
-		s.confirmed = c.begun
+		s.lastConfirmed = c.startedAt
 	}
-	for j, state := range c.shown {
-		if !j.shown.Ended() {
-			j.shown = state
+	for j, state := range c.states {
+		if !j.storedState.Ended() {
+			j.storedState = state
 		}
 	}
 	for w, number := range c.ends {
-		w.stored = number
+		w.lastStoredEnd = number
 	}
 	for _, t := range c.tasks {
-		if t.phase == phaseRecorded && t.inCommit {
-			s.order(t, c.begun, now)
+		if t.phase == phasePlaced && t.inCommit {
+			s.orderStart(t, c.startedAt, now)
 		}
 	}
 }
 
-// Confirmed tells that the store has accepted an append of this leader that
-// began at a time.
-func (s *Scheduler) Confirmed(begun time.Time) { s.confirmed = begun }
+// Confirmed records that the store has accepted an append of this leader other than
+// a commit. appendStart is when the append began.
+func (s *Scheduler) Confirmed(appendStart time.Time) { s.lastConfirmed = appendStart }
 
-// rightEnd is when this leader stops extending leases.
-func (s *Scheduler) rightEnd() time.Time { return s.confirmed.Add(s.timing.Right) }
+// leadershipEnd is when this leader stops extending leases unless another append is
+// accepted.
+func (s *Scheduler) leadershipEnd() time.Time { return s.lastConfirmed.Add(s.timing.Right) }
 
-// order sends the start order of a task whose placement is stored.
-func (s *Scheduler) order(t *task, begun, now time.Time) {
+// orderStart orders the start of a task whose placement is stored. The task is
+// requeued instead if its worker cannot be used any more or the commit is too old.
+func (s *Scheduler) orderStart(t *task, commitStart, now time.Time) {
 	w := t.worker
 	t.inCommit = false
-	if w.gone || w.fencing() || now.Sub(begun) > maxOrderDelay {
-		s.log.Info("start_withdrawn", "task", t.id.String(), "run", t.run, "worker", w.registration.Life.ID, "age_ms", now.Sub(begun).Milliseconds())
-		s.toWaiting(t)
-		s.breakGang(t, now)
+	if w.lost || w.tokenUnconfirmed() || now.Sub(commitStart) > maxOrderDelay {
+		s.log.Info("start_withdrawn", "task", t.id.String(), "run", t.run, "worker", w.registration.Life.ID, "age_ms", now.Sub(commitStart).Milliseconds())
+		s.requeue(t)
+		s.stopGang(t, now)
 		return
 	}
-	t.phase, t.token, t.begun = phaseOrdered, w.token, now
-	w.extend(begun, s.timing)
-	if j := t.step.job; !j.ordered {
-		j.ordered = true
-		s.observe("first_start", j, now.Sub(j.arrived))
+	t.phase, t.startToken, t.startedAt = phaseOrdered, w.token, now
+	w.extendLease(commitStart, s.timing)
+	if j := t.step.job; !j.anyTaskOrdered {
+		j.anyTaskOrdered = true
+		s.addObservation("first_start", j, now.Sub(j.submittedAt))
 	}
-	s.log.Info("start_ordered", "task", t.id.String(), "run", t.run, "worker", w.registration.Life.ID, "token", t.token, "waited_ms", now.Sub(t.step.opened).Milliseconds())
+	s.log.Info("start_ordered", "task", t.id.String(), "run", t.run, "worker", w.registration.Life.ID, "token", t.startToken, "waited_ms", now.Sub(t.step.openedAt).Milliseconds())
 	s.effects.Starts = append(s.effects.Starts, Order[backend.Start]{Worker: w.registration.Life, Order: backend.Start{
-		Task: t.id, Run: t.run, Payload: t.step.job.spec.Payload, Deadline: t.deadline, Token: t.token,
-		Checkpoint: t.checkpoint, Ticket: t.step.advice.ticket(w),
+		Task: t.id, Run: t.run, Payload: t.step.job.spec.Payload, Deadline: t.leaseDeadline, Token: t.startToken,
+		Checkpoint: t.checkpoint, Ticket: t.step.advice.ticketText(w),
 	}})
 }
 
-// maxOrderDelay is the age of a record after which its order is not sent any
-// more: less than the lease, so that no order outlives what a successor waits.
+// maxOrderDelay is the age of a commit from which on its starts are not ordered any
+// more. It is shorter than the lease, so that no order takes effect after the time
+// that a successor waits.
 const maxOrderDelay = 3 * time.Second
 
-// recorded returns the tasks whose placement is to be stored.
-func (j *job) recorded() []*task {
+// unstoredPlacements returns the placed tasks of a job that are in no commit yet.
+func (j *job) unstoredPlacements() []*task {
 	var tasks []*task
 	for _, o := range j.occurrences {
 		for _, st := range o.steps {
 			for _, t := range st.tasks {
-				if t.phase == phaseRecorded && !t.inCommit {
+				if t.phase == phasePlaced && !t.inCommit {
 					tasks = append(tasks, t)
 				}
 			}
@@ -119,11 +124,11 @@
 	return tasks
 }
 
-// progress returns the record of a job.
+// progress returns the progress record of a job.
 func (j *job) progress() *work.Progress {
-	p := &work.Progress{State: j.state, Started: j.begun}
+	p := &work.Progress{State: j.state, Started: j.anyTaskPlaced}
 	if j.state.Ended() {
-		p.Ended = j.ended.UnixMilli()
+		p.Ended = j.endedAt.UnixMilli()
 	}
 	for _, o := range j.occurrences {
 		for _, st := range o.steps {
@@ -135,10 +140,12 @@
 	return p
 }
 
+// progress returns the part of the progress record that describes a step; the bool
+// is false if there is nothing to record.
 func (st *step) progress() (work.StepProgress, bool) {
 	sp := work.StepProgress{Occurrence: st.id.Occurrence, Step: st.id.Step}
 	ended := st.job.state.Ended()
-	if st.left == 0 && !ended {
+	if st.tasksLeft == 0 && !ended {
 		sp.Done = true
 		return sp, true
 	}
@@ -146,7 +153,7 @@
 		if t.run == 0 || (ended && !t.onWorker()) {
 			continue
 		}
-		tp := work.TaskProgress{Index: t.id.Index, Done: t.phase == phaseDone, Run: t.run, Failed: t.failed, Checkpoint: t.checkpoint}
+		tp := work.TaskProgress{Index: t.id.Index, Done: t.phase == phaseDone, Run: t.run, Failed: t.failedRuns, Checkpoint: t.checkpoint}
 		if t.worker != nil {
 			tp.Worker, tp.Born = t.worker.registration.Life.ID, t.worker.registration.Life.Born
 		}
--- a/internal/cell/scheduler/health.go
+++ b/internal/cell/scheduler/health.go
@@ -3,43 +3,44 @@
 import "time"
 
 const (
-	// slowRatio is how much longer than expected a run must take to count as slow;
-	// run times of one image differ by half.
+	// slowRatio is how much longer than expected a run must take to count as slow.
+	// It is well above 1 because run times of one image differ by half.
 	slowRatio = 2.2
-	// leastElapsed is how long a task must have run before it is judged.
-	leastElapsed = 300 * time.Millisecond
-	// leastSlow is how many tasks of a worker must be slow, and slowPart the part of
-	// those that can be judged, for the worker to count as slow, for slowPause from
-	// the report on.
-	leastSlow = 2
-	slowPart  = 0.6
-	slowPause = 1500 * time.Millisecond
+	// minElapsed is how long a task must have run before its speed is rated.
+	minElapsed = 300 * time.Millisecond
+	// A worker counts as slow for slowPeriod if at least minSlowTasks of its tasks
+	// are slow, and at least minSlowShare of those that can be rated.
+	minSlowTasks = 2
+	minSlowShare = 0.6
+	slowPeriod   = 1500 * time.Millisecond
 )
 
-// judgeSpeed compares the progress of a worker's tasks with what is expected of them.
+// detectSlowWorker compares the progress of a worker's tasks with their expected
+// run times.
 //
-// It answers workers that turn slow or stand still while their reports are good:
-// urgent jobs of many tasks nearly always have one there, and wait for it.
-func (s *Scheduler) judgeSpeed(w *worker, now time.Time) {
+// A worker can become slow or make no progress while it still reports on time. An
+// urgent job with many tasks nearly always has a task on such a worker, and waits
+// for it.
+func (s *Scheduler) detectSlowWorker(w *worker, now time.Time) {
 	judged, slow := 0, 0
 	for _, t := range w.tasks {
 		if t.phase != phaseRunning || t.step.spec.Lasting || t.step.spec.Fills || t.pace != fullPace || t.checkpoint != "" {
 			continue
 		}
-		elapsed, expected := now.Sub(t.begun), s.runTimes.expect(t.step)
-		if elapsed < leastElapsed || expected == 0 {
+		elapsed, expected := now.Sub(t.startedAt), s.runTimes.expectedRunTime(t.step)
+		if elapsed < minElapsed || expected == 0 {
 			continue
 		}
 		judged++
-		if float64(elapsed) > slowRatio*float64(expected)*max(float64(t.percent), 1)/100 && elapsed > expected/2 {
+		if float64(elapsed) > slowRatio*float64(expected)*max(float64(t.percentDone), 1)/100 && elapsed > expected/2 {
 			slow++
 		}
 	}
-	if slow < leastSlow || float64(slow) < slowPart*float64(judged) {
+	if slow < minSlowTasks || float64(slow) < minSlowShare*float64(judged) {
 		return
 	}
 	if now.After(w.slowUntil) {
 		s.log.Info("worker_slow", "worker", w.registration.Life.ID, "slow_tasks", slow, "judged_tasks", judged)
 	}
-	w.slowUntil = now.Add(slowPause)
+	w.slowUntil = now.Add(slowPeriod)
 }
--- a/internal/cell/scheduler/job.go
+++ b/internal/cell/scheduler/job.go
@@ -7,67 +7,75 @@
 	"github.com/almondpost/almondpost/internal/peer/backend"
 )
 
-// job is a job that was accepted.
+// job is an accepted job with its progress.
 type job struct {
 	spec *work.Job
-	// state is what the events say; shown is what is stored and may be told.
-	state work.State
-	shown work.State
-	// begun tells that a task has a place; ordered that an order has left.
-	begun, ordered bool
-	// arrived is when the caller handed the job in.
-	arrived time.Time
-	// ended is when state became final.
-	ended       time.Time
+	// state follows the events; storedState is the last stored state, which is safe
+	// to show to callers.
+	state       work.State
+	storedState work.State
+	// anyTaskPlaced is true once a task was placed on a worker; anyTaskOrdered is
+	// true once a start was ordered.
+	anyTaskPlaced, anyTaskOrdered bool
+	// submittedAt is when an entry VM accepted the job.
+	submittedAt time.Time
+	// endedAt is when state became final.
+	endedAt     time.Time
 	occurrences []*occurrence
-	// dropped tells that the submission can be deleted.
-	dropped bool
-	// next is the number of the next occurrence to open.
-	next int
-	// waiting counts tasks that can be placed, running those on a worker.
-	waiting, running int
-	chain            []time.Duration
+	// submissionDropped is true once the submission was listed for deletion.
+	submissionDropped bool
+	// nextOccurrence is the number of the next occurrence to open.
+	nextOccurrence int
+	// waitingTasks counts the tasks of open steps that wait for a worker;
+	// tasksOnWorkers counts those that take room on one. declaredPaths holds, for
+	// each step, the declared run time of the longest dependency path that ends with
+	// it.
+	waitingTasks, tasksOnWorkers int
+	declaredPaths                []time.Duration
 }
 
-// occurrence is one run of all steps.
+// occurrence is one execution of all steps of a job. Only a repeated job has
+// several.
 type occurrence struct {
 	number int
 	due    time.Time
 	steps  []*step
-	// left counts the steps that are not completed.
-	left int
+	// stepsLeft counts the steps that have not completed.
+	stepsLeft int
 }
 
 // step is a step of one occurrence.
 type step struct {
-	job   *job
-	turn  *occurrence
-	id    work.StepID
-	spec  *work.Step
-	tasks []*task
-	// left counts the tasks that are not completed.
-	left int
-	// open tells that every earlier step has completed.
-	open bool
-	// opened is when the step opened.
-	opened time.Time
-	advice advice
+	job        *job
+	occurrence *occurrence
+	id         work.StepID
+	spec       *work.Step
+	tasks      []*task
+	// tasksLeft counts the tasks that have not completed.
+	tasksLeft int
+	// open is true once every step that this one depends on has completed.
+	open     bool
+	openedAt time.Time
+	advice   advice
 }
 
+// phase is the state of a task.
 type phase int
 
 const (
-	// phaseWaiting tasks are on no worker.
+	// phaseWaiting means that the task is on no worker.
 	phaseWaiting phase = iota
-	// phaseRecorded tasks have a place; the record of it is not stored yet.
-	phaseRecorded
-	// phaseOrdered tasks may run; the worker has not said so.
+	// phasePlaced means that the task has a worker, but its placement is not stored
+	// yet.
+	phasePlaced
+	// phaseOrdered means that the run may exist, but the worker has not confirmed
+	// it.
 	phaseOrdered
-	// phaseRunning tasks run.
+	// phaseRunning means that the worker has confirmed the run.
 	phaseRunning
-	// phaseStopping tasks were told to stop.
+	// phaseStopping means that a stop was ordered and the run may still exist.
 	phaseStopping
-	// phaseDone tasks have completed.
+	// phaseDone means that the task has completed, or that its job has ended.
 	phaseDone
 )
 
@@ -76,126 +84,138 @@
 	id    work.TaskID
 	step  *step
 	phase phase
-	// run is the highest run recorded; runs only rise.
+	// run is the number of the latest run. It only increases.
 	run int64
-	// failed holds the runs that failed, each once however often it is reported.
-	failed []int64
-	// worker is set while the task takes room there.
+	// failedRuns lists the failed runs. A run that is reported as failed several
+	// times is listed once.
+	failedRuns []int64
+	// worker is the worker on which the task takes room, or nil.
 	worker *worker
-	// token is that of the start order.
-	token int64
-	// sequence tells when the worker confirmed the run, against holds sent.
-	sequence int64
-	// settled tells that the worker has confirmed the run.
-	settled bool
-	// inCommit tells that the record of the placement is on its way.
-	inCommit   bool
-	deadline   time.Duration
-	checkpoint string
-	percent    int
-	figure     int64
-	pace       int
-	begun      time.Time
-	// avoid is the worker on which the task failed last.
-	avoid     string
-	notBefore time.Time
-	// stopSent is when a stop was last ordered.
-	stopSent time.Time
+	// startToken is the fencing token of the start order; 0 means that this leader
+	// has not ordered the run.
+	startToken int64
+	// confirmedSequence is the value of Scheduler.sequence when the worker confirmed
+	// the run. A report is newer than the confirmation only if its hold was sent
+	// later.
+	confirmedSequence int64
+	// runConfirmed is true once the worker has confirmed the run.
+	runConfirmed bool
+	// inCommit is true while the record of the placement is being stored.
+	inCommit bool
+	// leaseDeadline is the end of the lease in the start order, by the worker's
+	// clock.
+	leaseDeadline time.Duration
+	checkpoint    string
+	percentDone   int
+	// reportedFigure is the tail latency of a serving task in milliseconds, or the
+	// milliprocessors that any other task uses.
+	reportedFigure int64
+	// pace is the current pace of the run, in percent of its full speed.
+	pace int
+	// startedAt is when the run was placed and, later, when its start was ordered.
+	startedAt time.Time
+	// avoidedWorker is the ID of the worker on which the task failed last.
+	avoidedWorker string
+	// notBefore is the earliest time at which the task may be placed again.
+	notBefore  time.Time
+	stopSentAt time.Time
 }
 
 // onWorker reports whether the task takes room on a worker.
 func (t *task) onWorker() bool { return t.phase != phaseWaiting && t.phase != phaseDone }
 
-// Submit takes a job that is stored. A job that is known already is ignored; if it has
-// ended, its submission was stored once more and is deleted again, so that it does not
-// outlive what is known of the job.
+// Submit adds a job whose submission is stored. A job that is already known is
+// ignored. If it has ended, it was submitted once more: its submission is then
+// dropped again, so that it does not outlive the progress record.
 func (s *Scheduler) Submit(spec *work.Job, now time.Time) {
 	if j := s.jobs[spec.ID]; j != nil {
-		j.dropped = false
+		j.submissionDropped = false
 		return
 	}
-	j := s.add(spec, now)
-	s.log.Info("job_received", "job", spec.ID, "queue", spec.Queue, "steps", len(spec.Steps), "age_ms", now.Sub(j.arrived).Milliseconds())
-	s.openOccurrences(j, now)
-	if _, cancelled := s.cancelledEarly[spec.ID]; cancelled {
-		delete(s.cancelledEarly, spec.ID)
+	j := s.addJob(spec, now)
+	s.log.Info("job_received", "job", spec.ID, "queue", spec.Queue, "steps", len(spec.Steps), "age_ms", now.Sub(j.submittedAt).Milliseconds())
+	s.openOccurrencesOf(j, now)
+	if _, cancelled := s.earlyCancellations[spec.ID]; cancelled {
+		delete(s.earlyCancellations, spec.ID)
 		s.Cancel(spec.ID, now)
 	}
-	s.hasten(j, now)
+	s.planUrgentJob(j, now)
 }
 
-// maxAge bounds the age of a job that clocks of two VMs give, since clocks jump.
-const maxAge = time.Minute
+// maxJobAge bounds the age of a submitted job. The age compares the clocks of two
+// VMs, and either clock can jump.
+const maxJobAge = time.Minute
 
-func (s *Scheduler) add(spec *work.Job, now time.Time) *job {
-	age := min(max(now.Sub(s.instant(spec.Accepted)), 0), maxAge)
-	j := &job{spec: spec, state: work.Queued, shown: work.Queued, arrived: now.Add(-age), chain: spec.Chain()}
+func (s *Scheduler) addJob(spec *work.Job, now time.Time) *job {
+	age := min(max(now.Sub(s.toClock(spec.Accepted)), 0), maxJobAge)
+	j := &job{spec: spec, state: work.Queued, storedState: work.Queued, submittedAt: now.Add(-age), declaredPaths: spec.Chain()}
 	s.jobs[spec.ID] = j
 	s.active[spec.ID] = j
 	return j
 }
 
-// Cancel ends a job on behalf of its caller. The cancellation is stored.
+// Cancel ends a job at its caller's request. The caller of Cancel has read the
+// cancellation from the store.
 func (s *Scheduler) Cancel(id string, now time.Time) {
 	j := s.jobs[id]
 	if j == nil {
-		s.cancelledEarly[id] = now
+		s.earlyCancellations[id] = now
 		return
 	}
 	if j.state.Ended() {
 		return
 	}
-	s.log.Info("job_cancelled", "job", id, "running", j.running, "waiting", j.waiting)
-	s.end(j, work.Cancelled, now)
-	j.shown = work.Cancelled
+	s.log.Info("job_cancelled", "job", id, "running", j.tasksOnWorkers, "waiting", j.waitingTasks)
+	s.endJob(j, work.Cancelled, now)
+	j.storedState = work.Cancelled
 }
 
-// end makes a state final and stops what still runs.
-func (s *Scheduler) end(j *job, state work.State, now time.Time) {
-	j.state, j.ended = state, now
+// endJob moves a job to a final state and stops the runs that still exist.
+func (s *Scheduler) endJob(j *job, state work.State, now time.Time) {
+	j.state, j.endedAt = state, now
 	delete(s.active, j.spec.ID)
 	for _, o := range j.occurrences {
 		for _, st := range o.steps {
 			for _, t := range st.tasks {
-				s.abandon(t, now)
+				s.endTask(t, now)
 			}
-			s.advisers.forget(st)
+			s.dispatcher.dequeue(st)
 		}
 	}
-	j.waiting = 0
-	s.touch(j)
+	j.waitingTasks = 0
+	s.markDirty(j)
 }
 
-// touch marks the progress of a job as changed.
-func (s *Scheduler) touch(j *job) {
-	s.dirty[j.spec.ID] = j
+// markDirty marks the progress of a job as changed.
+func (s *Scheduler) markDirty(j *job) {
+	s.dirtyJobs[j.spec.ID] = j
 	s.planNeeded = true
 }
 
-// openDue opens the occurrences whose time has come.
-func (s *Scheduler) openDue(now time.Time) {
+// openDueOccurrences opens the due occurrences of all active jobs.
+func (s *Scheduler) openDueOccurrences(now time.Time) {
 	for _, j := range s.active {
-		s.openOccurrences(j, now)
+		s.openOccurrencesOf(j, now)
 	}
 }
 
-// openOccurrences opens those of one job.
-func (s *Scheduler) openOccurrences(j *job, now time.Time) {
-	for j.next < j.spec.Occurrences() && (j.spec.Repeat == nil || !now.Before(s.instant(j.spec.Due(j.next)).Add(-s.timing.Early))) {
-		o := s.newOccurrence(j, j.next, now)
-		j.next++
-		s.openSteps(o, now)
+// openOccurrencesOf opens the due occurrences of one job.
+func (s *Scheduler) openOccurrencesOf(j *job, now time.Time) {
+	for j.nextOccurrence < j.spec.Occurrences() && (j.spec.Repeat == nil || !now.Before(s.toClock(j.spec.Due(j.nextOccurrence)).Add(-s.timing.Early))) {
+		o := s.addOccurrence(j, j.nextOccurrence, now)
+		j.nextOccurrence++
+		s.openReadySteps(o, now)
 	}
 }
 
-func (s *Scheduler) newOccurrence(j *job, number int, now time.Time) *occurrence {
-	o := &occurrence{number: number, due: now, left: len(j.spec.Steps)}
+func (s *Scheduler) addOccurrence(j *job, number int, now time.Time) *occurrence {
+	o := &occurrence{number: number, due: now, stepsLeft: len(j.spec.Steps)}
 	if j.spec.Repeat == nil {
-		o.due = j.arrived
+		o.due = j.submittedAt
 	}
 	for i := range j.spec.Steps {
 		spec := &j.spec.Steps[i]
-		st := &step{job: j, turn: o, id: work.StepID{Job: j.spec.ID, Occurrence: number, Step: i}, spec: spec, left: spec.Count}
+		st := &step{job: j, occurrence: o, id: work.StepID{Job: j.spec.ID, Occurrence: number, Step: i}, spec: spec, tasksLeft: spec.Count}
 		st.tasks = make([]*task, spec.Count)
 		for k := range st.tasks {
 			st.tasks[k] = &task{id: work.TaskID{StepID: st.id, Index: k}, step: st, pace: fullPace}
@@ -206,128 +226,132 @@
 	return o
 }
 
-// openSteps opens the steps whose earlier steps have completed.
-func (s *Scheduler) openSteps(o *occurrence, now time.Time) {
+// openReadySteps opens the steps whose dependencies have all completed.
+func (s *Scheduler) openReadySteps(o *occurrence, now time.Time) {
 	for _, st := range o.steps {
-		if st.open || st.left == 0 {
+		if st.open || st.tasksLeft == 0 {
 			continue
 		}
 		ready := true
 		for _, a := range st.spec.After {
-			ready = ready && o.steps[a].left == 0
+			ready = ready && o.steps[a].tasksLeft == 0
 		}
 		if !ready {
 			continue
 		}
-		st.open, st.opened = true, now
+		st.open, st.openedAt = true, now
 		for _, t := range st.tasks {
 			if t.phase == phaseWaiting {
-				st.job.waiting++
+				st.job.waitingTasks++
 			}
 		}
 		s.planNeeded = true
 	}
 }
 
-// toWaiting takes a task off its worker so that it can be placed again.
-func (s *Scheduler) toWaiting(t *task) {
-	s.leave(t)
+// requeue takes a task off its worker, so that it can be placed again. If its job
+// has ended, the task is done instead.
+func (s *Scheduler) requeue(t *task) {
+	s.releaseRoom(t)
 	j := t.step.job
-	t.phase, t.percent, t.pace, t.settled = phaseWaiting, 0, fullPace, false
+	t.phase, t.percentDone, t.pace, t.runConfirmed = phaseWaiting, 0, fullPace, false
 	if j.state.Ended() {
 		t.phase = phaseDone
 		return
 	}
 	if t.step.open {
-		j.waiting++
+		j.waitingTasks++
 	}
-	s.touch(j)
+	s.markDirty(j)
 }
 
-// leave frees the room that a task takes.
-func (s *Scheduler) leave(t *task) {
+// releaseRoom frees the room that a task takes on its worker.
+func (s *Scheduler) releaseRoom(t *task) {
 	if t.worker == nil {
 		return
 	}
-	t.worker.remove(t)
+	t.worker.removeTask(t)
 	t.worker = nil
 	t.inCommit = false
-	t.step.job.running--
+	t.step.job.tasksOnWorkers--
 }
 
-// complete notes that a task has completed.
-func (s *Scheduler) complete(t *task, now time.Time) {
+// completeTask marks a task as completed. The last task of a step opens the steps
+// that depend on it, or completes the job.
+func (s *Scheduler) completeTask(t *task, now time.Time) {
 	if t.phase == phaseDone {
 		return
 	}
 	j := t.step.job
 	if t.phase == phaseWaiting && t.step.open {
-		j.waiting--
+		j.waitingTasks--
 	}
-	s.leave(t)
+	s.releaseRoom(t)
 	t.phase = phaseDone
-	t.step.left--
-	s.touch(j)
-	if t.step.left > 0 || j.state.Ended() {
+	t.step.tasksLeft--
+	s.markDirty(j)
+	if t.step.tasksLeft > 0 || j.state.Ended() {
 		return
 	}
-	s.advisers.forget(t.step)
-	o := t.step.turn
-	o.left--
-	if o.left > 0 {
-		s.openSteps(o, now)
-		s.hasten(j, now)
+	s.dispatcher.dequeue(t.step)
+	o := t.step.occurrence
+	o.stepsLeft--
+	if o.stepsLeft > 0 {
+		s.openReadySteps(o, now)
+		s.planUrgentJob(j, now)
 		return
 	}
-	s.finishOccurrence(j, now)
+	s.completeJobIfDone(j, now)
 }
 
-func (s *Scheduler) finishOccurrence(j *job, now time.Time) {
-	if j.next < j.spec.Occurrences() {
+// completeJobIfDone completes a job when all its occurrences have completed.
+func (s *Scheduler) completeJobIfDone(j *job, now time.Time) {
+	if j.nextOccurrence < j.spec.Occurrences() {
 		return
 	}
 	for _, o := range j.occurrences {
-		if o.left > 0 {
+		if o.stepsLeft > 0 {
 			return
 		}
 	}
-	s.log.Info("job_completed", "job", j.spec.ID, "queue", j.spec.Queue, "took_ms", now.Sub(j.arrived).Milliseconds())
-	s.observe("completed", j, now.Sub(j.arrived))
-	s.end(j, work.Completed, now)
+	s.log.Info("job_completed", "job", j.spec.ID, "queue", j.spec.Queue, "took_ms", now.Sub(j.submittedAt).Milliseconds())
+	s.addObservation("completed", j, now.Sub(j.submittedAt))
+	s.endJob(j, work.Completed, now)
 }
 
-// abandon ends a task of a job that has ended.
-func (s *Scheduler) abandon(t *task, now time.Time) {
+// endTask ends a task whose job has ended.
+func (s *Scheduler) endTask(t *task, now time.Time) {
 	switch t.phase {
 	case phaseWaiting:
 		t.phase = phaseDone
-	case phaseRecorded:
-		s.leave(t)
+	case phasePlaced:
+		s.releaseRoom(t)
 		t.phase = phaseDone
 	case phaseOrdered, phaseRunning:
-		s.stop(t, now)
+		s.stopTask(t, now)
 	case phaseStopping, phaseDone:
 	}
 }
 
-// stop orders the end of a run.
-func (s *Scheduler) stop(t *task, now time.Time) {
-	if t.phase == phaseOrdered && t.token == 0 {
-		return // A run of an earlier leader; the first hold settles it.
+// stopTask orders the worker of a task to stop its run.
+func (s *Scheduler) stopTask(t *task, now time.Time) {
+	if t.phase == phaseOrdered && t.startToken == 0 {
+		return // A run of an earlier leader: the first hold shows whether it still exists.
 	}
-	t.phase, t.stopSent = phaseStopping, now
-	s.sendStop(t.worker, t.id, t.run)
+	t.phase, t.stopSentAt = phaseStopping, now
+	s.orderStop(t.worker, t.id, t.run)
 }
 
-func (s *Scheduler) sendStop(w *worker, id work.TaskID, run int64) {
+// orderStop orders a worker to stop a run.
+func (s *Scheduler) orderStop(w *worker, id work.TaskID, run int64) {
 	s.log.Info("stop_ordered", "task", id.String(), "run", run, "worker", w.registration.Life.ID)
 	s.effects.Stops = append(s.effects.Stops, Order[backend.Stop]{
 		Worker: w.registration.Life, Order: backend.Stop{Task: id, Run: run, Token: w.token},
 	})
 }
 
-// task returns a task by name, or nil.
-func (s *Scheduler) task(id work.TaskID) *task {
+// findTask returns the task with an ID, or nil.
+func (s *Scheduler) findTask(id work.TaskID) *task {
 	j := s.jobs[id.Job]
 	if j == nil {
 		return nil
--- a/internal/cell/scheduler/lease.go
+++ b/internal/cell/scheduler/lease.go
@@ -8,46 +8,51 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// leftRun names a run that was given up.
-type leftRun struct {
+// runID identifies a run.
+type runID struct {
 	task work.TaskID
 	run  int64
 }
 
-// leftRoom is what a run that was given up takes.
-type leftRoom struct {
+// orphan is a run that may still exist on a worker but no longer belongs to a task
+// there.
+type orphan struct {
 	room resource.Vector
-	// sequence is that of the last hold sent before the run was given up.
+	// sequence is the value of Scheduler.sequence when the run became an orphan.
+	// Only a report whose hold was sent later can show that the run has ended.
 	sequence int64
 }
 
-// leave notes that a task is done with while its run may go on here.
-func (w *worker) leave(t *task, sequence int64) {
+// addOrphan adds the run of a task that is about to leave the worker while its run
+// may go on there.
+func (w *worker) addOrphan(t *task, sequence int64) {
 	room := t.step.spec.Room()
-	w.left[leftRun{t.id, t.run}] = leftRoom{room, sequence}
+	w.orphans[runID{t.id, t.run}] = orphan{room, sequence}
 	w.used = w.used.Add(room)
 }
 
-// keepRoom notes that a run which belongs to no task here goes on until it is
-// stopped or its lease ends, which another leader may have granted just now. st is
-// its step, nil where that is not known: nothing else fits beside it then.
-func (s *Scheduler) keepRoom(w *worker, r *backend.Run, st *step, now time.Time) {
-	w.extend(now, s.timing)
-	key := leftRun{r.Task, r.Run}
-	if _, known := w.left[key]; known {
+// addUnknownRun adds a reported run that belongs to no task on the worker. It
+// exists until it is stopped or its lease ends, and another leader may have
+// extended the lease just now. st is the step of the run, or nil if it is not
+// known; the run then takes the whole capacity.
+func (s *Scheduler) addUnknownRun(w *worker, r *backend.Run, st *step, now time.Time) {
+	w.extendLease(now, s.timing)
+	key := runID{r.Task, r.Run}
+	if _, known := w.orphans[key]; known {
 		return
 	}
 	room := w.registration.Capacity
 	if st != nil {
 		room = st.spec.Room()
 	}
-	w.left[key] = leftRoom{room, s.sequence}
+	w.orphans[key] = orphan{room, s.sequence}
 	w.used = w.used.Add(room)
 }
 
-// leftRunOf reports whether a run of a task that was given up may go on here.
-func (w *worker) leftRunOf(id work.TaskID) bool {
-	for v := range w.left {
+// hasOrphanOf reports whether an earlier run of a task may still exist on the
+// worker.
+func (w *worker) hasOrphanOf(id work.TaskID) bool {
+	for v := range w.orphans {
 		if v.task == id {
 			return true
 		}
@@ -55,119 +60,121 @@
 	return false
 }
 
-// settleLeft frees the room of runs that have ended.
-func (w *worker) settleLeft(listed map[leftRun]bool, sent HoldSent) {
-	for v, r := range w.left {
+// removeEndedOrphans removes the orphans that a report lacks, and frees their room.
+func (w *worker) removeEndedOrphans(listed map[runID]bool, sent HoldSent) {
+	for v, r := range w.orphans {
 		if !listed[v] && sent.sequence > r.sequence {
-			delete(w.left, v)
+			delete(w.orphans, v)
 			w.used = w.used.Sub(r.room)
 		}
 	}
 }
 
-// lapseLeft frees the room of all runs that were given up.
-func (w *worker) lapseLeft() {
-	for v, r := range w.left {
-		delete(w.left, v)
+// removeOrphans removes all orphans and frees their room.
+func (w *worker) removeOrphans() {
+	for v, r := range w.orphans {
+		delete(w.orphans, v)
 		w.used = w.used.Sub(r.room)
 	}
 }
 
-// deadline returns the end of a lease that is granted now, by the worker's
-// clock; 0 when its clock is not known.
-func (w *worker) deadline(now, rightEnd time.Time, timing Timing) time.Duration {
-	if w.clockAt.IsZero() {
+// leaseDeadline returns the end of a lease granted now, by the worker's clock, or 0
+// if that clock is not known. The lease does not exceed leadershipEnd.
+func (w *worker) leaseDeadline(now, leadershipEnd time.Time, timing Timing) time.Duration {
+	if w.clockReadAt.IsZero() {
 		return 0
 	}
-	lease := min(timing.Lease, rightEnd.Sub(now))
-	return w.clock + now.Sub(w.clockAt) + lease
+	lease := min(timing.Lease, leadershipEnd.Sub(now))
+	return w.clock + now.Sub(w.clockReadAt) + lease
 }
 
-// extend notes that a lease was granted at a time.
-func (w *worker) extend(at time.Time, timing Timing) {
-	if end := at.Add(time.Duration(float64(timing.Lease)*clockRate) + leaseMargin); end.After(w.leaseEnd) {
+// extendLease records that a lease was granted at a time.
+func (w *worker) extendLease(at time.Time, timing Timing) {
+	if end := at.Add(time.Duration(float64(timing.Lease)*maxClockDrift) + leaseMargin); end.After(w.leaseEnd) {
 		w.leaseEnd = end
 	}
 }
 
-// lapse frees all tasks of a worker whose runs have ended without a report.
-func (s *Scheduler) lapse(w *worker, now time.Time) {
-	w.lapseLeft()
+// lapseRuns requeues all tasks on a worker whose lease has ended.
+func (s *Scheduler) lapseRuns(w *worker, now time.Time) {
+	w.removeOrphans()
 	for _, t := range w.sortedTasks() {
 		s.log.Info("run_lapsed", "task", t.id.String(), "run", t.run, "worker", w.registration.Life.ID)
-		s.toWaiting(t)
-		s.breakGang(t, now)
+		s.requeue(t)
+		s.stopGang(t, now)
 	}
 }
 
-// stopRetry is when a stop is ordered again that has had no effect: longer than a
-// worker takes to end a run.
-const stopRetry = 1500 * time.Millisecond
+// stopRetryInterval is the interval between stop orders for a run that is still
+// reported. It is longer than a worker takes to end a run.
+const stopRetryInterval = 1500 * time.Millisecond
 
-// copyDelay is the silence beyond the time of a hold after which the speculative
-// tasks of a worker are placed elsewhere too.
-const copyDelay = 800 * time.Millisecond
+// speculationDelay is how long after the wait of a hold its answer may come before
+// the speculative tasks of the worker get a second copy elsewhere.
+const speculationDelay = 800 * time.Millisecond
 
-// holdWaitPerWorker makes holds rarer in large fleets, where they take most of the
-// leader's processor time; mostHoldWait keeps leases from running out.
+// holdWaitPerWorker makes holds less frequent in large fleets, where they take most
+// of the leader's processor time. maxHoldWait keeps the interval well below the
+// lease.
 const (
 	holdWaitPerWorker = 10 * time.Millisecond
-	mostHoldWait      = 2 * time.Second
+	maxHoldWait       = 2 * time.Second
 )
 
-// holdWait returns how long a worker may wait before it answers a hold.
+// holdWait returns how long a worker may delay its answer to a hold.
 func (s *Scheduler) holdWait() time.Duration {
-	return max(s.timing.HoldWait, min(time.Duration(len(s.workers))*holdWaitPerWorker, mostHoldWait))
+	return max(s.timing.HoldWait, min(time.Duration(len(s.workers))*holdWaitPerWorker, maxHoldWait))
 }
 
-// copySpeculative places the speculative tasks of a silent worker elsewhere; the
-// copy that ends first counts.
-func (s *Scheduler) copySpeculative(w *worker, now time.Time) {
-	if now.Sub(w.answered) < s.holdWait()+copyDelay {
+// requeueSpeculative requeues the speculative tasks of a silent worker, so that a
+// second copy starts elsewhere. The copy that completes first counts.
+func (s *Scheduler) requeueSpeculative(w *worker, now time.Time) {
+	if now.Sub(w.lastAnswer) < s.holdWait()+speculationDelay {
 		return
 	}
 	for _, t := range w.sortedTasks() {
 		if t.step.spec.Speculative && t.phase == phaseRunning {
-			s.log.Info("run_copied", "task", t.id.String(), "run", t.run, "worker", w.registration.Life.ID, "silent_ms", now.Sub(w.answered).Milliseconds())
-			w.leave(t, s.sequence)
-			s.toWaiting(t)
+			s.log.Info("run_copied", "task", t.id.String(), "run", t.run, "worker", w.registration.Life.ID, "silent_ms", now.Sub(w.lastAnswer).Milliseconds())
+			w.addOrphan(t, s.sequence)
+			s.requeue(t)
 		}
 	}
 }
 
-// departure is how long before a worker leaves its tasks are told to save their
-// progress: the time that a stop takes, twice.
-const departure = 900 * time.Millisecond
+// checkpointLead is how long before a draining worker exits its checkpointing tasks
+// are stopped: twice the time that a stop takes.
+const checkpointLead = 900 * time.Millisecond
 
-// leaveDraining stops the tasks that can go on elsewhere from a checkpoint, when
-// their worker is about to leave.
-func (s *Scheduler) leaveDraining(w *worker, now time.Time) {
-	if !w.registration.Draining || w.leaves.IsZero() || now.Before(w.leaves.Add(-departure)) {
+// stopCheckpointingIfDraining stops the tasks on a draining worker that can resume
+// elsewhere from a checkpoint, shortly before the worker exits.
+func (s *Scheduler) stopCheckpointingIfDraining(w *worker, now time.Time) {
+	if !w.registration.Draining || w.drainEnd.IsZero() || now.Before(w.drainEnd.Add(-checkpointLead)) {
 		return
 	}
 	for _, t := range w.sortedTasks() {
 		if t.step.spec.Checkpoints && t.phase == phaseRunning {
-			s.stop(t, now)
+			s.stopTask(t, now)
 		}
 	}
 }
 
-// expireLeases frees the tasks of workers that were not reached for a lease.
+// expireLeases requeues the tasks of the workers whose lease has ended, and does
+// the other checks of workers that depend on time.
 func (s *Scheduler) expireLeases(now time.Time) {
 	for _, life := range s.Workers() {
 		w := s.workers[life]
-		s.copySpeculative(w, now)
-		s.leaveDraining(w, now)
+		s.requeueSpeculative(w, now)
+		s.stopCheckpointingIfDraining(w, now)
 		if now.Before(w.leaseEnd) {
 			continue
 		}
-		if len(w.tasks) > 0 || len(w.left) > 0 {
-			s.lapse(w, now)
+		if len(w.tasks) > 0 || len(w.orphans) > 0 {
+			s.lapseRuns(w, now)
 		}
-		if w.heldToken != 0 && now.Sub(w.answered) > s.timing.Lease {
-			// Runs from before may be listed when it answers again.
-			w.heldToken = 0
+		if w.confirmedToken != 0 && now.Sub(w.lastAnswer) > s.timing.Lease {
+			// When the worker answers again, it may list runs that were requeued.
+			w.confirmedToken = 0
 		}
-		s.closeIdle(w, now)
+		s.removeIfIdle(w, now)
 	}
 }
--- a/internal/cell/scheduler/load.go
+++ b/internal/cell/scheduler/load.go
@@ -8,24 +8,25 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// loadInterval is the pause between two reports of the load.
-const loadInterval = 2 * time.Second
+// loadLogInterval is the interval at which the load is logged.
+const loadLogInterval = 2 * time.Second
 
-// load is the state of a service's workers.
-type load struct {
+// serviceLoad is the number of workers of a service with their used and total
+// capacity.
+type serviceLoad struct {
 	workers        int
 	used, capacity resource.Vector
 }
 
-// logLoad reports how full each service is and what waits for it.
+// logLoad logs, for each service, how full its workers are and how much work waits.
 func (s *Scheduler) logLoad(now time.Time) {
-	if now.Sub(s.lastLoad) < loadInterval {
+	if now.Sub(s.lastLoadLog) < loadLogInterval {
 		return
 	}
-	s.lastLoad = now
-	loads := map[string]load{}
+	s.lastLoadLog = now
+	loads := map[string]serviceLoad{}
 	for _, w := range s.workers {
-		if !w.listed || w.registration.Draining {
+		if !w.registered || w.registration.Draining {
 			continue
 		}
 		v := loads[w.registration.Service]
@@ -35,9 +36,9 @@
 	}
 	jobs, tasks := map[string]int{}, map[string]int{}
 	for _, j := range s.active {
-		if q := s.table.Queue(j.spec.Queue); q != nil && j.waiting > 0 {
+		if q := s.table.Queue(j.spec.Queue); q != nil && j.waitingTasks > 0 {
 			jobs[q.Service]++
-			tasks[q.Service] += j.waiting
+			tasks[q.Service] += j.waitingTasks
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(loads)) {
--- a/internal/cell/scheduler/plan.go
+++ b/internal/cell/scheduler/plan.go
@@ -10,17 +10,18 @@
 	"github.com/almondpost/almondpost/internal/peer/backend"
 )
 
-// Plan places waiting tasks.
+// Plan places the waiting tasks, reserves workers for large steps that find no
+// room, and sends requests for advice.
 func (s *Scheduler) Plan(now time.Time) {
 	s.planNeeded = false
-	order := s.waitingOrder(now)
+	order := s.planOrder(now)
 	reserved := newReservations()
-	s.reserved = reserved
-	clear(s.advisers.waiting)
+	s.reservations = reserved
+	clear(s.dispatcher.pending)
 	s.poolOf("")
 	for _, p := range s.pools {
-		p.measure(now, s.holdWait()+answerDelay)
-		p.hasLarge = false
+		p.refresh(now, s.holdWait()+maxAnswerDelay)
+		p.largeStepWaiting = false
 	}
 	for _, j := range order {
 		q := s.table.Queue(j.spec.Queue)
@@ -33,70 +34,74 @@
 			}
 		}
 	}
-	s.dealQuestions(order, now)
+	s.dispatchRequests(order, now)
 }
 
-// urgentPriority is the priority of the queues whose jobs are placed as they come.
+// urgentPriority is the priority of the queues whose jobs are placed without
+// waiting for the next plan.
 const urgentPriority = 0
 
-// hasten places and asks for an urgent job between two plans, with the reservations of
-// the last one.
+// planUrgentJob places the tasks of an urgent job, or requests advice for it,
+// between two plans. It uses the reservations of the last plan.
 //
-// It answers a backlog, when plans are long and rare: an urgent job would wait for one
-// to ask for advice and for another to use it.
-func (s *Scheduler) hasten(j *job, now time.Time) {
+// Under a backlog, plans take long and are rare. An urgent job would otherwise wait
+// for one plan to request advice and for another one to use the answer.
+func (s *Scheduler) planUrgentJob(j *job, now time.Time) {
 	q := s.table.Queue(j.spec.Queue)
-	if q == nil || q.Priority != urgentPriority || j.state.Ended() || s.reserved == nil {
+	if q == nil || q.Priority != urgentPriority || j.state.Ended() || s.reservations == nil {
 		return
 	}
-	if p := s.prospectOf(j, q, s.allowance(j, q), now); p == late || p == hopeless {
+	if p := s.timelinessOf(j, q, s.allowance(j, q), now); p == overdue || p == tooLate {
 		return
 	}
 	asks := false
 	for _, o := range j.occurrences {
 		for _, st := range o.steps {
-			s.planStep(st, q, s.reserved, now)
-			_, wants := s.advisers.waiting[st]
+			s.planStep(st, q, s.reservations, now)
+			_, wants := s.dispatcher.pending[st]
 			asks = asks || wants
 		}
 	}
 	if asks {
-		s.dealQuestions([]*job{j}, now)
+		s.dispatchRequests([]*job{j}, now)
 	}
 }
 
+// planStep places the tasks of one step. If it lacks tickets or room, it is queued
+// for a request for advice, and workers are reserved for a large step.
 func (s *Scheduler) planStep(st *step, q *queue.Queue, reserved *reservations, now time.Time) {
-	st.advice.kept = nil
-	if st.left == 0 {
+	st.advice.reserved = nil
+	if st.tasksLeft == 0 {
 		return
 	}
 	if !st.open {
-		if q.Advice != nil && s.opensWithin(st, askAhead+q.Advice.Of(mostAsked), now) {
-			s.advisers.want(st, q)
+		if q.Advice != nil && s.opensWithin(st, requestLead+q.Advice.Of(maxWorkersPerRequest), now) {
+			s.dispatcher.enqueue(st, q)
 		}
 		return
 	}
-	if st.job.waiting == 0 {
+	if st.job.waitingTasks == 0 {
 		return
 	}
-	if s.placeStep(st, q, reserved, now) || !st.anyWaiting(now) {
+	if s.placeStep(st, q, reserved, now) || !st.hasPlaceableTask(now) {
 		return
 	}
-	s.advisers.want(st, q)
-	s.poolOf(q.Service).hasLarge = s.poolOf(q.Service).hasLarge || s.isLarge(st, q)
-	s.reserve(st, q, reserved, now)
+	s.dispatcher.enqueue(st, q)
+	s.poolOf(q.Service).largeStepWaiting = s.poolOf(q.Service).largeStepWaiting || s.isLarge(st, q)
+	s.reserveWorkers(st, q, reserved, now)
 }
 
-// isLarge reports whether workers are kept for the tasks of a step while they wait.
+// isLarge reports whether workers are reserved for the tasks of a step while they
+// wait. A gang counts as large whatever the size of its tasks.
 func (s *Scheduler) isLarge(st *step, q *queue.Queue) bool {
-	return st.spec.Gang || st.spec.Room().DominantFraction(s.poolOf(q.Service).largest) >= largeFraction
+	return st.spec.Gang || st.spec.Room().DominantFraction(s.poolOf(q.Service).maxCapacity) >= largeFraction
 }
 
-// placeStep places the tasks of an open step; it reports whether none is left
-// waiting.
+// placeStep places the tasks of an open step. It reports whether all tasks that may
+// be placed now have a worker.
 func (s *Scheduler) placeStep(st *step, q *queue.Queue, reserved *reservations, now time.Time) bool {
 	switch {
-	case !st.spec.Room().Fits(s.poolOf(q.Service).free):
+	case !st.spec.Room().Fits(s.poolOf(q.Service).maxFree):
 		return false
 	case st.spec.Gang:
 		return s.placeGang(st, q, reserved, now)
@@ -104,22 +109,24 @@
 	return s.placeTasks(st, q, reserved, now)
 }
 
-func (st *step) anyWaiting(now time.Time) bool {
+// hasPlaceableTask reports whether a waiting task of the step may be placed now.
+func (st *step) hasPlaceableTask(now time.Time) bool {
 	return slices.ContainsFunc(st.tasks, func(t *task) bool { return t.phase == phaseWaiting && !now.Before(t.notBefore) })
 }
 
-// opensWithin reports whether all earlier steps should end within a time.
+// opensWithin reports whether all dependencies of a step are expected to complete
+// within a time.
 func (s *Scheduler) opensWithin(st *step, within time.Duration, now time.Time) bool {
 	for _, a := range st.spec.After {
-		before := st.turn.steps[a]
-		if !before.open {
+		earlier := st.occurrence.steps[a]
+		if !earlier.open {
 			return false
 		}
-		for _, t := range before.tasks {
+		for _, t := range earlier.tasks {
 			if t.phase == phaseDone {
 				continue
 			}
-			if t.phase != phaseRunning || s.runTimes.remaining(t, now) > within {
+			if t.phase != phaseRunning || s.runTimes.remainingRunTime(t, now) > within {
 				return false
 			}
 		}
@@ -127,25 +134,26 @@
 	return true
 }
 
-// placeTasks places the waiting tasks of a step; it reports whether none is
-// left waiting.
+// placeTasks places the waiting tasks of a step one by one. It reports whether all
+// tasks that may be placed now have a worker.
 func (s *Scheduler) placeTasks(st *step, q *queue.Queue, reserved *reservations, now time.Time) bool {
 	all := true
 	for _, t := range st.tasks {
 		if t.phase != phaseWaiting || now.Before(t.notBefore) {
 			continue
 		}
-		w := s.choose(st, q, t, reserved, nil, now)
+		w := s.chooseWorker(st, q, t, reserved, nil, now)
 		if w == nil {
 			all = false
 			break
 		}
-		s.place(t, w, now)
+		s.placeTask(t, w, now)
 	}
 	return all
 }
 
-// placeGang places all tasks of a gang or none.
+// placeGang places either all tasks of a gang or none. It reports false if there is
+// no room for all of them.
 func (s *Scheduler) placeGang(st *step, q *queue.Queue, reserved *reservations, now time.Time) bool {
 	for _, t := range st.tasks {
 		if t.phase != phaseWaiting || now.Before(t.notBefore) {
@@ -159,32 +167,33 @@
 	var placed []*task
 	racks := map[string]int{}
 	for _, t := range st.tasks {
-		w := s.choose(st, q, t, reserved, racks, now)
+		w := s.chooseWorker(st, q, t, reserved, racks, now)
 		if w == nil {
 			for _, p := range placed {
 				w := p.worker
-				w.remove(p)
+				w.removeTask(p)
 				p.worker = nil
 			}
 			return false
 		}
 		t.worker = w
-		w.add(t)
+		w.addTask(t)
 		racks[w.rack()]++
 		placed = append(placed, t)
 	}
-	checkpoint := latestCheckpoint(st.tasks)
+	checkpoint := gangCheckpoint(st.tasks)
 	for _, t := range placed {
 		w := t.worker
-		w.remove(t)
+		w.removeTask(t)
 		t.run, t.checkpoint = run-1, checkpoint
-		s.place(t, w, now)
+		s.placeTask(t, w, now)
 	}
 	return true
 }
 
-// latestCheckpoint returns a checkpoint that every member can resume from.
-func latestCheckpoint(tasks []*task) string {
+// gangCheckpoint returns a checkpoint from which every member of a gang can resume,
+// or "" if there is none.
+func gangCheckpoint(tasks []*task) string {
 	for _, t := range tasks {
 		if t.checkpoint != "" {
 			return t.checkpoint
@@ -193,23 +202,25 @@
 	return ""
 }
 
-// place gives a task room on a worker. Its start is ordered once that is stored.
-func (s *Scheduler) place(t *task, w *worker, now time.Time) {
+// placeTask assigns a task to a worker. The start is ordered once the placement is
+// stored.
+func (s *Scheduler) placeTask(t *task, w *worker, now time.Time) {
 	j := t.step.job
 	t.run++
-	t.phase, t.worker, t.token, t.settled, t.inCommit = phaseRecorded, w, 0, false, false
-	t.begun = now
-	w.add(t)
-	j.waiting--
-	j.running++
-	j.begun = true
+	t.phase, t.worker, t.startToken, t.runConfirmed, t.inCommit = phasePlaced, w, 0, false, false
+	t.startedAt = now
+	w.addTask(t)
+	j.waitingTasks--
+	j.tasksOnWorkers++
+	j.anyTaskPlaced = true
 	if j.state == work.Queued {
 		j.state = work.Running
 	}
-	s.touch(j)
+	s.markDirty(j)
 }
 
-// Workers lists the lives of the workers that are held, in a fixed order.
+// Workers returns the lives of all workers that the scheduler has not removed, in
+// order.
 func (s *Scheduler) Workers() []backend.Life {
 	return slices.SortedFunc(maps.Keys(s.workers), compareLives)
 }
--- a/internal/cell/scheduler/pool.go
+++ b/internal/cell/scheduler/pool.go
@@ -9,24 +9,28 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// pool holds the workers of one service that may get new work, in a fixed order.
+// pool holds the workers of one service that are registered and not draining, in
+// order of their lives.
 type pool struct {
 	workers []*worker
-	// ready holds those that can take a start, as of the beginning of a plan.
-	ready []*worker
-	// largest and smallest are the extreme capacities of each resource.
-	largest, smallest resource.Vector
-	// free is at least the room that any worker has, of each resource. It is
-	// computed at the start of a plan; room only shrinks while one is made.
-	free resource.Vector
-	// byRoom is what roomiest returns, and byFullness what fullest does; nil until
-	// they are called in a plan.
-	byRoom, byFullness []*worker
-	// hasLarge tells that workers are kept for large tasks, as of the last plan.
-	hasLarge bool
+	// readyWorkers holds the workers that could accept a start when the plan began.
+	readyWorkers []*worker
+	// maxCapacity and minCapacity are the largest and the smallest capacity of a
+	// worker, for each resource separately.
+	maxCapacity, minCapacity resource.Vector
+	// maxFree is an upper bound of the free room on any ready worker, for each
+	// resource separately. It is computed when a plan begins, and stays a bound
+	// because a plan only takes room.
+	maxFree resource.Vector
+	// leastUsed and mostUsed cache the results of leastUsedFirst and mostUsedFirst
+	// during a plan.
+	leastUsed, mostUsed []*worker
+	// largeStepWaiting is true if the last plan found a large step that waits for
+	// room.
+	largeStepWaiting bool
 }
 
-// poolOf returns the workers of a service.
+// poolOf returns the pool of a service. It is empty if the service has no workers.
 func (s *Scheduler) poolOf(service string) *pool {
 	if s.pools == nil {
 		s.buildPools()
@@ -37,72 +41,73 @@
 	return &pool{}
 }
 
-// buildPools sorts the workers by service.
+// buildPools groups the workers by service.
 func (s *Scheduler) buildPools() {
 	s.pools = map[string]*pool{}
 	for _, life := range s.Workers() {
 		w := s.workers[life]
-		if !w.listed || w.gone || w.registration.Draining {
+		if !w.registered || w.lost || w.registration.Draining {
 			continue
 		}
 		p := s.pools[w.registration.Service]
 		if p == nil {
-			p = &pool{smallest: w.registration.Capacity}
+			p = &pool{minCapacity: w.registration.Capacity}
 			s.pools[w.registration.Service] = p
 		}
 		p.workers = append(p.workers, w)
-		p.largest = p.largest.Max(w.registration.Capacity)
-		p.smallest = p.smallest.Min(w.registration.Capacity)
+		p.maxCapacity = p.maxCapacity.Max(w.registration.Capacity)
+		p.minCapacity = p.minCapacity.Min(w.registration.Capacity)
 	}
 }
 
-// measure notes which workers are ready and what room they have at the start of a
-// plan. quiet is the silence after which a worker gets no new work.
-func (p *pool) measure(now time.Time, quiet time.Duration) {
-	p.free, p.ready, p.byRoom = resource.Vector{}, p.ready[:0], nil
-	p.byFullness = nil
+// refresh updates, when a plan begins, which workers are ready and how much room
+// they have. A worker that has been silent for longer than maxSilence is not ready.
+func (p *pool) refresh(now time.Time, maxSilence time.Duration) {
+	p.maxFree, p.readyWorkers, p.leastUsed = resource.Vector{}, p.readyWorkers[:0], nil
+	p.mostUsed = nil
 	for _, w := range p.workers {
-		w.ready = !w.fencing() && !now.Before(w.avoidUntil) && now.Sub(w.answered) <= quiet && !w.clockAt.IsZero()
+		w.ready = !w.tokenUnconfirmed() && !now.Before(w.avoidUntil) && now.Sub(w.lastAnswer) <= maxSilence && !w.clockReadAt.IsZero()
 		if w.ready {
-			p.ready = append(p.ready, w)
-			p.free = p.free.Max(w.free())
+			p.readyWorkers = append(p.readyWorkers, w)
+			p.maxFree = p.maxFree.Max(w.free())
 		}
 	}
 }
 
-// takes reports whether a worker may get tasks of a queue.
-func (w *worker) takes(q *queue.Queue) bool {
-	return w.listed && !w.gone && !w.registration.Draining && w.registration.Service == q.Service
+// accepts reports whether a worker may get new tasks of a queue.
+func (w *worker) accepts(q *queue.Queue) bool {
+	return w.registered && !w.lost && !w.registration.Draining && w.registration.Service == q.Service
 }
 
-// roomiest returns the workers with the largest part of their capacity free first, as
+// leastUsedFirst returns the workers in ascending order of their used fraction, as
 // of the first call in a plan.
-func (p *pool) roomiest() []*worker {
-	if p.byRoom != nil {
-		return p.byRoom
+func (p *pool) leastUsedFirst() []*worker {
+	if p.leastUsed != nil {
+		return p.leastUsed
 	}
 	for _, w := range p.workers {
-		w.fullness = w.used.DominantFraction(w.registration.Capacity)
+		w.usedFraction = w.used.DominantFraction(w.registration.Capacity)
 	}
-	p.byRoom = slices.Clone(p.workers)
-	slices.SortStableFunc(p.byRoom, func(a, b *worker) int { return cmp.Compare(a.fullness, b.fullness) })
-	return p.byRoom
+	p.leastUsed = slices.Clone(p.workers)
+	slices.SortStableFunc(p.leastUsed, func(a, b *worker) int { return cmp.Compare(a.usedFraction, b.usedFraction) })
+	return p.leastUsed
 }
 
-// fullest is roomiest in the reverse order.
-func (p *pool) fullest() []*worker {
-	if p.byFullness == nil {
-		p.byFullness = slices.Clone(p.roomiest())
-		slices.Reverse(p.byFullness)
+// mostUsedFirst returns the workers in the reverse order of leastUsedFirst.
+func (p *pool) mostUsedFirst() []*worker {
+	if p.mostUsed == nil {
+		p.mostUsed = slices.Clone(p.leastUsedFirst())
+		slices.Reverse(p.mostUsed)
 	}
-	return p.byFullness
+	return p.mostUsed
 }
 
-// candidates returns the workers of a service that could run tasks of a step.
-func (s *Scheduler) candidates(st *step, service string) []*worker {
+// capableWorkers returns the workers of a service that can run tasks of a step when
+// they are empty.
+func (s *Scheduler) capableWorkers(st *step, service string) []*worker {
 	p := s.poolOf(service)
-	if st.spec.Label == "" && st.spec.Room().Fits(p.smallest) {
+	if st.spec.Label == "" && st.spec.Room().Fits(p.minCapacity) {
 		return p.workers
 	}
-	return slices.DeleteFunc(slices.Clone(p.workers), func(w *worker) bool { return !usable(w, st) })
+	return slices.DeleteFunc(slices.Clone(p.workers), func(w *worker) bool { return !canRun(w, st) })
 }
--- a/internal/cell/scheduler/reserve.go
+++ b/internal/cell/scheduler/reserve.go
@@ -9,58 +9,62 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// reservations keep workers for large tasks that would otherwise wait for ever
-// while smaller ones take each piece of room.
+// reservations holds the workers that are reserved for large steps. Without a
+// reservation, a large task could wait forever while smaller ones take any room
+// that becomes free.
 type reservations struct {
-	byWorker map[*worker]reservation
-	steps    int
+	byWorker  map[*worker]reservation
+	stepCount int
 }
 
-// reservation keeps a worker for a job from a time on.
+// reservation reserves a worker for a job.
 type reservation struct {
 	job *job
-	// from is when the worker should have room for the job.
-	from time.Time
+	// freeAt is when the worker is expected to have room for the job.
+	freeAt time.Time
 }
 
 const (
-	// workersPerReservation bounds the steps for which workers are kept at a time, by
-	// the size of the service; leastReservations are allowed anyway.
+	// workersPerReservation limits the number of steps with reservations in a plan
+	// to one per so many workers of the service; minReservations steps are always
+	// allowed.
 	workersPerReservation = 3
-	leastReservations     = 8
-	// largeFraction is the share of a worker from which on a task is large.
+	minReservations       = 8
+	// largeFraction is the fraction of the largest worker from which on a task is
+	// large.
 	largeFraction = 0.45
 )
 
 func newReservations() *reservations { return &reservations{byWorker: map[*worker]reservation{}} }
 
-// blocks reports whether a worker is kept from a job whose task would run until a
-// time. Tasks that end before the reservation begins fill the room until then.
-func (r *reservations) blocks(w *worker, j *job, until time.Time) bool {
-	v, ok := r.byWorker[w]
-	return ok && v.job != j && until.After(v.from)
+// blocks reports whether a worker is reserved for another job and a task of job j
+// would run there past the time when it should be free. Shorter tasks may backfill
+// the room until then.
+func (r *reservations) blocks(w *worker, j *job, expectedEnd time.Time) bool {
+	res, ok := r.byWorker[w]
+	return ok && res.job != j && expectedEnd.After(res.freeAt)
 }
 
-// keeps reports whether a worker is kept for another job.
-func (r *reservations) keeps(w *worker, j *job) bool {
-	v, ok := r.byWorker[w]
-	return ok && v.job != j
+// reservedForOther reports whether a worker is reserved for another job than j.
+func (r *reservations) reservedForOther(w *worker, j *job) bool {
+	res, ok := r.byWorker[w]
+	return ok && res.job != j
 }
 
-// reserve keeps the workers that will have room for the tasks of a step first.
-// Workers that can never take them stay free for others.
-func (s *Scheduler) reserve(st *step, q *queue.Queue, r *reservations, now time.Time) {
-	if !s.isLarge(st, q) || r.steps >= max(leastReservations, len(s.poolOf(q.Service).workers)/workersPerReservation) {
+// reserveWorkers reserves the workers that are expected to have room for the tasks
+// of a step first. Workers that can never run them are not reserved.
+func (s *Scheduler) reserveWorkers(st *step, q *queue.Queue, r *reservations, now time.Time) {
+	if !s.isLarge(st, q) || r.stepCount >= max(minReservations, len(s.poolOf(q.Service).workers)/workersPerReservation) {
 		return
 	}
 	var slots []slot
 	places := 0
-	for _, w := range s.allowed(st, q) {
-		if r.keeps(w, st.job) || !keepsApart(w, st) {
+	for _, w := range s.permittedWorkers(st, q) {
+		if r.reservedForOther(w, st.job) || !belowTaskLimit(w, st) {
 			continue
 		}
 		places += placesFor(st.spec.Room(), w.registration.Capacity)
-		slots = s.slotsOn(w, st, slots, now)
+		slots = s.appendSlots(w, st, slots, now)
 	}
 	if st.spec.Gang && places < st.spec.Count {
 		return // The gang does not fit, however long it waits.
@@ -68,26 +72,28 @@
 	slices.SortFunc(slots, func(a, b slot) int {
 		return cmp.Or(cmp.Compare(a.wait, b.wait), compareLives(a.worker.registration.Life, b.worker.registration.Life))
 	})
-	for _, v := range slots[:min(st.waitingTasks(), len(slots))] {
-		if _, kept := r.byWorker[v.worker]; !kept {
-			st.advice.kept = append(st.advice.kept, v.worker)
+	for _, sl := range slots[:min(st.waitingTasks(), len(slots))] {
+		if _, kept := r.byWorker[sl.worker]; !kept {
+			st.advice.reserved = append(st.advice.reserved, sl.worker)
 		}
-		r.byWorker[v.worker] = reservation{job: st.job, from: now.Add(v.wait)}
-		if st.spec.Gang || len(st.advice.kept) == 1 {
-			st.advice.keptIn = v.wait
+		r.byWorker[sl.worker] = reservation{job: st.job, freeAt: now.Add(sl.wait)}
+		if st.spec.Gang || len(st.advice.reserved) == 1 {
+			st.advice.reservedFreeIn = sl.wait
 		}
 	}
-	r.steps++
+	r.stepCount++
 }
 
-// allowed returns the workers on which tasks of a step may run, as far as is known.
-func (s *Scheduler) allowed(st *step, q *queue.Queue) []*worker {
+// permittedWorkers returns the workers on which tasks of a step may run: those with
+// a ticket, which may have expired, or all capable ones if the queue needs no
+// advice.
+func (s *Scheduler) permittedWorkers(st *step, q *queue.Queue) []*worker {
 	if q.Advice == nil {
-		return s.candidates(st, q.Service)
+		return s.capableWorkers(st, q.Service)
 	}
 	list := make([]*worker, 0, len(st.advice.tickets))
 	for w := range st.advice.tickets {
-		if w.takes(q) {
+		if w.accepts(q) {
 			list = append(list, w)
 		}
 	}
@@ -101,34 +107,35 @@
 	wait time.Duration
 }
 
-// slotsOn adds the slots for tasks of a step on a worker, as far as its tasks end.
+// appendSlots appends the slots for tasks of a step on a worker that are free now
+// or become free when tasks there end.
 //
-// It answers wide gangs in a busy service: a gang takes the first slots that come free
-// together, several on one worker, and no more workers are kept than it needs.
-func (s *Scheduler) slotsOn(w *worker, st *step, slots []slot, now time.Time) []slot {
+// A worker can have several slots for a wide gang. The gang then gets the slots
+// that become free first, and reserves no more workers than it needs.
+func (s *Scheduler) appendSlots(w *worker, st *step, slots []slot, now time.Time) []slot {
 	free, room := w.free(), st.spec.Room()
-	most := min(placesApart(w, st), st.waitingTasks())
-	n := min(placesFor(room, free), most)
+	limit := min(taskLimitLeft(w, st), st.waitingTasks())
+	n := min(placesFor(room, free), limit)
 	for range n {
 		slots = append(slots, slot{w, 0})
 	}
-	if n == most {
+	if n == limit {
 		return slots
 	}
-	type ending struct {
+	type taskEnd struct {
 		room resource.Vector
 		in   time.Duration
 	}
-	endings := make([]ending, 0, len(w.tasks))
+	taskEnds := make([]taskEnd, 0, len(w.tasks))
 	for _, t := range w.tasks {
-		if in := s.runTimes.remaining(t, now); in < lastingHorizon {
-			endings = append(endings, ending{t.step.spec.Room(), in})
+		if in := s.runTimes.remainingRunTime(t, now); in < lastingHorizon {
+			taskEnds = append(taskEnds, taskEnd{t.step.spec.Room(), in})
 		}
 	}
-	slices.SortFunc(endings, func(a, b ending) int { return cmp.Compare(a.in, b.in) })
-	for _, e := range endings {
+	slices.SortFunc(taskEnds, func(a, b taskEnd) int { return cmp.Compare(a.in, b.in) })
+	for _, e := range taskEnds {
 		free = free.Add(e.room)
-		for ; n < min(placesFor(room, free), most); n++ {
+		for ; n < min(placesFor(room, free), limit); n++ {
 			slots = append(slots, slot{w, e.in})
 		}
 	}
--- a/internal/cell/scheduler/restore.go
+++ b/internal/cell/scheduler/restore.go
@@ -7,20 +7,21 @@
 	"github.com/almondpost/almondpost/internal/peer/backend"
 )
 
-// Restore takes a job over with its stored progress, which may be nil. Runs that
-// may exist count until their worker was asked, or their lease has lapsed.
+// Restore adds a job of an earlier leader with its stored progress, which may be
+// nil. A run that may still exist takes room until its worker's report lacks it or
+// its lease has ended.
 func (s *Scheduler) Restore(spec *work.Job, p *work.Progress, now time.Time) {
 	if s.jobs[spec.ID] != nil {
 		return
 	}
-	j := s.add(spec, now)
+	j := s.addJob(spec, now)
 	if p == nil {
 		return
 	}
-	j.begun, j.ordered = p.Started, p.Started
-	j.state, j.shown = p.State, p.State
+	j.anyTaskPlaced, j.anyTaskOrdered = p.Started, p.Started
+	j.state, j.storedState = p.State, p.State
 	if p.State.Ended() {
-		j.ended = now
+		j.endedAt = now
 		delete(s.active, spec.ID)
 	}
 	for i := range p.Steps {
@@ -28,36 +29,35 @@
 	}
 	for _, o := range j.occurrences {
 		for _, st := range o.steps {
-			if st.left == 0 {
-				o.left--
+			if st.tasksLeft == 0 {
+				o.stepsLeft--
 			}
 		}
 		if !j.state.Ended() {
-			s.openSteps(o, now)
+			s.openReadySteps(o, now)
 		}
 	}
 }
 
-// RestoreEnded takes over the state of a job that has ended and whose submission
-// was dropped.
+// RestoreEnded adds an ended job of which only the progress is left.
 func (s *Scheduler) RestoreEnded(id string, p *work.Progress, now time.Time) {
 	if s.jobs[id] != nil || !p.State.Ended() {
 		return
 	}
-	s.jobs[id] = &job{spec: &work.Job{ID: id}, state: p.State, shown: p.State, ended: now, dropped: true}
+	s.jobs[id] = &job{spec: &work.Job{ID: id}, state: p.State, storedState: p.State, endedAt: now, submissionDropped: true}
 }
 
 func (s *Scheduler) restoreStep(j *job, p *work.StepProgress, now time.Time) {
 	if p.Step >= len(j.spec.Steps) || p.Occurrence >= j.spec.Occurrences() {
 		return
 	}
-	for j.next <= p.Occurrence {
-		s.newOccurrence(j, j.next, now)
-		j.next++
+	for j.nextOccurrence <= p.Occurrence {
+		s.addOccurrence(j, j.nextOccurrence, now)
+		j.nextOccurrence++
 	}
 	st := j.occurrences[p.Occurrence].steps[p.Step]
 	if p.Done {
-		st.left = 0
+		st.tasksLeft = 0
 		for _, t := range st.tasks {
 			t.phase = phaseDone
 		}
@@ -76,29 +76,31 @@
 	}
 }
 
+// restoreTask restores a task from its record. If the record names a worker, the
+// run may still exist there.
 func (s *Scheduler) restoreTask(t *task, p *work.TaskProgress, now time.Time) {
-	t.run, t.failed, t.checkpoint = p.Run, p.Failed, p.Checkpoint
+	t.run, t.failedRuns, t.checkpoint = p.Run, p.Failed, p.Checkpoint
 	if p.Done {
 		t.phase = phaseDone
-		t.step.left--
+		t.step.tasksLeft--
 		return
 	}
 	if p.Worker == "" {
 		return
 	}
 	life := backend.Life{ID: p.Worker, Born: p.Born}
-	if latest := s.byID[life.ID]; latest != nil && latest.registration.Life.Born > life.Born {
-		return // That life of the worker is over.
+	if latest := s.latestByID[life.ID]; latest != nil && latest.registration.Life.Born > life.Born {
+		return // This life of the worker has ended, and its runs with it.
 	}
 	w := s.workers[life]
 	if w == nil {
-		w = s.newWorker(backend.Registration{Life: life}, now)
+		w = s.addWorker(backend.Registration{Life: life}, now)
 	}
-	// The last leader may have held the worker until its right ended.
-	if end := now.Add(time.Duration(float64(s.timing.Right)*clockRate) + leaseMargin); end.After(w.leaseEnd) {
+	// The last leader may have extended the lease until the end of its leadership.
+	if end := now.Add(time.Duration(float64(s.timing.Right)*maxClockDrift) + leaseMargin); end.After(w.leaseEnd) {
 		w.leaseEnd = end
 	}
-	t.phase, t.worker, t.token = phaseOrdered, w, 0
-	t.step.job.running++
-	w.add(t)
+	t.phase, t.worker, t.startToken = phaseOrdered, w, 0
+	t.step.job.tasksOnWorkers++
+	w.addTask(t)
 }
