--- a/internal/cell/scheduler/advice.go
+++ b/internal/cell/scheduler/advice.go
@@ -241,7 +241,7 @@
 	}
 	for _, w := range o.workers {
 		a.answered[w] = true
-		if text, good := answer.Tickets[w.registration.Life.ID]; good {
+		if text, approved := answer.Tickets[w.registration.Life.ID]; approved {
 			a.tickets[w] = ticket{text: text, expires: now.Add(answer.Validity)}
 		}
 	}
--- a/internal/cell/scheduler/advice_test.go
+++ b/internal/cell/scheduler/advice_test.go
@@ -16,74 +16,78 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// adviceTable has a queue whose questions are short and one whose are long.
-var adviceTable = &queue.Table{Version: 1, Queues: []queue.Queue{
+// adviceTestTable has one queue with slow requests for advice and one with short
+// requests.
+var adviceTestTable = &queue.Table{Version: 1, Queues: []queue.Queue{
 	{Name: "long", Service: "bench", Priority: 1, Stretch: 2, Objective: time.Second, Advice: &queue.AdviceCost{Fixed: 600 * time.Millisecond, Validity: 2 * time.Second}},
 	{Name: "short", Service: "desk", Priority: 2, Stretch: 2, Objective: time.Second, Advice: &queue.AdviceCost{Fixed: 20 * time.Millisecond, Validity: 2 * time.Second}},
 }}
 
-// askingScheduler returns a scheduler with workers of both services, on which every
-// worker has answered a hold.
-func askingScheduler(now time.Time, advisers int) *scheduler.Scheduler {
+// newAdvisedScheduler returns a scheduler with six workers of two services, each of
+// which has answered a hold.
+func newAdvisedScheduler(now time.Time, vms int) *scheduler.Scheduler {
 	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, Right: 8 * time.Second, HoldWait: time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
-	s.SetTable(adviceTable)
-	names := make([]string, advisers)
+	s.SetTable(adviceTestTable)
+	names := make([]string, vms)
 	for i := range names {
 		names[i] = fmt.Sprintf("vm-%d", i)
 	}
 	s.SetAdvisers(names)
-	heldWorkers(s, 6, now, "bench", "desk")
+	addHeldWorkers(s, 6, now, "bench", "desk")
 	return s
 }
 
-// After an outage all jobs ask at once, the long questions first.
+// After an outage all jobs request advice at once, and the slow requests come
+// first.
 func TestLongQuestionsLeaveVMsForShortOnes(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
-	s := askingScheduler(now, 8)
+	s := newAdvisedScheduler(now, 8)
 	for i := range 10 {
 		for _, queueName := range []string{"long", "short"} {
 			s.Submit(&work.Job{ID: fmt.Sprintf("%s-%d", queueName, i), Queue: queueName, Accepted: now, Steps: []work.Step{{Count: 1, Size: taskSize, Estimate: 10 * time.Second}}}, now)
 		}
 	}
 	s.Plan(now)
-	asks := map[string]int{}
+	requests := map[string]int{}
 	for _, a := range s.Take().Asks {
-		asks[a.Step.Job[:4]]++
+		requests[a.Step.Job[:4]]++
 	}
-	is.Equal(asks, map[string]int{"long": 4, "shor": 4})
+	is.Equal(requests, map[string]int{"long": 4, "shor": 4})
 }
 
-// answerAsks answers the open questions with tickets for all workers.
-func answerAsks(s *scheduler.Scheduler, at time.Time) (asked int) {
+// approveAllRequests answers the requests in flight with tickets for all workers,
+// and returns the number of workers named in them.
+func approveAllRequests(s *scheduler.Scheduler, at time.Time) (workers int) {
 	for _, a := range s.Take().Asks {
 		answer := backend.Advice{Tickets: map[string]string{}, Validity: 2 * time.Second}
 		for _, id := range a.Workers {
 			answer.Tickets[id] = "ticket"
 		}
-		asked += len(a.Workers)
+		workers += len(a.Workers)
 		s.AdviceAnswered(a.Number, answer, false, at)
 	}
-	return asked
+	return workers
 }
 
-// The three workers of a service are full until now; a gang of three waits for them,
-// and questions take most of the time for which a ticket is valid.
+// A gang needs all three workers of its service, and a request takes a large part
+// of the time for which a ticket is valid. All three tickets have to be refreshed
+// together, or they are never all valid at once.
 func TestTicketsOfAGangAreValidAtOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
-	s := askingScheduler(now, 1)
+	s := newAdvisedScheduler(now, 1)
 	s.Submit(&work.Job{ID: "gang", Queue: "long", Accepted: now, Steps: []work.Step{{Count: 3, Gang: true, Size: workerSize, Estimate: time.Second}}}, now)
 	s.Plan(now)
 	now = now.Add(600 * time.Millisecond)
-	is.Equal(answerAsks(s, now), 3)
-	// The workers are silent for a while, so the gang can not start.
+	is.Equal(approveAllRequests(s, now), 3)
+	// The workers are silent for a while, so the gang cannot start.
 	now = now.Add(1500 * time.Millisecond)
 	s.Plan(now)
-	is.Equal(answerAsks(s, now.Add(600*time.Millisecond)), 3) // They would expire before the answer.
+	is.Equal(approveAllRequests(s, now.Add(600*time.Millisecond)), 3) // The tickets would expire before the answer.
 }
 
-// A gang needs more good workers than one question brings.
+// A gang needs more approved workers than one request brings.
 func TestQuestionsForAWideGangGoSideBySide(t *testing.T) {
 	scenarios := []struct {
 		testName string
@@ -91,24 +95,24 @@
 		expected int
 	}{
 		{"a gang needs all its places at once", true, 3},
-		{"other tasks start one by one", false, 1},
+		{"tasks of other steps start one by one", false, 1},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			is := is.New(t)
-			w := largeWorld()
-			l := w.elect()
-			w.run(time.Second)
+			sm := newLargeSimulation()
+			l := sm.electLeader()
+			sm.runFor(time.Second)
 			j := &work.Job{ID: "wide", Queue: "scan", Steps: []work.Step{{Count: 30, Gang: sc.gang, Size: resource.Vector{Milliprocessors: 62000, Accelerators: 8}, Estimate: 4 * time.Second}}}
-			w.submit(j, fleet.Demand{RunTime: 4 * time.Second})
-			w.run(300 * time.Millisecond)
-			is.Equal(l.asks, sc.expected)
+			sm.submit(j, fleet.Demand{RunTime: 4 * time.Second})
+			sm.runFor(300 * time.Millisecond)
+			is.Equal(l.adviceRequestCount, sc.expected)
 		})
 	}
 }
 
-// Long questions have used up their share of the VMs; urgent jobs of the same service
-// come, some of them too late to be on time.
+// Long requests have used up their share of the VMs. Then urgent jobs of the same
+// service are submitted, some of them too late to complete in time.
 func TestShortQuestionsOfABurst(t *testing.T) {
 	table := &queue.Table{Version: 2, Queues: []queue.Queue{
 		{Name: "long", Service: "desk", Priority: 2, Stretch: 2, Objective: time.Second, Advice: &queue.AdviceCost{Fixed: 200 * time.Millisecond, Validity: 2 * time.Second}},
@@ -117,18 +121,19 @@
 	scenarios := []struct {
 		testName string
 		vms      int
-		// ages are those of the urgent jobs, which are on time up to two seconds.
+		// ages are those of the urgent jobs, which have about two seconds to complete
+		// in time.
 		ages     []time.Duration
 		expected []string
 	}{
-		{"they use the VMs that are left", 10, []time.Duration{0, 0, 0, 0}, []string{"short-0", "short-1", "short-2"}},
+		{"short requests are not limited by the share of the service", 10, []time.Duration{0, 0, 0, 0}, []string{"short-0", "short-1", "short-2"}},
 		{"a job that can still be on time goes first", 8, []time.Duration{1990 * time.Millisecond, 700 * time.Millisecond}, []string{"short-1"}},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Unix(1_700_000_000, 0)
-			s := askingScheduler(now, sc.vms)
+			s := newAdvisedScheduler(now, sc.vms)
 			s.SetTable(table)
 			for i := range 10 {
 				s.Submit(&work.Job{ID: fmt.Sprintf("long-%d", i), Queue: "long", Accepted: now, Steps: []work.Step{{Count: 1, Size: taskSize, Estimate: 10 * time.Second}}}, now)
@@ -139,39 +144,40 @@
 				s.Submit(&work.Job{ID: fmt.Sprintf("short-%d", i), Queue: "short", Accepted: now.Add(-age), Steps: []work.Step{{Count: 1, Size: taskSize, Estimate: time.Second}}}, now)
 			}
 			if sc.vms == 8 {
-				s.SetAdvisers([]string{"vm-0", "vm-1", "vm-2", "vm-3", "vm-4", "vm-5"}) // One of them is idle.
+				s.SetAdvisers([]string{"vm-0", "vm-1", "vm-2", "vm-3", "vm-4", "vm-5"}) // One of the VMs is idle.
 			}
 			s.Plan(now)
-			var asked []string
+			var requested []string
 			for _, a := range s.Take().Asks {
-				asked = append(asked, a.Step.Job)
+				requested = append(requested, a.Step.Job)
 			}
-			is.Equal(asked, sc.expected)
+			is.Equal(requested, sc.expected)
 		})
 	}
 }
 
-// An urgent job comes between two plans; another one does not hurry.
+// An urgent job that is submitted between two plans is handled at once. Other jobs
+// wait for the next plan.
 func TestUrgentJobsDoNotWaitForAPlan(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		priority int
 		expected int
 	}{
-		{"an urgent job asks and starts at once", 0, 1},
-		{"another waits for the next plan", 1, 0},
+		{"an urgent job requests advice and is placed at once", 0, 1},
+		{"another job waits for the next plan", 1, 0},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Unix(1_700_000_000, 0)
-			s := askingScheduler(now, 1)
+			s := newAdvisedScheduler(now, 1)
 			s.SetTable(&queue.Table{Version: 2, Queues: []queue.Queue{
 				{Name: "sort", Service: "desk", Priority: sc.priority, Stretch: 2, Objective: time.Second, Advice: &queue.AdviceCost{Fixed: 20 * time.Millisecond, Validity: 2 * time.Second}},
 			}})
 			s.Plan(now)
 			s.Submit(&work.Job{ID: "job", Queue: "sort", Accepted: now, Steps: []work.Step{{Count: 1, Size: taskSize, Estimate: time.Second}}}, now)
-			is.Equal(answerAsks(s, now.Add(20*time.Millisecond)) > 0, sc.expected > 0)
+			is.Equal(approveAllRequests(s, now.Add(20*time.Millisecond)) > 0, sc.expected > 0)
 			records := 0
 			if c := s.NextCommit(now.Add(20 * time.Millisecond)); c != nil {
 				records = len(c.Records)
--- a/internal/cell/scheduler/bench_test.go
+++ b/internal/cell/scheduler/bench_test.go
@@ -12,36 +12,37 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// BenchmarkPlan plans with all workers full and many jobs waiting.
+// BenchmarkPlan measures a plan while all workers are full and many jobs wait.
 func BenchmarkPlan(b *testing.B) {
 	for _, workers := range []int{50, 350, 1100, 3000} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
-			w := newWorld(1, faults{})
-			w.addWorkers(workers, workerSize)
-			l := w.elect()
+			sm := newSimulation(1, faults{})
+			sm.addWorkers(workers, workerSize)
+			l := sm.electLeader()
 			for i := range workers * 2 {
 				j := &work.Job{ID: fmt.Sprintf("job-%d", i), Queue: "advised", Steps: []work.Step{{Count: 6, Size: taskSize, Estimate: time.Second}}}
-				w.submit(j, fleet.Demand{RunTime: time.Hour})
+				sm.submit(j, fleet.Demand{RunTime: time.Hour})
 			}
-			w.run(time.Second)
+			sm.runFor(time.Second)
 			b.ReportAllocs()
 			for b.Loop() {
-				l.state.Plan(w.now)
+				l.scheduler.Plan(sm.now)
 			}
 		})
 	}
 }
 
-// kindOfWork is a kind of job of a large fleet, with its rate.
-type kindOfWork struct {
+// workloadEntry is a queue of a large fleet with the shape and the rate of its
+// jobs.
+type workloadEntry struct {
 	queue     queue.Queue
 	perSecond float64
 	step      work.Step
 }
 
-// mixOfKinds is the load of a large fleet with two services, all of whose queues need
+// workload is the load of a large fleet with two services. All its queues need
 // advice.
-var mixOfKinds = []kindOfWork{
+var workload = []workloadEntry{
 	{queue.Queue{Name: "sort", Service: "desk", Priority: 0, MaxAttempts: 3, Stretch: 1.5, Objective: 250 * time.Millisecond, Advice: &queue.AdviceCost{Fixed: 27 * time.Millisecond, PerWorker: 390 * time.Microsecond, Validity: 2 * time.Second}},
 		54.6, work.Step{Count: 19, Size: resource.Vector{Milliprocessors: 17000, MemoryMebibytes: 31000}, Estimate: 700 * time.Millisecond, MostPerWorker: 2}},
 	{queue.Queue{Name: "draft", Service: "desk", Priority: 2, MaxAttempts: 4, Stretch: 4, Objective: 3 * time.Second, Advice: &queue.AdviceCost{Fixed: 182 * time.Millisecond, PerWorker: 2600 * time.Microsecond, Validity: 2 * time.Second}},
@@ -52,16 +53,17 @@
 		8, work.Step{Count: 32, Size: resource.Vector{Milliprocessors: 11000, MemoryMebibytes: 46000, Accelerators: 1}, Estimate: 3 * time.Second, MostPerWorker: 3}},
 }
 
-// largeWorld is a cell with 1,100 workers of two services and 147 entry VMs.
-func largeWorld() *world {
-	w := newWorld(1, faults{})
-	w.table = &queue.Table{Version: 1}
-	for i := range mixOfKinds {
-		w.table.Queues = append(w.table.Queues, mixOfKinds[i].queue)
+// newLargeSimulation returns a cell with 1,100 workers of two services and 147
+// entry VMs.
+func newLargeSimulation() *simulation {
+	sm := newSimulation(1, faults{})
+	sm.table = &queue.Table{Version: 1}
+	for i := range workload {
+		sm.table.Queues = append(sm.table.Queues, workload[i].queue)
 	}
-	w.advisers, w.slowAdvice = nil, true
+	sm.adviceVMs, sm.useQueueAdviceTimes = nil, true
 	for i := range 147 {
-		w.advisers = append(w.advisers, fmt.Sprintf("vm-%d", i))
+		sm.adviceVMs = append(sm.adviceVMs, fmt.Sprintf("vm-%d", i))
 	}
 	for i := range 1100 {
 		r := backend.Registration{
@@ -71,52 +73,53 @@
 		if i%25 >= 18 {
 			r.Service, r.Capacity = "bench", resource.Vector{Milliprocessors: 128000, MemoryMebibytes: 524288, Accelerators: 8}
 		}
-		w.addWorker(r)
+		sm.addWorker(r)
 	}
-	return w
+	return sm
 }
 
-// submitMix submits what comes in a time.
-func (w *world) submitMix(d time.Duration) {
-	for i := range mixOfKinds {
-		k := &mixOfKinds[i]
+// submitWorkload submits the jobs that arrive within a duration.
+func (sm *simulation) submitWorkload(d time.Duration) {
+	for i := range workload {
+		k := &workload[i]
 		for n := range int(k.perSecond * d.Seconds()) {
-			j := &work.Job{ID: fmt.Sprintf("%s-%d-%d", k.queue.Name, w.number, n), Queue: k.queue.Name, Steps: []work.Step{k.step}}
-			w.submit(j, fleet.Demand{RunTime: k.step.Estimate})
+			j := &work.Job{ID: fmt.Sprintf("%s-%d-%d", k.queue.Name, sm.lastSequence, n), Queue: k.queue.Name, Steps: []work.Step{k.step}}
+			sm.submit(j, fleet.Demand{RunTime: k.step.Estimate})
 		}
 	}
 }
 
-// BenchmarkBacklog plans with jobs waiting at a large fleet.
+// BenchmarkBacklog measures a plan for a large fleet with a backlog of jobs.
 func BenchmarkBacklog(b *testing.B) {
 	for _, backlog := range []time.Duration{10 * time.Second, 50 * time.Second} {
 		b.Run(fmt.Sprintf("of=%s", backlog), func(b *testing.B) {
-			w := largeWorld()
-			l := w.elect()
-			w.submitMix(backlog)
-			w.run(3 * time.Second)
+			sm := newLargeSimulation()
+			l := sm.electLeader()
+			sm.submitWorkload(backlog)
+			sm.runFor(3 * time.Second)
 			b.ReportAllocs()
 			for b.Loop() {
-				l.state.Plan(w.now)
-				l.state.Take()
+				l.scheduler.Plan(sm.now)
+				l.scheduler.Take()
 			}
 		})
 	}
 }
 
-// BenchmarkHandIn hands urgent jobs in while others wait at a large fleet.
+// BenchmarkHandIn measures the submission of an urgent job to a large fleet while
+// others wait.
 func BenchmarkHandIn(b *testing.B) {
-	w := largeWorld()
-	l := w.elect()
-	w.submitMix(10 * time.Second)
-	w.run(3 * time.Second)
+	sm := newLargeSimulation()
+	l := sm.electLeader()
+	sm.submitWorkload(10 * time.Second)
+	sm.runFor(3 * time.Second)
 	b.ReportAllocs()
 	n := 0
 	for b.Loop() {
 		n++
-		l.state.Submit(&work.Job{ID: fmt.Sprintf("urgent-%d", n), Queue: "sort", Accepted: w.now, Steps: []work.Step{mixOfKinds[0].step}}, w.now)
-		for _, a := range l.state.Take().Asks {
-			l.state.AdviceAnswered(a.Number, backend.Advice{}, false, w.now)
+		l.scheduler.Submit(&work.Job{ID: fmt.Sprintf("urgent-%d", n), Queue: "sort", Accepted: sm.now, Steps: []work.Step{workload[0].step}}, sm.now)
+		for _, a := range l.scheduler.Take().Asks {
+			l.scheduler.AdviceAnswered(a.Number, backend.Advice{}, false, sm.now)
 		}
 	}
 }
--- a/internal/cell/scheduler/commit.go
+++ b/internal/cell/scheduler/commit.go
@@ -13,11 +13,17 @@
 // Commit is a set of progress records to store in one append, with the changes that
 // become effective when it is stored.
 type Commit struct {
+	// Records are the records to store. They may be empty if ends were handled that
+	// change no job.
 	Records   []store.Record
 	startedAt time.Time
-	tasks     []*task
-	ends      map[*worker]int64
-	states    map[*job]work.State
+	// tasks are the tasks whose placements are in the records.
+	tasks []*task
+	// ends maps a worker to the number of its last end whose effect is in the
+	// records.
+	ends map[*worker]int64
+	// states maps a job to its state in the records.
+	states map[*job]work.State
 }
 
 // NextCommit returns the progress to store next, or nil if nothing has changed. The
--- a/internal/cell/scheduler/commit_test.go
+++ b/internal/cell/scheduler/commit_test.go
@@ -14,8 +14,9 @@
 	"github.com/almondpost/almondpost/internal/peer/backend"
 )
 
-// heldWorkers adds workers of some services in turn that have answered a hold.
-func heldWorkers(s *scheduler.Scheduler, n int, now time.Time, services ...string) []backend.Registration {
+// addHeldWorkers adds n workers, distributed over the services in turn, each of
+// which has answered a hold.
+func addHeldWorkers(s *scheduler.Scheduler, n int, now time.Time, services ...string) []backend.Registration {
 	var list []backend.Registration
 	for i := range n {
 		list = append(list, backend.Registration{Life: backend.Life{ID: fmt.Sprintf("worker-%d", i), Born: 1}, Service: services[i%len(services)], Capacity: workerSize})
@@ -28,14 +29,14 @@
 	return list
 }
 
-// A worker restarts while the record of a start there is on its way to the store; the
-// task gets another place, whose record is not.
+// A worker restarts while the placement of a task on it is being stored. The task
+// is placed again, and must not start on the strength of the first record.
 func TestStartWaitsForItsOwnRecord(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
 	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, Right: 8 * time.Second, HoldWait: time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
 	s.SetTable(&queue.Table{Version: 1, Queues: []queue.Queue{{Name: "urgent", Service: "desk", MaxAttempts: 3, Stretch: 2, Objective: time.Second}}})
-	list := heldWorkers(s, 2, now, "desk")
+	list := addHeldWorkers(s, 2, now, "desk")
 	s.Submit(&work.Job{ID: "job", Queue: "urgent", Accepted: now, Steps: []work.Step{{Count: 1, Size: taskSize, Estimate: time.Second}}}, now)
 	s.Plan(now)
 	first := s.NextCommit(now)
@@ -52,7 +53,7 @@
 	s.SetWorkers(list, now)
 	s.Plan(now)
 	s.Committed(first, now)
-	is.Equal(len(s.Take().Starts), 0) // The record of the second place is not stored.
+	is.Equal(len(s.Take().Starts), 0) // The record of the second placement is not stored.
 
 	second := s.NextCommit(now)
 	is.True(second != nil)
--- a/internal/cell/scheduler/dispatch.go
+++ b/internal/cell/scheduler/dispatch.go
@@ -215,11 +215,11 @@
 // approvedPerRequest is the expected number of approved workers in a full request.
 const approvedPerRequest = 12
 
-// unrequestedWorkers returns workers that no request of a step has named yet, at
-// most as many as fit into one request: first those in the rack of the step's data,
-// then those with room that no request in flight names, then those with room, then
-// the rest. Within each group the least used come first. For small tasks, the most
-// used come first while a large step waits.
+// unrequestedWorkers returns workers for which a step has neither an answer nor a
+// request in flight, at most as many as fit into one request: first those in the
+// rack of the step's data, then those with room that no request of any step names,
+// then those with room, then the rest. Within each group the least used come first.
+// For small tasks, the most used come first while a large step waits.
 //
 // When many jobs come at once, requests of all of them about the same few workers
 // would bring tickets for room that the first of the jobs takes. Small tasks on the
--- a/internal/cell/scheduler/health_test.go
+++ b/internal/cell/scheduler/health_test.go
@@ -13,24 +13,25 @@
 	"github.com/almondpost/almondpost/internal/peer/backend"
 )
 
-// A worker turns slow while its reports are good; new tasks go to another one.
+// A worker becomes slow but still reports on time. New tasks must go to another
+// worker.
 func TestSlowWorkersAreAvoided(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		percent  int
-		other    bool
+		avoided  bool
 	}{
 		{"at the usual speed", 80, false},
 		{"three times slower", 26, true},
 		{"standing still", 0, true},
 	}
-	for _, v := range scenarios {
-		t.Run(v.testName, func(t *testing.T) {
+	for _, sc := range scenarios {
+		t.Run(sc.testName, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Unix(1_700_000_000, 0)
-			began := now
+			start := now
 			s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, Right: 8 * time.Second, HoldWait: time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
-			s.SetTable(newWorld(1, faults{}).table)
+			s.SetTable(newSimulation(1, faults{}).table)
 			var list []backend.Registration
 			for i := range 2 {
 				list = append(list, backend.Registration{Life: backend.Life{ID: fmt.Sprintf("worker-%d", i), Born: 1}, Service: "desk", Capacity: workerSize})
@@ -40,7 +41,7 @@
 			hold := func() {
 				for _, r := range list {
 					_, sent, _ := s.HoldRequest(r.Life, now)
-					s.HoldAnswered(r.Life, sent, &backend.Report{Life: r.Life, Clock: time.Second + now.Sub(began), Running: running[r.Life]}, now)
+					s.HoldAnswered(r.Life, sent, &backend.Report{Life: r.Life, Clock: time.Second + now.Sub(start), Running: running[r.Life]}, now)
 				}
 			}
 			place := func(id string, count int) []scheduler.Order[backend.Start] {
@@ -54,13 +55,13 @@
 			is.Equal(first[0].Worker, first[1].Worker) // The fuller worker is preferred.
 			for _, o := range first {
 				s.StartAnswered(o.Worker, &o.Order, "", 0, now)
-				running[o.Worker] = append(running[o.Worker], backend.Run{Task: o.Order.Task, Run: 1, Percent: v.percent})
+				running[o.Worker] = append(running[o.Worker], backend.Run{Task: o.Order.Task, Run: 1, Percent: sc.percent})
 			}
 			now = now.Add(800 * time.Millisecond)
 			hold()
 			second := place("second", 1)
 			is.Equal(len(second), 1)
-			is.Equal(second[0].Worker != first[0].Worker, v.other)
+			is.Equal(second[0].Worker != first[0].Worker, sc.avoided)
 		})
 	}
 }
--- a/internal/cell/scheduler/hold.go
+++ b/internal/cell/scheduler/hold.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// fencedTokenStep is added to a token that a worker has fenced. It is larger than
-// the number of tokens that this leader may have used for the worker in an earlier
+// fencedTokenStep is added to the token after a worker has refused it as too low. It
+// skips the tokens that this leader may have used for the worker in an earlier
 // session.
 const fencedTokenStep = 64
 
--- a/internal/cell/scheduler/job.go
+++ b/internal/cell/scheduler/job.go
@@ -27,11 +27,11 @@
 	// nextOccurrence is the number of the next occurrence to open.
 	nextOccurrence int
 	// waitingTasks counts the tasks of open steps that wait for a worker;
-	// tasksOnWorkers counts those that take room on one. declaredPaths holds, for
-	// each step, the declared run time of the longest dependency path that ends with
-	// it.
+	// tasksOnWorkers counts those that take room on one.
 	waitingTasks, tasksOnWorkers int
-	declaredPaths                []time.Duration
+	// declaredPaths holds, for each step, the declared run time of the longest
+	// dependency path that ends with it.
+	declaredPaths []time.Duration
 }
 
 // occurrence is one execution of all steps of a job. Only a repeated job has
--- a/internal/cell/scheduler/lease.go
+++ b/internal/cell/scheduler/lease.go
@@ -95,7 +95,8 @@
 	}
 }
 
-// lapseRuns requeues all tasks on a worker whose lease has ended.
+// lapseRuns requeues all tasks on a worker whose runs have ended without a report,
+// because its lease has ended or its life is over.
 func (s *Scheduler) lapseRuns(w *worker, now time.Time) {
 	w.removeOrphans()
 	for _, t := range w.sortedTasks() {
--- a/internal/cell/scheduler/plan.go
+++ b/internal/cell/scheduler/plan.go
@@ -54,15 +54,15 @@
 	if p := s.timelinessOf(j, q, s.allowance(j, q), now); p == overdue || p == tooLate {
 		return
 	}
-	asks := false
+	needsAdvice := false
 	for _, o := range j.occurrences {
 		for _, st := range o.steps {
 			s.planStep(st, q, s.reservations, now)
-			_, wants := s.dispatcher.pending[st]
-			asks = asks || wants
+			_, pending := s.dispatcher.pending[st]
+			needsAdvice = needsAdvice || pending
 		}
 	}
-	if asks {
+	if needsAdvice {
 		s.dispatchRequests([]*job{j}, now)
 	}
 }
--- a/internal/cell/scheduler/runs.go
+++ b/internal/cell/scheduler/runs.go
@@ -195,7 +195,8 @@
 	}
 }
 
-// stopGang stops the members of a task's gang, because the task does not run.
+// stopGang stops the other members of a gang when one of its tasks does not run any
+// more.
 func (s *Scheduler) stopGang(t *task, now time.Time) {
 	if !t.step.spec.Gang {
 		return
--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -1,7 +1,7 @@
-// Package scheduler decides where and when the tasks of one cell run. It is a
-// deterministic state machine: its methods receive events and the current time, and
-// Take returns the orders and other effects to carry out. It does no I/O and starts
-// no goroutines; the caller serializes the calls.
+// Package scheduler decides where and when the tasks of one cell run. It is a state
+// machine: its methods receive events and the current time, and Take returns the
+// orders and other effects to carry out. It does no I/O and starts no goroutines;
+// the caller serializes the calls.
 //
 // A run is one attempt at a task. A life is one process lifetime of a worker: a
 // restart begins a new one, in which none of the earlier runs exist. A hold is a
--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -21,24 +21,24 @@
 	taskSize   = resource.Vector{Milliprocessors: 2500, MemoryMebibytes: 1000}
 )
 
-// jobs returns jobs of several shapes.
-func (w *world) addJobs(n int) {
+// addJobs submits n jobs of random shapes within five seconds.
+func (sm *simulation) addJobs(n int) {
 	for i := range n {
 		j := &work.Job{ID: fmt.Sprintf("job-%d", i), Queue: "urgent", Steps: []work.Step{
-			{Count: 1 + w.random.IntN(4), Size: taskSize, Estimate: 700 * time.Millisecond},
+			{Count: 1 + sm.random.IntN(4), Size: taskSize, Estimate: 700 * time.Millisecond},
 		}}
-		if w.chance(0.5) {
+		if sm.withProbability(0.5) {
 			j.Steps = append(j.Steps, work.Step{Count: 2, Size: taskSize, Estimate: 500 * time.Millisecond, After: []int{0}})
 		}
-		if w.chance(0.3) {
+		if sm.withProbability(0.3) {
 			j.Queue = "advised"
 		}
-		if w.chance(0.2) {
+		if sm.withProbability(0.2) {
 			j.Steps[0].MostPerWorker = 1
 		}
-		j.Steps[0].Speculative = w.chance(0.4)
-		demand := fleet.Demand{RunTime: w.between(100*time.Millisecond, 3*time.Second)}
-		w.after(w.between(0, 5*time.Second), func() { w.submit(j, demand) })
+		j.Steps[0].Speculative = sm.withProbability(0.4)
+		demand := fleet.Demand{RunTime: sm.randomDuration(100*time.Millisecond, 3*time.Second)}
+		sm.schedule(sm.randomDuration(0, 5*time.Second), func() { sm.submit(j, demand) })
 	}
 }
 
@@ -46,48 +46,48 @@
 	scenarios := []struct {
 		testName string
 		faults   faults
-		prepare  func(w *world)
+		prepare  func(sm *simulation)
 	}{
-		{"calm", faults{}, func(*world) {}},
-		{"answers are lost and orders carried out late", faults{lost: 0.1, late: 0.05}, func(*world) {}},
-		{"the leader freezes and its successor takes over", faults{late: 0.03}, func(w *world) {
+		{"no faults", faults{}, func(*simulation) {}},
+		{"answers are lost and orders are executed late", faults{lostAnswer: 0.1, lateOrder: 0.05}, func(*simulation) {}},
+		{"the leader freezes and its successor takes over", faults{lateOrder: 0.03}, func(sm *simulation) {
 			for i := range 3 {
-				w.after(time.Duration(i+1)*2*time.Second, func() {
-					old := w.leaders[len(w.leaders)-1]
+				sm.schedule(time.Duration(i+1)*2*time.Second, func() {
+					old := sm.leaders[len(sm.leaders)-1]
 					old.frozen = true
-					w.after(w.between(100*time.Millisecond, 5*time.Second), func() { old.frozen = false })
-					w.after(w.between(0, 2*time.Second), func() { w.elect() })
+					sm.schedule(sm.randomDuration(100*time.Millisecond, 5*time.Second), func() { old.frozen = false })
+					sm.schedule(sm.randomDuration(0, 2*time.Second), func() { sm.electLeader() })
 				})
 			}
 		}},
-		{"workers are cut off and run on", faults{}, func(w *world) {
-			w.after(2*time.Second, func() {
-				for _, life := range w.lives() {
-					if w.chance(0.5) {
-						w.cut[life] = true
+		{"workers are unreachable but keep running", faults{}, func(sm *simulation) {
+			sm.schedule(2*time.Second, func() {
+				for _, life := range sm.sortedLives() {
+					if sm.withProbability(0.5) {
+						sm.unreachable[life] = true
 					}
 				}
-				w.after(w.between(time.Second, 9*time.Second), func() { clear(w.cut) })
+				sm.schedule(sm.randomDuration(time.Second, 9*time.Second), func() { clear(sm.unreachable) })
 			})
 		}},
-		{"workers restart under their old name", faults{lost: 0.05}, func(w *world) {
+		{"workers restart under the same ID", faults{lostAnswer: 0.05}, func(sm *simulation) {
 			for i := range 3 {
-				w.after(time.Duration(i+1)*time.Second, func() {
-					for _, life := range w.lives() {
-						if w.chance(0.3) {
-							w.restart(life)
+				sm.schedule(time.Duration(i+1)*time.Second, func() {
+					for _, life := range sm.sortedLives() {
+						if sm.withProbability(0.3) {
+							sm.restartWorker(life)
 						}
 					}
 				})
 			}
 		}},
-		{"a cut zone and a new leader", faults{lost: 0.02, late: 0.02}, func(w *world) {
-			w.after(2*time.Second, func() {
-				for _, life := range w.lives() {
-					w.cut[life] = w.workers[life].Registration.Zone == "zone-1"
+		{"a zone is unreachable and a new leader takes over", faults{lostAnswer: 0.02, lateOrder: 0.02}, func(sm *simulation) {
+			sm.schedule(2*time.Second, func() {
+				for _, life := range sm.sortedLives() {
+					sm.unreachable[life] = sm.workers[life].Registration.Zone == "zone-1"
 				}
-				w.after(500*time.Millisecond, func() { w.elect() })
-				w.after(w.between(time.Second, 8*time.Second), func() { clear(w.cut) })
+				sm.schedule(500*time.Millisecond, func() { sm.electLeader() })
+				sm.schedule(sm.randomDuration(time.Second, 8*time.Second), func() { clear(sm.unreachable) })
 			})
 		}},
 	}
@@ -95,22 +95,22 @@
 		t.Run(s.testName, func(t *testing.T) {
 			rapid.Check(t, func(rt *rapid.T) {
 				seed := rapid.Uint64().Draw(rt, "seed")
-				w := newWorld(seed, s.faults)
-				w.addWorkers(6, workerSize)
-				w.elect()
-				w.addJobs(12)
-				s.prepare(w)
-				w.run(20 * time.Second)
-				w.faults = faults{}
-				clear(w.cut)
-				w.run(40 * time.Second)
-				for _, p := range w.problems {
+				sm := newSimulation(seed, s.faults)
+				sm.addWorkers(6, workerSize)
+				sm.electLeader()
+				sm.addJobs(12)
+				s.prepare(sm)
+				sm.runFor(20 * time.Second)
+				sm.faults = faults{}
+				clear(sm.unreachable)
+				sm.runFor(40 * time.Second)
+				for _, p := range sm.violations {
 					rt.Errorf("%s", p)
 				}
-				last := w.leaders[len(w.leaders)-1]
-				for _, j := range w.jobs {
-					if state, _ := last.state.Status(j.ID, false); state != work.Completed {
-						rt.Errorf("job %s is %s", j.ID, state)
+				last := sm.leaders[len(sm.leaders)-1]
+				for _, j := range sm.jobs {
+					if state, _ := last.scheduler.Status(j.ID, false); state != work.Completed {
+						rt.Errorf("job %s did not complete: it is %s", j.ID, state)
 					}
 				}
 			})
@@ -120,127 +120,133 @@
 
 func TestCancelStopsWhatRuns(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, faults{})
-	w.addWorkers(2, workerSize)
-	w.elect()
-	w.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 4, Size: taskSize}}}, fleet.Demand{RunTime: time.Minute})
-	w.run(time.Second)
-	is.Equal(w.starts, 4)
-	w.cancel("job")
-	w.run(time.Second)
-	for _, v := range w.workers {
+	sm := newSimulation(1, faults{})
+	sm.addWorkers(2, workerSize)
+	sm.electLeader()
+	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 4, Size: taskSize}}}, fleet.Demand{RunTime: time.Minute})
+	sm.runFor(time.Second)
+	is.Equal(sm.startCount, 4)
+	sm.cancel("job")
+	sm.runFor(time.Second)
+	for _, v := range sm.workers {
 		is.Equal(len(v.Running()), 0)
 	}
-	state, _ := w.leaders[0].state.Status("job", false)
+	state, _ := sm.leaders[0].scheduler.Status("job", false)
 	is.Equal(state, work.Cancelled)
 }
 
 func TestJobFailsAfterItsAttempts(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, faults{})
-	w.addWorkers(3, workerSize)
-	w.elect()
-	w.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.Demand{RunTime: 10 * time.Millisecond, Fails: true})
-	w.run(20 * time.Second)
-	is.Equal(w.starts, 4)
-	state, _ := w.leaders[0].state.Status("job", false)
+	sm := newSimulation(1, faults{})
+	sm.addWorkers(3, workerSize)
+	sm.electLeader()
+	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.Demand{RunTime: 10 * time.Millisecond, Fails: true})
+	sm.runFor(20 * time.Second)
+	is.Equal(sm.startCount, 4)
+	state, _ := sm.leaders[0].scheduler.Status("job", false)
 	is.Equal(state, work.Failed)
 }
 
+// A run fails on an unreachable worker and is reported after the task was placed again. It
+// counts against the attempts of the job.
 func TestFailureReportedLateCounts(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, faults{})
-	w.addWorkers(3, workerSize)
-	w.elect()
-	w.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.Demand{RunTime: 600 * time.Millisecond, Fails: true})
-	w.run(500 * time.Millisecond)
-	for _, life := range w.lives() {
-		w.cut[life] = len(w.workers[life].Running()) > 0
+	sm := newSimulation(1, faults{})
+	sm.addWorkers(3, workerSize)
+	sm.electLeader()
+	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.Demand{RunTime: 600 * time.Millisecond, Fails: true})
+	sm.runFor(500 * time.Millisecond)
+	for _, life := range sm.sortedLives() {
+		sm.unreachable[life] = len(sm.workers[life].Running()) > 0
 	}
-	w.run(6600 * time.Millisecond) // The first run has failed unseen, the second has started.
-	is.Equal(w.starts, 2)
-	clear(w.cut)
-	w.run(20 * time.Second)
-	is.Equal(w.starts, 4)
-	state, _ := w.leaders[0].state.Status("job", false)
+	sm.runFor(6600 * time.Millisecond) // The leader has not seen the first run fail, and has started a second one.
+	is.Equal(sm.startCount, 2)
+	clear(sm.unreachable)
+	sm.runFor(20 * time.Second)
+	is.Equal(sm.startCount, 4)
+	state, _ := sm.leaders[0].scheduler.Status("job", false)
 	is.Equal(state, work.Failed)
 }
 
+// A lasting task starts again when its worker has restarted.
 func TestLastingTaskReturns(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, faults{})
-	w.addWorkers(2, workerSize)
-	w.elect()
-	w.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 2, Size: taskSize, Lasting: true}}}, fleet.Demand{})
-	w.run(time.Second)
-	is.Equal(w.starts, 2)
-	for _, life := range w.lives() {
-		w.restart(life)
+	sm := newSimulation(1, faults{})
+	sm.addWorkers(2, workerSize)
+	sm.electLeader()
+	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 2, Size: taskSize, Lasting: true}}}, fleet.Demand{})
+	sm.runFor(time.Second)
+	is.Equal(sm.startCount, 2)
+	for _, life := range sm.sortedLives() {
+		sm.restartWorker(life)
 	}
-	w.run(2 * time.Second)
-	is.Equal(w.starts, 4)
+	sm.runFor(2 * time.Second)
+	is.Equal(sm.startCount, 4)
 }
 
 func TestDrainingWorkerGetsNothing(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, faults{})
-	w.addWorkers(1, workerSize)
-	w.elect()
-	for life, v := range w.workers {
+	sm := newSimulation(1, faults{})
+	sm.addWorkers(1, workerSize)
+	sm.electLeader()
+	for life, v := range sm.workers {
 		is.Equal(life, v.Registration.Life)
 		v.Registration.Draining = true
 	}
-	w.run(time.Second)
-	w.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.Demand{RunTime: time.Second})
-	w.run(time.Second)
-	is.Equal(w.starts, 0)
+	sm.runFor(time.Second)
+	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.Demand{RunTime: time.Second})
+	sm.runFor(time.Second)
+	is.Equal(sm.startCount, 0)
 }
 
 func TestUnknownJob(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, faults{})
-	l := w.elect()
-	_, known := l.state.Status("nobody", false)
+	sm := newSimulation(1, faults{})
+	l := sm.electLeader()
+	_, known := l.scheduler.Status("nobody", false)
 	is.True(!known)
-	l.state.Cancel("nobody", w.now)
-	l.state.HoldFailed(backend.Life{ID: "nobody"}, backend.KindUnknown, w.now)
+	l.scheduler.Cancel("nobody", sm.now)
+	l.scheduler.HoldFailed(backend.Life{ID: "nobody"}, backend.KindUnknown, sm.now)
 }
 
-func TestCopiedTaskKeepsItsRoom(t *testing.T) { copiedTaskKeepsItsRoom(t, 5*time.Second, false) }
+func TestCopiedTaskKeepsItsRoom(t *testing.T) { testCopiedTaskKeepsItsRoom(t, 5*time.Second, false) }
 
-// The next leader does not know the copies that were given up, which still run.
+// The next leader does not know of the first copies, which still run on the
+// unreachable worker.
 func TestCopiedTaskKeepsItsRoomForTheNextLeader(t *testing.T) {
-	copiedTaskKeepsItsRoom(t, 8*time.Second, true)
+	testCopiedTaskKeepsItsRoom(t, 8*time.Second, true)
 }
 
-// copiedTaskKeepsItsRoom cuts a worker off until its tasks have copies; another leader
-// may take over then.
-func copiedTaskKeepsItsRoom(t *testing.T, runTime time.Duration, nextLeader bool) {
+// testCopiedTaskKeepsItsRoom makes a worker unreachable until its speculative tasks
+// have second copies. The worker must not get more tasks than it has room for when
+// it answers again, also if a new leader has taken over.
+func testCopiedTaskKeepsItsRoom(t *testing.T, runTime time.Duration, nextLeader bool) {
 	is := is.New(t)
-	w := newWorld(1, faults{})
-	w.addWorkers(3, workerSize)
-	leader := w.elect()
-	w.submit(&work.Job{ID: "first", Queue: "urgent", Steps: []work.Step{{Count: 6, Size: taskSize, Speculative: true}}}, fleet.Demand{RunTime: runTime})
-	w.run(500 * time.Millisecond)
-	is.Equal(w.starts, 6)
-	lives := w.lives()
-	w.cut[lives[0]] = true
-	w.run(2500 * time.Millisecond)
-	is.Equal(w.starts, 9) // The three tasks there have copies.
+	sm := newSimulation(1, faults{})
+	sm.addWorkers(3, workerSize)
+	leader := sm.electLeader()
+	sm.submit(&work.Job{ID: "first", Queue: "urgent", Steps: []work.Step{{Count: 6, Size: taskSize, Speculative: true}}}, fleet.Demand{RunTime: runTime})
+	sm.runFor(500 * time.Millisecond)
+	is.Equal(sm.startCount, 6)
+	lives := sm.sortedLives()
+	sm.unreachable[lives[0]] = true
+	sm.runFor(2500 * time.Millisecond)
+	is.Equal(sm.startCount, 9) // The three tasks on the unreachable worker have second copies.
 	if nextLeader {
-		leader = w.elect()
+		leader = sm.electLeader()
 	}
-	w.submit(&work.Job{ID: "second", Queue: "urgent", Steps: []work.Step{{Count: 3, Size: taskSize}}}, fleet.Demand{RunTime: 5 * time.Second})
-	w.run(500 * time.Millisecond)
-	clear(w.cut)
-	w.run(30 * time.Second)
-	is.Equal(w.problems, nil)
+	sm.submit(&work.Job{ID: "second", Queue: "urgent", Steps: []work.Step{{Count: 3, Size: taskSize}}}, fleet.Demand{RunTime: 5 * time.Second})
+	sm.runFor(500 * time.Millisecond)
+	clear(sm.unreachable)
+	sm.runFor(30 * time.Second)
+	is.Equal(sm.violations, nil)
 	for _, id := range []string{"first", "second"} {
-		state, _ := leader.state.Status(id, false)
+		state, _ := leader.scheduler.Status(id, false)
 		is.Equal(state, work.Completed)
 	}
 }
 
+// A step that can never start must not reserve workers, or all other tasks wait forever.
 func TestImpossibleTasksKeepNothing(t *testing.T) {
 	whole := resource.Vector{Milliprocessors: 8000, MemoryMebibytes: 8000}
 	scenarios := []struct {
@@ -255,14 +261,14 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(1, faults{})
-			w.addWorkers(2, workerSize)
-			w.elect()
-			w.submit(&work.Job{ID: "first", Queue: "urgent", Steps: []work.Step{s.step}}, fleet.Demand{RunTime: time.Hour})
-			w.run(500 * time.Millisecond)
-			w.submit(&work.Job{ID: "second", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize, Estimate: 30 * time.Second}}}, fleet.Demand{RunTime: 100 * time.Millisecond})
-			w.run(2 * time.Second)
-			state, _ := w.leaders[0].state.Status("second", false)
+			sm := newSimulation(1, faults{})
+			sm.addWorkers(2, workerSize)
+			sm.electLeader()
+			sm.submit(&work.Job{ID: "first", Queue: "urgent", Steps: []work.Step{s.step}}, fleet.Demand{RunTime: time.Hour})
+			sm.runFor(500 * time.Millisecond)
+			sm.submit(&work.Job{ID: "second", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize, Estimate: 30 * time.Second}}}, fleet.Demand{RunTime: 100 * time.Millisecond})
+			sm.runFor(2 * time.Second)
+			state, _ := sm.leaders[0].scheduler.Status("second", false)
 			is.Equal(state, work.Completed)
 		})
 	}
@@ -270,133 +276,137 @@
 
 func TestTasksOfADeadWorkerRunElsewhere(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, faults{})
-	w.addWorkers(2, workerSize)
-	w.elect()
-	w.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 6, Size: taskSize}}}, fleet.Demand{RunTime: time.Second})
-	w.run(500 * time.Millisecond)
-	w.cut[w.lives()[0]] = true // It is registered, and never answers again.
-	w.run(10 * time.Second)
-	state, _ := w.leaders[0].state.Status("job", false)
+	sm := newSimulation(1, faults{})
+	sm.addWorkers(2, workerSize)
+	sm.electLeader()
+	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 6, Size: taskSize}}}, fleet.Demand{RunTime: time.Second})
+	sm.runFor(500 * time.Millisecond)
+	sm.unreachable[sm.sortedLives()[0]] = true // The worker stays registered but never answers again.
+	sm.runFor(10 * time.Second)
+	state, _ := sm.leaders[0].scheduler.Status("job", false)
 	is.Equal(state, work.Completed)
-	is.Equal(w.starts, 9)
+	is.Equal(sm.startCount, 9)
 }
 
 func TestCheckpointedTaskLeavesADrainingWorker(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, faults{})
-	w.addWorkers(1, workerSize)
-	w.elect()
-	w.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize, Checkpoints: true}}}, fleet.Demand{RunTime: time.Hour})
-	w.run(500 * time.Millisecond)
-	v := w.workers[w.lives()[0]]
+	sm := newSimulation(1, faults{})
+	sm.addWorkers(1, workerSize)
+	sm.electLeader()
+	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize, Checkpoints: true}}}, fleet.Demand{RunTime: time.Hour})
+	sm.runFor(500 * time.Millisecond)
+	v := sm.workers[sm.sortedLives()[0]]
 	v.Registration.Draining, v.Registration.Remaining = true, 3*time.Second
-	w.run(1500 * time.Millisecond)
-	is.Equal(len(v.Running()), 1) // It works on while there is time.
-	w.run(1500 * time.Millisecond)
+	sm.runFor(1500 * time.Millisecond)
+	is.Equal(len(v.Running()), 1) // The task keeps running while there is time left.
+	sm.runFor(1500 * time.Millisecond)
 	is.Equal(len(v.Running()), 0)
 }
 
 func TestOccurrencesStartWhenDue(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, faults{})
-	w.addWorkers(2, workerSize)
-	w.elect()
+	sm := newSimulation(1, faults{})
+	sm.addWorkers(2, workerSize)
+	sm.electLeader()
 	j := &work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}
-	j.Repeat = &work.Repeat{Count: 3, Start: w.now.Add(2 * time.Second), Interval: time.Second}
-	w.submit(j, fleet.Demand{})
+	j.Repeat = &work.Repeat{Count: 3, Start: sm.now.Add(2 * time.Second), Interval: time.Second}
+	sm.submit(j, fleet.Demand{})
 	for k := range 3 {
-		w.demands[work.TaskID{StepID: work.StepID{Job: "job", Occurrence: k}}] = fleet.Demand{Room: taskSize, RunTime: 100 * time.Millisecond}
+		sm.demands[work.TaskID{StepID: work.StepID{Job: "job", Occurrence: k}}] = fleet.Demand{Room: taskSize, RunTime: 100 * time.Millisecond}
 	}
-	w.run(1990 * time.Millisecond)
-	is.Equal(w.starts, 0)
+	sm.runFor(1990 * time.Millisecond)
+	is.Equal(sm.startCount, 0)
 	for expected := 1; expected <= 3; expected++ {
-		w.run(time.Second)
-		is.Equal(w.starts, expected)
+		sm.runFor(time.Second)
+		is.Equal(sm.startCount, expected)
 	}
-	w.run(time.Second)
-	is.Equal(w.problems, nil)
-	state, _ := w.leaders[0].state.Status("job", false)
+	sm.runFor(time.Second)
+	is.Equal(sm.violations, nil)
+	state, _ := sm.leaders[0].scheduler.Status("job", false)
 	is.Equal(state, work.Completed)
 }
 
 func TestGangStartsAndFailsAsOne(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, faults{})
-	w.addWorkers(3, workerSize)
-	w.elect()
+	sm := newSimulation(1, faults{})
+	sm.addWorkers(3, workerSize)
+	sm.electLeader()
 	whole := resource.Vector{Milliprocessors: 8000}
-	w.submit(&work.Job{ID: "gang", Queue: "urgent", Steps: []work.Step{{Count: 3, Size: whole, Gang: true}}}, fleet.Demand{RunTime: 10 * time.Second})
+	sm.submit(&work.Job{ID: "gang", Queue: "urgent", Steps: []work.Step{{Count: 3, Size: whole, Gang: true}}}, fleet.Demand{RunTime: 10 * time.Second})
 	first := work.TaskID{StepID: work.StepID{Job: "gang"}}
-	failing := w.demands[first]
+	failing := sm.demands[first]
 	failing.RunTime, failing.Fails = 100*time.Millisecond, true
-	w.demands[first] = failing
-	w.run(500 * time.Millisecond)
-	is.Equal(w.starts, 3)
-	w.run(20 * time.Second)
-	is.Equal(w.starts, 12) // Four attempts of three members.
-	state, _ := w.leaders[0].state.Status("gang", false)
+	sm.demands[first] = failing
+	sm.runFor(500 * time.Millisecond)
+	is.Equal(sm.startCount, 3)
+	sm.runFor(20 * time.Second)
+	is.Equal(sm.startCount, 12) // Four attempts of three members.
+	state, _ := sm.leaders[0].scheduler.Status("gang", false)
 	is.Equal(state, work.Failed)
-	is.Equal(w.problems, nil)
+	is.Equal(sm.violations, nil)
 }
 
+// A gang starts only when all its members have room.
 func TestGangWaitsForAllItsPlaces(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, faults{})
-	w.addWorkers(2, workerSize)
-	w.elect()
-	w.submit(&work.Job{ID: "small", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.Demand{RunTime: 2 * time.Second})
-	w.run(500 * time.Millisecond)
-	w.submit(&work.Job{ID: "gang", Queue: "urgent", Steps: []work.Step{{Count: 2, Size: resource.Vector{Milliprocessors: 8000}, Gang: true, Estimate: time.Minute}}}, fleet.Demand{RunTime: time.Second})
-	w.run(time.Second)
-	is.Equal(w.starts, 1) // No member holds a worker while the other has none.
-	w.run(3 * time.Second)
-	is.Equal(w.starts, 3)
+	sm := newSimulation(1, faults{})
+	sm.addWorkers(2, workerSize)
+	sm.electLeader()
+	sm.submit(&work.Job{ID: "small", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.Demand{RunTime: 2 * time.Second})
+	sm.runFor(500 * time.Millisecond)
+	sm.submit(&work.Job{ID: "gang", Queue: "urgent", Steps: []work.Step{{Count: 2, Size: resource.Vector{Milliprocessors: 8000}, Gang: true, Estimate: time.Minute}}}, fleet.Demand{RunTime: time.Second})
+	sm.runFor(time.Second)
+	is.Equal(sm.startCount, 1) // No member takes a worker while the other one has none.
+	sm.runFor(3 * time.Second)
+	is.Equal(sm.startCount, 3)
 }
 
-// The first copy of a speculative task ends while the second is at each point of
-// its start; the task must not start again, also under a new leader.
+// The first copy of a speculative task ends at different moments while the second
+// copy is being placed, stored or ordered. The task must not start a third time,
+// even under a new leader.
 func TestLateEndOfACopyCounts(t *testing.T) {
 	for _, after := range []time.Duration{0, 20 * time.Millisecond, 40 * time.Millisecond, 60 * time.Millisecond, 80 * time.Millisecond, 100 * time.Millisecond, 120 * time.Millisecond, 140 * time.Millisecond, 200 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(1, faults{})
-			w.addWorkers(2, workerSize)
-			w.elect()
-			w.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{
+			sm := newSimulation(1, faults{})
+			sm.addWorkers(2, workerSize)
+			sm.electLeader()
+			sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{
 				{Count: 1, Size: taskSize, Speculative: true}, {Count: 1, Size: taskSize, After: []int{0}},
 			}}, fleet.Demand{RunTime: 1500 * time.Millisecond})
-			w.run(500 * time.Millisecond)
-			first := w.lives()[0]
-			if len(w.workers[first].Running()) == 0 {
-				first = w.lives()[1]
+			sm.runFor(500 * time.Millisecond)
+			first := sm.sortedLives()[0]
+			if len(sm.workers[first].Running()) == 0 {
+				first = sm.sortedLives()[1]
 			}
-			w.cut[first] = true
-			w.run(1790*time.Millisecond + after) // Around the moment at which it is copied.
-			clear(w.cut)
-			w.run(300 * time.Millisecond)
-			w.elect()
-			w.run(15 * time.Second)
-			state, _ := w.leaders[1].state.Status("job", false)
+			sm.unreachable[first] = true
+			sm.runFor(1790*time.Millisecond + after) // Close to the moment when the task gets its second copy.
+			clear(sm.unreachable)
+			sm.runFor(300 * time.Millisecond)
+			sm.electLeader()
+			sm.runFor(15 * time.Second)
+			state, _ := sm.leaders[1].scheduler.Status("job", false)
 			is.Equal(state, work.Completed)
-			is.True(w.starts <= 3) // Two copies of the first step, one task of the second.
-			is.Equal(w.problems, nil)
+			is.True(sm.startCount <= 3) // Two copies of the first step, one task of the second.
+			is.Equal(sm.violations, nil)
 		})
 	}
 }
 
+// The step needs more approved workers than its first request for advice brings.
 func TestFurtherWorkersAreAskedAbout(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, faults{})
-	w.addWorkers(60, workerSize)
-	w.elect()
-	w.submit(&work.Job{ID: "job", Queue: "advised", Steps: []work.Step{{Count: 20, Size: taskSize, MostPerWorker: 1, Lasting: true}}}, fleet.Demand{})
-	w.run(5 * time.Second)
-	is.Equal(w.starts, 20) // Of the first 30 workers about 15 are good.
+	sm := newSimulation(1, faults{})
+	sm.addWorkers(60, workerSize)
+	sm.electLeader()
+	sm.submit(&work.Job{ID: "job", Queue: "advised", Steps: []work.Step{{Count: 20, Size: taskSize, MostPerWorker: 1, Lasting: true}}}, fleet.Demand{})
+	sm.runFor(5 * time.Second)
+	is.Equal(sm.startCount, 20) // The adviser approves about 15 of the first 30 workers.
 }
 
-// A commit without records is not stored, so it proves nothing about the claim.
-func TestCommitWithoutRecordsExtendsNoRight(t *testing.T) {
+// A commit without records needs no append, so it does not prove that this VM is
+// still the leader.
+func TestCommitWithoutRecordsDoesNotExtendLeadership(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1_700_000_000, 0)
 	timing := scheduler.Timing{Lease: 6 * time.Second, Right: 10 * time.Second, HoldWait: time.Second}
@@ -412,39 +422,38 @@
 	is.Equal(len(c.Records), 0)
 	s.Committed(c, start.Add(5*time.Second))
 	hold, _, _ := s.HoldRequest(life, start.Add(9*time.Second))
-	is.Equal(hold.Deadline, 11*time.Second) // One second more, by the worker's clock.
+	is.Equal(hold.Deadline, 11*time.Second) // One second after now, by the worker's clock.
 	is.Equal(hold.Acknowledged, int64(1))
 }
 
-// A large task waits for a worker; short tasks use the room there until then, and
-// long ones do not delay it.
+// A large task has reserved a worker. Short tasks backfill the room until the task
+// starts; long ones must not delay it.
 func TestShortTasksFillTheRoomBeforeAReservation(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, faults{})
-	w.addWorkers(1, workerSize)
-	w.elect()
+	sm := newSimulation(1, faults{})
+	sm.addWorkers(1, workerSize)
+	sm.electLeader()
 	half := resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 1000}
 	whole := resource.Vector{Milliprocessors: 8000, MemoryMebibytes: 1000}
-	one := func(id, queueName string, size resource.Vector, estimate, runTime time.Duration) {
-		w.submit(&work.Job{ID: id, Queue: queueName, Steps: []work.Step{{Count: 1, Size: size, Estimate: estimate, Image: id}}}, fleet.Demand{RunTime: runTime})
+	submitTask := func(id, queueName string, size resource.Vector, estimate, runTime time.Duration) {
+		sm.submit(&work.Job{ID: id, Queue: queueName, Steps: []work.Step{{Count: 1, Size: size, Estimate: estimate, Image: id}}}, fleet.Demand{RunTime: runTime})
 	}
-	one("running", "urgent", half, 5*time.Second, 5*time.Second)
-	w.run(500 * time.Millisecond)
-	one("large", "urgent", whole, 10*time.Second, time.Second)
-	w.run(200 * time.Millisecond)
-	one("short", "batch", half, 2*time.Second, 2*time.Second)
-	w.run(2500 * time.Millisecond)
-	one("long", "batch", half, 20*time.Second, 20*time.Second)
-	state := func(id string) work.State { s, _ := w.leaders[0].state.Status(id, false); return s }
+	submitTask("running", "urgent", half, 5*time.Second, 5*time.Second)
+	sm.runFor(500 * time.Millisecond)
+	submitTask("large", "urgent", whole, 10*time.Second, time.Second)
+	sm.runFor(200 * time.Millisecond)
+	submitTask("short", "batch", half, 2*time.Second, 2*time.Second)
+	sm.runFor(2500 * time.Millisecond)
+	submitTask("long", "batch", half, 20*time.Second, 20*time.Second)
+	state := func(id string) work.State { s, _ := sm.leaders[0].scheduler.Status(id, false); return s }
 	is.Equal(state("short"), work.Completed)
 	is.Equal(state("large"), work.Queued)
-	w.run(3500 * time.Millisecond)
+	sm.runFor(3500 * time.Millisecond)
 	is.Equal(state("large"), work.Completed) // "long" did not start before it.
-	is.Equal(w.problems, nil)
+	is.Equal(sm.violations, nil)
 }
 
-// The registration of a worker outlives it for a while when its address belongs to
-// another one.
+// A worker stays registered for a while after its address was taken by another one.
 func TestReplacedWorkerIsNotOpenedAgain(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
@@ -458,16 +467,16 @@
 	is.Equal(len(s.Take().Opened), 0)
 	gone.Life.Born = 2
 	s.SetWorkers([]backend.Registration{gone}, now)
-	is.Equal(len(s.Take().Opened), 1) // Another life of it, at an address of its own.
+	is.Equal(len(s.Take().Opened), 1) // A new life of the worker, at its own address.
 }
 
-// A copy that was given up still runs on the only worker; the task gets no second run
-// beside it.
+// The only worker still has the first run of a speculative task, which was
+// requeued. It must not get a second run of the task beside the first.
 func TestCopyIsNotPlacedBesideTheFirstRun(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
 	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, Right: 8 * time.Second, HoldWait: time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
-	s.SetTable(newWorld(1, faults{}).table)
+	s.SetTable(newSimulation(1, faults{}).table)
 	r := backend.Registration{Life: backend.Life{ID: "worker", Born: 1}, Service: "desk", Capacity: workerSize}
 	s.SetWorkers([]backend.Registration{r}, now)
 	hold := func(runs ...backend.Run) {
@@ -489,20 +498,20 @@
 	s.StartAnswered(r.Life, &starts[0].Order, "", 0, now)
 	hold(first)
 	now = now.Add(3 * time.Second)
-	s.Tick(now) // The worker was silent; its task waits again.
+	s.Tick(now) // The worker was silent, so its speculative task is requeued.
 	hold(first)
 	is.Equal(len(plan()), 0)
 	now = now.Add(time.Second)
 	hold()
-	is.Equal(len(plan()), 1) // The first run is gone.
+	is.Equal(len(plan()), 1) // The first run has ended.
 }
 
-// A caller hands a job in once more after its submission was deleted.
+// A job that has ended is submitted once more after its submission was deleted.
 func TestSubmissionOfAnEndedJobIsDroppedAgain(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
 	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, Right: 8 * time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
-	s.SetTable(newWorld(1, faults{}).table)
+	s.SetTable(newSimulation(1, faults{}).table)
 	j := &work.Job{ID: "job", Queue: "urgent", Accepted: now, Steps: []work.Step{{Count: 1, Size: taskSize}}}
 	dropped := func() []string {
 		now = now.Add(4 * time.Second)
--- /dev/null
+++ b/internal/cell/scheduler/simulation_test.go
@@ -0,0 +1,492 @@
+package scheduler_test
+
+import (
+	"cmp"
+	"container/heap"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"github.com/go-logr/logr"
+
+	"github.com/almondpost/almondpost/internal/cell/queue"
+	"github.com/almondpost/almondpost/internal/cell/scheduler"
+	"github.com/almondpost/almondpost/internal/cell/work"
+	"github.com/almondpost/almondpost/internal/emulate/fleet"
+	"github.com/almondpost/almondpost/internal/peer/backend"
+	"github.com/almondpost/almondpost/internal/state/resource"
+)
+
+// scheduledEvent is an action at a time of the virtual clock. sequence orders
+// events at the same time.
+type scheduledEvent struct {
+	at       time.Time
+	sequence int
+	action   func()
+}
+
+// eventHeap implements heap.Interface; the earliest event is at the top.
+type eventHeap []scheduledEvent
+
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
+	if !h[i].at.Equal(h[j].at) {
+		return h[i].at.Before(h[j].at)
+	}
+	return h[i].sequence < h[j].sequence
+}
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(v any)   { *h = append(*h, v.(scheduledEvent)) }
+func (h *eventHeap) Pop() any {
+	old := *h
+	v := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return v
+}
+
+// faults holds the probabilities of faults for each call to a worker.
+type faults struct {
+	// lostAnswer is the probability that the answer is lost; lateOrder is the
+	// probability that the worker executes the call seconds late.
+	lostAnswer, lateOrder float64
+}
+
+// simulation runs leaders, workers and the store on a virtual clock. On each start
+// it checks that the task runs nowhere else and has not completed, that the worker
+// has room, and that the run was stored before.
+type simulation struct {
+	now          time.Time
+	events       eventHeap
+	lastSequence int
+	random       *rand.Rand
+	faults       faults
+	table        *queue.Table
+	workers      map[backend.Life]*fleet.Worker
+	// unreachable holds the workers that no call reaches.
+	unreachable map[backend.Life]bool
+	jobs        []*work.Job
+	// storedProgress maps the ID of a job to its progress record in the store.
+	storedProgress map[string]*work.Progress
+	cancelled      map[string]bool
+	demands        map[work.TaskID]fleet.Demand
+	epoch          int64
+	leaders        []*simulatedLeader
+	completed      map[work.TaskID]bool
+	// lastLapse maps a worker to the number of its last end whose outcome is
+	// backend.Lapsed.
+	lastLapse  map[backend.Life]int64
+	violations []string
+	startCount int
+	log        logr.Logger
+	// adviceVMs lists the entry VMs that can request advice.
+	adviceVMs []string
+	// useQueueAdviceTimes makes an answer to a request for advice take as long as
+	// the queue's AdviceCost says, instead of a random time.
+	useQueueAdviceTimes bool
+}
+
+// timeUnit is the shortest delay of an event.
+const timeUnit = time.Millisecond
+
+func newSimulation(seed uint64, f faults) *simulation {
+	return &simulation{
+		now: time.Unix(1_700_000_000, 0), random: rand.New(rand.NewPCG(seed, 1)), faults: f,
+		table: &queue.Table{Version: 1, Queues: []queue.Queue{
+			{Name: "urgent", Service: "desk", Priority: 0, MaxAttempts: 4, Stretch: 1.5, Objective: 250 * time.Millisecond},
+			{Name: "batch", Service: "desk", Priority: 3, MaxAttempts: 4, Stretch: 4, Objective: 3 * time.Second},
+			{Name: "advised", Service: "desk", Priority: 2, Stretch: 4, Objective: 3 * time.Second, Advice: &queue.AdviceCost{Fixed: 50 * time.Millisecond, PerWorker: time.Millisecond, Validity: 2 * time.Second}},
+		}},
+		workers: map[backend.Life]*fleet.Worker{}, unreachable: map[backend.Life]bool{}, storedProgress: map[string]*work.Progress{},
+		cancelled: map[string]bool{}, demands: map[work.TaskID]fleet.Demand{}, completed: map[work.TaskID]bool{}, lastLapse: map[backend.Life]int64{}, log: logr.Discard(),
+		adviceVMs: []string{"vm-1", "vm-2"},
+	}
+}
+
+// schedule runs an action after d, or after timeUnit if d is shorter.
+func (sm *simulation) schedule(d time.Duration, action func()) {
+	sm.lastSequence++
+	heap.Push(&sm.events, scheduledEvent{sm.now.Add(max(d, timeUnit)), sm.lastSequence, action})
+}
+
+// runFor runs the events of the next d and advances the clock.
+func (sm *simulation) runFor(d time.Duration) {
+	end := sm.now.Add(d)
+	for len(sm.events) > 0 && !sm.events[0].at.After(end) {
+		e := heap.Pop(&sm.events).(scheduledEvent)
+		sm.now = e.at
+		e.action()
+	}
+	sm.now = end
+}
+
+func (sm *simulation) randomDuration(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(sm.random.Int64N(int64(longest-shortest)+1))
+}
+
+// withProbability returns true with probability p.
+func (sm *simulation) withProbability(p float64) bool { return sm.random.Float64() < p }
+
+// reportViolation records a broken rule with the time of the virtual clock.
+func (sm *simulation) reportViolation(format string, args ...any) {
+	sm.violations = append(sm.violations, sm.now.Format("05.000 ")+fmt.Sprintf(format, args...))
+}
+
+// sortedLives returns the lives of the workers in order.
+func (sm *simulation) sortedLives() []backend.Life {
+	return slices.SortedFunc(maps.Keys(sm.workers), func(a, b backend.Life) int {
+		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born))
+	})
+}
+
+// addWorkers adds n workers of the same capacity.
+func (sm *simulation) addWorkers(n int, capacity resource.Vector) {
+	for i := range n {
+		r := backend.Registration{
+			Life:    backend.Life{ID: fmt.Sprintf("worker-%d", i), Born: int64(i + 1)},
+			Service: "desk", Zone: fmt.Sprintf("zone-%d", i%3), Capacity: capacity, Labels: []string{"a", fmt.Sprintf("rack-%d", i/3)},
+		}
+		sm.addWorker(r)
+	}
+}
+
+func (sm *simulation) addWorker(r backend.Registration) {
+	sm.workers[r.Life] = fleet.New(r, 0.98+0.02*sm.random.Float64(), sm.now, func(t work.TaskID) fleet.Demand { return sm.demands[t] }, sm)
+}
+
+// restartWorker replaces a worker by a new life without runs.
+func (sm *simulation) restartWorker(life backend.Life) {
+	old := sm.workers[life]
+	if old == nil {
+		return
+	}
+	delete(sm.workers, life)
+	r := old.Registration
+	r.Life.Born += 1000
+	sm.addWorker(r)
+}
+
+// Started implements fleet.Observer.
+func (sm *simulation) Started(on *fleet.Worker, s backend.Start, at time.Time) {
+	sm.startCount++
+	life := on.Registration.Life
+	speculative := sm.demands[s.Task].Speculative
+	for _, other := range sm.workers {
+		if other == on {
+			continue
+		}
+		other.Advance(at)
+		for _, t := range other.Running() {
+			if t == s.Task && !speculative {
+				sm.reportViolation("task %s starts on %s while it runs on %s", s.Task, life.ID, other.Registration.Life.ID)
+			}
+		}
+	}
+	if sm.completed[s.Task] && !speculative {
+		sm.reportViolation("task %s starts on %s after it has completed", s.Task, life.ID)
+	}
+	if used := on.Used(); !used.Fits(on.Registration.Capacity) {
+		sm.reportViolation("worker %s is over its capacity with %s in use", life.ID, used)
+	}
+	p := sm.storedProgress[s.Task.Job]
+	if p == nil || !hasRecordedRun(p, s) {
+		sm.reportViolation("task %s starts with run %d, which is not stored", s.Task, s.Run)
+	}
+}
+
+// hasRecordedRun reports whether the stored progress contains the run of a start
+// order, or a later run of its task.
+func hasRecordedRun(p *work.Progress, s backend.Start) bool {
+	for _, sp := range p.Steps {
+		if sp.Step != s.Task.Step || sp.Occurrence != s.Task.Occurrence {
+			continue
+		}
+		for _, t := range sp.Tasks {
+			if t.Index == s.Task.Index && t.Run >= s.Run {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// Ended implements fleet.Observer.
+func (sm *simulation) Ended(on *fleet.Worker, e backend.End, _ time.Time) {
+	if e.Outcome == backend.Lapsed {
+		sm.lastLapse[on.Registration.Life] = e.Number
+	}
+}
+
+// Acknowledged implements fleet.Observer. A completed run counts unless the
+// worker's lease ended between the end and its acknowledgement.
+func (sm *simulation) Acknowledged(on *fleet.Worker, e backend.End, _ time.Time) {
+	if e.Outcome == backend.Done && sm.lastLapse[on.Registration.Life] < e.Number && !sm.demands[e.Task].Lasting {
+		sm.completed[e.Task] = true
+	}
+}
+
+// submit stores the submission of a job, which the leaders read a little later.
+func (sm *simulation) submit(j *work.Job, demand fleet.Demand) {
+	j.Accepted = sm.now
+	sm.jobs = append(sm.jobs, j)
+	for i := range j.Steps {
+		for k := range j.Steps[i].Count {
+			d := demand
+			d.Room, d.Lasting, d.Speculative = j.Steps[i].Room(), j.Steps[i].Lasting, j.Steps[i].Speculative
+			if j.Steps[i].Gang {
+				d.Members = j.Steps[i].Count
+			}
+			sm.demands[work.TaskID{StepID: work.StepID{Job: j.ID, Step: i}, Index: k}] = d
+		}
+	}
+	for _, l := range sm.leaders {
+		if !l.dead {
+			sm.schedule(sm.randomDuration(2*timeUnit, 10*timeUnit), func() { l.update(func(at time.Time) { l.scheduler.Submit(j, at) }) })
+		}
+	}
+}
+
+// cancel stores the cancellation of a job, which the leaders read a little later.
+func (sm *simulation) cancel(id string) {
+	sm.cancelled[id] = true
+	for _, l := range sm.leaders {
+		if !l.dead {
+			sm.schedule(sm.randomDuration(2*timeUnit, 10*timeUnit), func() { l.update(func(at time.Time) { l.scheduler.Cancel(id, at) }) })
+		}
+	}
+}
+
+// electLeader starts a new leader. The previous one continues until the store
+// rejects its next append.
+func (sm *simulation) electLeader() *simulatedLeader {
+	sm.epoch++
+	timing := scheduler.Timing{Lease: 6 * time.Second, Right: 10 * time.Second, HoldWait: time.Second, Retention: time.Hour}
+	l := &simulatedLeader{simulation: sm, epoch: sm.epoch, scheduler: scheduler.New(timing, sm.epoch, sm.now, sm.now, sm.log), sessions: map[backend.Life]bool{}}
+	sm.leaders = append(sm.leaders, l)
+	l.scheduler.SetTable(sm.table)
+	l.scheduler.SetAdvisers(sm.adviceVMs)
+	l.scheduler.SetWorkers(sm.registrations(), sm.now)
+	for _, j := range sm.jobs {
+		l.scheduler.Restore(j, sm.storedProgress[j.ID], sm.now)
+		if sm.cancelled[j.ID] {
+			l.scheduler.Cancel(j.ID, sm.now)
+		}
+	}
+	l.update(func(time.Time) {})
+	l.tick()
+	l.planAndCommit()
+	return l
+}
+
+func (sm *simulation) registrations() []backend.Registration {
+	var list []backend.Registration
+	for _, life := range sm.sortedLives() {
+		list = append(list, sm.workers[life].Registration)
+	}
+	return list
+}
+
+// simulatedLeader drives a scheduler as an entry VM does.
+type simulatedLeader struct {
+	simulation *simulation
+	epoch      int64
+	scheduler  *scheduler.Scheduler
+	sessions   map[backend.Life]bool
+	dead       bool
+	// frozen leaders do nothing, but the calls that they have sent are still
+	// delivered.
+	frozen bool
+	// adviceRequestCount counts the requests for advice that were sent.
+	adviceRequestCount int
+}
+
+// update changes the scheduler and carries out the effects. A dead leader ignores
+// the change, and a frozen one delays it.
+func (l *simulatedLeader) update(change func(at time.Time)) {
+	if l.dead {
+		return
+	}
+	sm := l.simulation
+	if l.frozen {
+		sm.schedule(50*timeUnit, func() { l.update(change) })
+		return
+	}
+	change(sm.now)
+	e := l.scheduler.Take()
+	for _, r := range e.Opened {
+		if !l.sessions[r.Life] {
+			l.sessions[r.Life] = true
+			l.sendHold(r.Life)
+		}
+	}
+	for _, life := range e.Closed {
+		delete(l.sessions, life)
+	}
+	for _, o := range e.Starts {
+		l.sendStart(o)
+	}
+	for _, o := range e.Stops {
+		sm.callWorker(o.Worker, func(v *fleet.Worker) func() { v.Stop(o.Order, sm.now); return func() {} }, func() {})
+	}
+	for _, a := range e.Asks {
+		l.requestAdvice(a)
+	}
+}
+
+// callWorker delivers a call to a worker and runs the action that it returns when
+// the answer arrives. With the probabilities in faults, the answer is lost or the
+// call is executed late; onLost then runs instead.
+func (sm *simulation) callWorker(life backend.Life, call func(v *fleet.Worker) (answer func()), onLost func()) {
+	execute := func(answered bool) {
+		v := sm.workers[life]
+		if v == nil || sm.unreachable[life] {
+			if answered {
+				sm.schedule(500*timeUnit, onLost)
+			}
+			return
+		}
+		answer := call(v)
+		if answered {
+			sm.schedule(sm.randomDuration(timeUnit, 8*timeUnit), answer)
+		}
+	}
+	switch {
+	case sm.withProbability(sm.faults.lateOrder):
+		sm.schedule(sm.randomDuration(2*time.Second, 12*time.Second), func() { execute(false) })
+		sm.schedule(500*timeUnit, onLost)
+	case sm.withProbability(sm.faults.lostAnswer):
+		sm.schedule(sm.randomDuration(timeUnit, 8*timeUnit), func() { execute(false) })
+		sm.schedule(500*timeUnit, onLost)
+	default:
+		sm.schedule(sm.randomDuration(timeUnit, 8*timeUnit), func() { execute(true) })
+	}
+}
+
+func (l *simulatedLeader) sendStart(o scheduler.Order[backend.Start]) {
+	sm := l.simulation
+	sm.callWorker(o.Worker, func(v *fleet.Worker) func() {
+		kind := v.Start(o.Order, sm.now)
+		clock := v.Clock(sm.now)
+		return func() {
+			l.update(func(at time.Time) { l.scheduler.StartAnswered(o.Worker, &o.Order, kind, clock, at) })
+		}
+	}, func() {
+		l.update(func(at time.Time) { l.scheduler.StartAnswered(o.Worker, &o.Order, backend.KindUnknown, 0, at) })
+	})
+}
+
+func (l *simulatedLeader) sendHold(life backend.Life) {
+	sm := l.simulation
+	l.update(func(at time.Time) {
+		if !l.sessions[life] {
+			return
+		}
+		hold, sent, ok := l.scheduler.HoldRequest(life, at)
+		if !ok {
+			return
+		}
+		holdAgain := func() { sm.schedule(sm.randomDuration(20*timeUnit, 120*timeUnit), func() { l.sendHold(life) }) }
+		sm.callWorker(life, func(v *fleet.Worker) func() {
+			report, kind := v.Hold(hold, sm.now)
+			return func() {
+				l.update(func(at time.Time) {
+					if kind != "" {
+						l.scheduler.HoldFailed(life, kind, at)
+					} else {
+						l.scheduler.HoldAnswered(life, sent, &report, at)
+					}
+				})
+				holdAgain()
+			}
+		}, func() {
+			l.update(func(at time.Time) { l.scheduler.HoldFailed(life, backend.KindUnknown, at) })
+			holdAgain()
+		})
+	})
+}
+
+func (l *simulatedLeader) requestAdvice(a scheduler.Ask) {
+	sm := l.simulation
+	l.adviceRequestCount++
+	took := sm.randomDuration(20*timeUnit, 90*timeUnit)
+	if q := sm.table.Queue(sm.queueOf(a.Step.Job)); q != nil && sm.useQueueAdviceTimes {
+		took = q.Advice.Of(len(a.Workers))
+	}
+	sm.schedule(took, func() {
+		answer := backend.Advice{Tickets: map[string]string{}, Validity: 2 * time.Second}
+		for _, id := range a.Workers {
+			if isApproved(a.Step, id) {
+				answer.Tickets[id] = "ticket"
+			}
+		}
+		l.update(func(at time.Time) {
+			l.scheduler.AdviceAnswered(a.Number, answer, sm.withProbability(sm.faults.lostAnswer), at)
+		})
+	})
+}
+
+func (sm *simulation) queueOf(id string) string {
+	i := slices.IndexFunc(sm.jobs, func(j *work.Job) bool { return j.ID == id })
+	return sm.jobs[i].Queue
+}
+
+// isApproved reports whether the adviser approves a worker for a step: about half
+// of the workers, and worker-5 always.
+func isApproved(step work.StepID, worker string) bool {
+	return worker == "worker-5" || (len(step.Job)+int(worker[len(worker)-1]))%2 == 0
+}
+
+func (l *simulatedLeader) tick() {
+	l.update(func(at time.Time) {
+		l.scheduler.SetWorkers(l.simulation.registrations(), at)
+		l.scheduler.Tick(at)
+	})
+	if !l.dead {
+		l.simulation.schedule(100*timeUnit, l.tick)
+	}
+}
+
+// planAndCommit plans and stores the next commit, over and over.
+func (l *simulatedLeader) planAndCommit() {
+	sm := l.simulation
+	next := func() {
+		if !l.dead {
+			sm.schedule(5*timeUnit, l.planAndCommit)
+		}
+	}
+	if l.frozen && !l.dead {
+		sm.schedule(50*timeUnit, l.planAndCommit)
+		return
+	}
+	var c *scheduler.Commit
+	l.update(func(at time.Time) {
+		l.scheduler.Plan(at)
+		c = l.scheduler.NextCommit(at)
+	})
+	if c == nil {
+		next()
+		return
+	}
+	sm.schedule(sm.randomDuration(4*timeUnit, 15*timeUnit), func() { l.storeCommit(c, next) })
+}
+
+func (l *simulatedLeader) storeCommit(c *scheduler.Commit, next func()) {
+	sm := l.simulation
+	if l.epoch < sm.epoch {
+		l.dead = true
+		return
+	}
+	for _, r := range c.Records {
+		p, err := work.Decode[work.Progress](r.Value)
+		if err != nil {
+			sm.reportViolation("cannot decode the progress of job %s: %s", r.Key, err)
+			continue
+		}
+		sm.storedProgress[r.Key] = p
+	}
+	sm.schedule(sm.randomDuration(timeUnit, 8*timeUnit), func() {
+		l.update(func(at time.Time) { l.scheduler.Committed(c, at) })
+		next()
+	})
+}
--- a/internal/cell/scheduler/timeliness.go
+++ b/internal/cell/scheduler/timeliness.go
@@ -71,7 +71,7 @@
 	order := make([]*job, 0, len(ranks))
 	for i := range ranks {
 		if ranks[i].timeliness == tooLate && len(order) >= maxPlannedJobs {
-			break // No caller waits for these jobs any more. The ones already in the plan make room for the others.
+			break // No caller waits for these jobs any more, and the ones in the plan come first.
 		}
 		order = append(order, ranks[i].job)
 	}
@@ -93,7 +93,7 @@
 
 // timelinessOf compares the remaining work of a job with the time until it is due.
 // A job without running tasks also waits for its advice and for its record to be
-// stored.
+// stored. Repeated jobs and jobs with lasting steps are always due now.
 //
 // That wait matters in bursts of urgent jobs: without it, each job would be placed
 // in time but complete just too late.
