--- a/internal/cell/scheduler/advice.go
+++ b/internal/cell/scheduler/advice.go
@@ -42,7 +42,7 @@
 	// maxStepsAhead limits the steps of a service that request advice while there is
 	// no room for them.
 	maxStepsAhead = 6
-	// requestLead is how long before a step is expected to open it requests advice.
+	// requestLead is how long before its expected opening a step requests advice.
 	requestLead = 500 * time.Millisecond
 )
 
@@ -228,7 +228,7 @@
 		w.requestsInFlight--
 		delete(o.step.advice.awaited, w)
 	}
-	s.dispatcher.updateVM(o.vm, failed, now)
+	s.dispatcher.finishRequest(o.vm, failed, now)
 	s.planNeeded = true
 	if failed {
 		s.log.Info("advice_failed", "job", o.step.id.Job, "step", o.step.id.Step, "vm", o.vm)
@@ -250,9 +250,9 @@
 	s.planUrgentJob(o.step.job, now)
 }
 
-// updateVM updates a VM after one of its requests was answered or has failed. The
-// expected answers to its other requests are counted from now.
-func (a *adviceDispatcher) updateVM(name string, failed bool, now time.Time) {
+// finishRequest updates a VM after one of its requests was answered or has failed. The
+// expected times of its other requests are counted from now.
+func (a *adviceDispatcher) finishRequest(name string, failed bool, now time.Time) {
 	v := a.vms[name]
 	if v == nil {
 		return
--- a/internal/cell/scheduler/choose.go
+++ b/internal/cell/scheduler/choose.go
@@ -14,8 +14,8 @@
 	return w.registration.HasLabel(st.spec.Label) && st.spec.Room().Fits(w.registration.Capacity)
 }
 
-// maxAnswerDelay is how long after the wait of a hold its answer may come. A worker
-// that is silent for longer gets no new work.
+// maxAnswerDelay is how much longer than holdWait a worker may be silent and still
+// get new work.
 const maxAnswerDelay = 400 * time.Millisecond
 
 // chooseWorker returns the best worker for a task, or nil if none has room.
@@ -91,8 +91,8 @@
 	return max(st.spec.MostPerWorker-n, 0)
 }
 
-// The bonuses and penalties in the score of a worker. The fraction of the worker
-// that would be in use counts up to 1.
+// The bonuses and penalties in the score of a worker. The score without them is the
+// fraction of the worker's capacity that would be in use, from 0 to 1.
 const (
 	// bonusRack is for the rack that holds the data, or other members of the gang.
 	bonusRack = 4.0
--- a/internal/cell/scheduler/dispatch.go
+++ b/internal/cell/scheduler/dispatch.go
@@ -112,7 +112,7 @@
 		if !w.accepts(q) || s.reservations.reservedForOther(w, st.job) {
 			continue
 		}
-		places += min(placesFor(st.spec.Room(), w.free()), taskLimitLeft(w, st))
+		places += min(countPlaces(st.spec.Room(), w.free()), taskLimitLeft(w, st))
 		if !st.advice.hasValidTicket(w, now) {
 			stale = append(stale, w)
 		}
@@ -146,7 +146,7 @@
 	}
 	expected := float64(places)
 	for w := range st.advice.awaited {
-		expected += s.dispatcher.approvedShare(st.job.spec.Queue) * float64(min(placesFor(st.spec.Room(), w.free()), taskLimitLeft(w, st)))
+		expected += s.dispatcher.approvedShare(st.job.spec.Queue) * float64(min(countPlaces(st.spec.Room(), w.free()), taskLimitLeft(w, st)))
 	}
 	return expected < float64(st.spec.Count)
 }
@@ -178,8 +178,8 @@
 	return stale
 }
 
-// placesFor returns how many tasks of size room fit into the free capacity.
-func placesFor(room, free resource.Vector) int {
+// countPlaces returns how many tasks of size room fit into the free capacity.
+func countPlaces(room, free resource.Vector) int {
 	places := int64(work.MaxTasks)
 	sizes, left := room.Amounts(), free.Amounts()
 	for i := range sizes {
@@ -239,7 +239,7 @@
 		minPlaces = 1 + st.waitingTasks()/approvedPerRequest
 	}
 	hasPlaces := func(w *worker) bool {
-		return placesFor(st.spec.Room(), w.free()) >= minPlaces && !s.reservations.reservedForOther(w, st.job)
+		return countPlaces(st.spec.Room(), w.free()) >= minPlaces && !s.reservations.reservedForOther(w, st.job)
 	}
 	var list []*worker
 	addMatching := func(matches func(w *worker) bool) {
--- a/internal/cell/scheduler/health.go
+++ b/internal/cell/scheduler/health.go
@@ -22,7 +22,7 @@
 // urgent job with many tasks nearly always has a task on such a worker, and waits
 // for it.
 func (s *Scheduler) detectSlowWorker(w *worker, now time.Time) {
-	judged, slow := 0, 0
+	rated, slow := 0, 0
 	for _, t := range w.tasks {
 		if t.phase != phaseRunning || t.step.spec.Lasting || t.step.spec.Fills || t.pace != fullPace || t.checkpoint != "" {
 			continue
@@ -31,16 +31,16 @@
 		if elapsed < minElapsed || expected == 0 {
 			continue
 		}
-		judged++
+		rated++
 		if float64(elapsed) > slowRatio*float64(expected)*max(float64(t.percentDone), 1)/100 && elapsed > expected/2 {
 			slow++
 		}
 	}
-	if slow < minSlowTasks || float64(slow) < minSlowShare*float64(judged) {
+	if slow < minSlowTasks || float64(slow) < minSlowShare*float64(rated) {
 		return
 	}
 	if now.After(w.slowUntil) {
-		s.log.Info("worker_slow", "worker", w.registration.Life.ID, "slow_tasks", slow, "judged_tasks", judged)
+		s.log.Info("worker_slow", "worker", w.registration.Life.ID, "slow_tasks", slow, "judged_tasks", rated)
 	}
 	w.slowUntil = now.Add(slowPeriod)
 }
--- a/internal/cell/scheduler/hold.go
+++ b/internal/cell/scheduler/hold.go
@@ -45,8 +45,8 @@
 	sentAt   time.Time
 }
 
-// HoldFailed handles a hold that was not answered or was refused with an error of a
-// kind.
+// HoldFailed handles a hold that was not answered or that the worker refused; kind is
+// the kind of the error.
 func (s *Scheduler) HoldFailed(life backend.Life, kind backend.Kind, now time.Time) {
 	w := s.workers[life]
 	if w == nil {
--- a/internal/cell/scheduler/lease.go
+++ b/internal/cell/scheduler/lease.go
@@ -110,8 +110,8 @@
 // reported. It is longer than a worker takes to end a run.
 const stopRetryInterval = 1500 * time.Millisecond
 
-// speculationDelay is how long after the wait of a hold its answer may come before
-// the speculative tasks of the worker get a second copy elsewhere.
+// speculationDelay is how much longer than holdWait a worker may be silent before its
+// speculative tasks get a second copy elsewhere.
 const speculationDelay = 800 * time.Millisecond
 
 // holdWaitPerWorker makes holds less frequent in large fleets, where they take most
--- a/internal/cell/scheduler/reserve.go
+++ b/internal/cell/scheduler/reserve.go
@@ -63,7 +63,7 @@
 		if r.reservedForOther(w, st.job) || !belowTaskLimit(w, st) {
 			continue
 		}
-		places += placesFor(st.spec.Room(), w.registration.Capacity)
+		places += countPlaces(st.spec.Room(), w.registration.Capacity)
 		slots = s.appendSlots(w, st, slots, now)
 	}
 	if st.spec.Gang && places < st.spec.Count {
@@ -73,7 +73,7 @@
 		return cmp.Or(cmp.Compare(a.wait, b.wait), compareLives(a.worker.registration.Life, b.worker.registration.Life))
 	})
 	for _, sl := range slots[:min(st.waitingTasks(), len(slots))] {
-		if _, kept := r.byWorker[sl.worker]; !kept {
+		if _, alreadyReserved := r.byWorker[sl.worker]; !alreadyReserved {
 			st.advice.reserved = append(st.advice.reserved, sl.worker)
 		}
 		r.byWorker[sl.worker] = reservation{job: st.job, freeAt: now.Add(sl.wait)}
@@ -115,7 +115,7 @@
 func (s *Scheduler) appendSlots(w *worker, st *step, slots []slot, now time.Time) []slot {
 	free, room := w.free(), st.spec.Room()
 	limit := min(taskLimitLeft(w, st), st.waitingTasks())
-	n := min(placesFor(room, free), limit)
+	n := min(countPlaces(room, free), limit)
 	for range n {
 		slots = append(slots, slot{w, 0})
 	}
@@ -123,20 +123,20 @@
 		return slots
 	}
 	type taskEnd struct {
-		room resource.Vector
-		in   time.Duration
+		room      resource.Vector
+		remaining time.Duration
 	}
 	taskEnds := make([]taskEnd, 0, len(w.tasks))
 	for _, t := range w.tasks {
-		if in := s.runTimes.remainingRunTime(t, now); in < lastingHorizon {
-			taskEnds = append(taskEnds, taskEnd{t.step.spec.Room(), in})
+		if remaining := s.runTimes.remainingRunTime(t, now); remaining < lastingHorizon {
+			taskEnds = append(taskEnds, taskEnd{t.step.spec.Room(), remaining})
 		}
 	}
-	slices.SortFunc(taskEnds, func(a, b taskEnd) int { return cmp.Compare(a.in, b.in) })
+	slices.SortFunc(taskEnds, func(a, b taskEnd) int { return cmp.Compare(a.remaining, b.remaining) })
 	for _, e := range taskEnds {
 		free = free.Add(e.room)
-		for ; n < min(placesFor(room, free), limit); n++ {
-			slots = append(slots, slot{w, e.in})
+		for ; n < min(countPlaces(room, free), limit); n++ {
+			slots = append(slots, slot{w, e.remaining})
 		}
 	}
 	return slots
--- a/internal/cell/scheduler/restore.go
+++ b/internal/cell/scheduler/restore.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// RestoreEnded adds an ended job of which only the progress is left.
+// RestoreEnded adds an ended job whose submission was deleted and whose progress is
+// left.
 func (s *Scheduler) RestoreEnded(id string, p *work.Progress, now time.Time) {
 	if s.jobs[id] != nil || !p.State.Ended() {
 		return
--- a/internal/cell/scheduler/runtimes.go
+++ b/internal/cell/scheduler/runtimes.go
@@ -7,9 +7,9 @@
 // runTimeEstimator learns how the run times of tasks differ from the declared
 // estimates.
 type runTimeEstimator struct {
-	// ratio maps a queue and image to the moving average of the actual run time
+	// ratios maps a queue and image to the moving average of the actual run time
 	// divided by the declared one.
-	ratio map[imageKey]float64
+	ratios map[imageKey]float64
 }
 
 type imageKey struct{ queue, image string }
@@ -17,7 +17,7 @@
 // averageWeight is the weight of the newest value in a moving average.
 const averageWeight = 0.2
 
-func newRunTimeEstimator() runTimeEstimator { return runTimeEstimator{ratio: map[imageKey]float64{}} }
+func newRunTimeEstimator() runTimeEstimator { return runTimeEstimator{ratios: map[imageKey]float64{}} }
 
 // recordRun updates the average with a completed run. Only the first run of a task
 // counts.
@@ -28,15 +28,15 @@
 	}
 	key := imageKey{t.step.job.spec.Queue, t.step.spec.Image}
 	ratio := float64(now.Sub(t.startedAt)) / float64(declared)
-	if old, ok := r.ratio[key]; ok {
+	if old, ok := r.ratios[key]; ok {
 		ratio = old + averageWeight*(ratio-old)
 	}
-	r.ratio[key] = ratio
+	r.ratios[key] = ratio
 }
 
 // expectedRunTime returns the expected run time of a task of a step.
 func (r *runTimeEstimator) expectedRunTime(st *step) time.Duration {
-	ratio, ok := r.ratio[imageKey{st.job.spec.Queue, st.spec.Image}]
+	ratio, ok := r.ratios[imageKey{st.job.spec.Queue, st.spec.Image}]
 	if !ok {
 		ratio = 1
 	}
--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -449,7 +449,7 @@
 	is.Equal(state("short"), work.Completed)
 	is.Equal(state("large"), work.Queued)
 	sm.runFor(3500 * time.Millisecond)
-	is.Equal(state("large"), work.Completed) // "long" did not start before it.
+	is.Equal(state("large"), work.Completed) // "long" did not start before "large".
 	is.Equal(sm.violations, nil)
 }
 
--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -19,8 +19,8 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// scheduledEvent is an action at a time of the virtual clock. sequence orders
-// events at the same time.
+// scheduledEvent is an action at a time of the virtual clock. Events at the same time
+// run in the order of their sequence.
 type scheduledEvent struct {
 	at       time.Time
 	sequence int
--- a/internal/cell/scheduler/timeliness.go
+++ b/internal/cell/scheduler/timeliness.go
@@ -52,7 +52,7 @@
 func (s *Scheduler) planOrder(now time.Time) []*job {
 	ranks := make([]rankedJob, 0, len(s.active))
 	for _, j := range s.active {
-		if j.waitingTasks == 0 && !s.mayOpenSteps(j) {
+		if j.waitingTasks == 0 && !s.mayOpenLaterStep(j) {
 			continue
 		}
 		q := s.table.Queue(j.spec.Queue)
@@ -155,6 +155,8 @@
 	return slices.ContainsFunc(j.spec.Steps, func(s work.Step) bool { return s.Lasting })
 }
 
-// mayOpenSteps reports whether running tasks may open a later step soon, for which
-// advice is then requested.
-func (s *Scheduler) mayOpenSteps(j *job) bool { return len(j.spec.Steps) > 1 && j.tasksOnWorkers > 0 }
+// mayOpenLaterStep reports whether the tasks on workers may open a later step, which
+// then needs advice.
+func (s *Scheduler) mayOpenLaterStep(j *job) bool {
+	return len(j.spec.Steps) > 1 && j.tasksOnWorkers > 0
+}
--- a/internal/cell/scheduler/worker.go
+++ b/internal/cell/scheduler/worker.go
@@ -44,8 +44,8 @@
 	// requestsInFlight counts the requests for advice in flight that name the
 	// worker.
 	requestsInFlight int
-	// usedFraction is the used fraction of its capacity when the workers were last
-	// sorted by it.
+	// usedFraction is the fraction of the worker's capacity that was in use when the
+	// workers were last sorted by it.
 	usedFraction float64
 	// drainEnd is the earliest time at which a draining worker exits.
 	drainEnd time.Time
