--- a/internal/peer/backend/backend.go
+++ b/internal/peer/backend/backend.go
@@ -1,5 +1,6 @@
-// Package backend is a worker as the scheduler sees it: what it registers, the
-// orders that it takes, and what it reports.
+// Package backend defines the interface between the scheduler and a worker (a
+// backend server): the worker's registration, the orders it accepts and the
+// reports it returns. Package platform implements it over HTTP.
 package backend
 
 import (
@@ -16,101 +17,114 @@
 // Kind classifies the errors of this package.
 type Kind string
 
-// The kinds of Error. All but KindUnknown mean that the order was not carried
-// out and will not be.
+// The kinds of Error. Every kind except KindUnknown means that the worker has not
+// executed the order and never will.
 const (
-	// KindUnknown means that the order may have been carried out, or may be yet.
+	// KindUnknown means that the worker may have executed the order or may still
+	// execute it.
 	KindUnknown Kind = "unknown"
 	// KindFenced means that the worker has seen a higher fencing token.
 	KindFenced Kind = "fenced"
-	// KindStaleRun means that the run is not higher than one that ended there.
+	// KindStaleRun means that a run of the same task with the same or a higher
+	// number has already ended on the worker.
 	KindStaleRun Kind = "stale_run"
-	// KindLate means that the lease of the order is over.
+	// KindLate means that the lease deadline of the order has passed.
 	KindLate Kind = "late"
-	// KindNoRoom means that the worker's capacity does not suffice.
+	// KindNoRoom means that the worker has too little free capacity.
 	KindNoRoom Kind = "no_room"
 	// KindTicket means that the order lacks a valid ticket.
 	KindTicket Kind = "ticket"
 	// KindOtherLife means that another process runs at the worker's address.
 	KindOtherLife Kind = "other_life"
-	// KindUnhealthy means that the worker takes no orders at the moment.
+	// KindUnhealthy means that the worker temporarily accepts no orders.
 	KindUnhealthy Kind = "unhealthy"
-	// KindInvalid means that the worker does not accept the order as it is.
+	// KindInvalid means that the worker rejected the order as malformed or for a
+	// reason that this version does not know.
 	KindInvalid Kind = "invalid"
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Life is one life of a worker: a restart begins another one, which knows
-// nothing of what ran before.
+// Life identifies one instance of a worker process. A restart begins a new life,
+// which has no record of earlier runs.
 type Life struct {
+	// ID is the instance ID under which the worker registers.
 	ID string
-	// Born is the start of the process in Unix milliseconds.
+	// Born is the start time of the process in Unix milliseconds.
 	Born int64
 }
 
-// Registration is what a worker says of itself.
+// Registration is a worker's description of itself, which it writes to the store.
 type Registration struct {
 	Life     Life
 	Address  netip.AddrPort
 	Service  string
 	Zone     string
 	Capacity resource.Vector
-	// Labels holds the worker's kind and its rack.
+	// Labels holds the machine kind and the rack of the worker.
 	Labels []string
-	// Draining workers take no new work and leave soon.
+	// Draining means that the worker accepts no new runs and shuts down soon.
 	Draining bool
-	// Remaining is the least time that a draining worker still has.
+	// Remaining is the minimum time until a draining worker shuts down.
 	Remaining time.Duration
 }
 
-// HasLabel reports whether the worker carries a label; all carry the empty one.
+// HasLabel reports whether the worker has the label. The empty label stands for no
+// requirement, so every worker has it.
 func (r *Registration) HasLabel(label string) bool {
 	return label == "" || slices.Contains(r.Labels, label)
 }
 
-// Start orders a run of a task.
+// Start orders a worker to start a run, which is one execution of a task.
 type Start struct {
-	Task    work.TaskID
+	Task work.TaskID
+	// Run numbers the runs of the task; later runs have higher numbers.
 	Run     int64
 	Payload string
-	// Deadline ends the lease, by the worker's clock.
-	Deadline   time.Duration
-	Token      int64
+	// Deadline is when the lease expires, as a reading of the worker's clock.
+	Deadline time.Duration
+	// Token is the leader's fencing token.
+	Token int64
+	// Checkpoint is where the run resumes; it is empty for a run from the
+	// beginning.
 	Checkpoint string
-	// Ticket is empty where the queue needs none.
+	// Ticket is the adviser's permission to use this worker. It is empty for a
+	// queue without an adviser.
 	Ticket string
 }
 
-// Stop orders the end of a run.
+// Stop orders a worker to stop a run.
 type Stop struct {
 	Task  work.TaskID
 	Run   int64
 	Token int64
 }
 
-// Pace sets the share of its speed at which a run works.
+// Pace orders a worker to throttle a run.
 type Pace struct {
-	Task    work.TaskID
-	Run     int64
+	Task work.TaskID
+	Run  int64
+	// Percent is the speed of the run relative to its full speed.
 	Percent int
 	Token   int64
 }
 
-// Hold extends the lease of all that runs on a worker, acknowledges ends and
-// asks for the lists of runs.
+// Hold renews the lease of every run on a worker, acknowledges ended runs and
+// requests a Report. It is a long poll.
 type Hold struct {
 	Token int64
-	// Acknowledged is the number of the last end that need not be listed again.
+	// Acknowledged is the highest End.Number that the leader has stored. The worker
+	// lists only later ends.
 	Acknowledged int64
-	// Deadline ends the lease, by the worker's clock; 0 leaves it as it is.
+	// Deadline is when the lease expires, as a reading of the worker's clock; 0
+	// leaves the lease unchanged.
 	Deadline time.Duration
-	// Wait is how long the worker may wait for an end before it answers.
+	// Wait is how long the worker may delay its answer until a run ends.
 	Wait time.Duration
 }
 
-// Outcome tells how a run ended.
+// Outcome is the way in which a run ended.
 type Outcome string
 
 // The outcomes of a run.
@@ -118,29 +132,31 @@
 	Done    Outcome = "done"
 	Failed  Outcome = "failed"
 	Stopped Outcome = "stopped"
-	// Lapsed means that the lease ran out.
+	// Lapsed means that the lease expired.
 	Lapsed Outcome = "lapsed"
-	// Broken means that another member of the gang ended.
-	Broken Outcome = "broken"
-	// Alone means that the other members of the gang did not come.
-	Alone Outcome = "alone"
+	// GangBroken means that the run ended because another member of its gang ended.
+	GangBroken Outcome = "broken"
+	// GangIncomplete means that the other members of the gang did not start in time.
+	GangIncomplete Outcome = "alone"
 )
 
-// Run is a task at work on a worker.
+// Run describes a run in progress on a worker.
 type Run struct {
-	Task       work.TaskID
-	Run        int64
+	Task work.TaskID
+	Run  int64
+	// Checkpoint is the last checkpoint that the run saved.
 	Checkpoint string
-	// Percent tells how much of the work is done.
+	// Percent is the completed share of the work.
 	Percent int
-	// Figure is the tail latency in milliseconds of a serving task, or the
-	// milliprocessors in use of any other.
+	// Figure is the current load: the tail latency in milliseconds for a serving
+	// task, the used milliprocessors for any other task.
 	Figure int64
 }
 
-// End is a run that has ended.
+// End describes a run that has ended.
 type End struct {
-	// Number rises by one with each end in a life of the worker.
+	// Number counts the ends in the current life of the worker; it increases by one
+	// with each end.
 	Number     int64
 	Task       work.TaskID
 	Run        int64
@@ -148,36 +164,43 @@
 	Checkpoint string
 }
 
-// Report is a worker's answer to a hold.
+// Report is a worker's answer to a Hold.
 type Report struct {
-	Life    Life
+	Life Life
+	// Clock is the reading of the worker's clock.
 	Clock   time.Duration
 	Running []Run
-	Ended   []End
-	// Truncated tells that more ends may be listed once these are acknowledged.
+	// Ended lists the ends that have not been acknowledged.
+	Ended []End
+	// Truncated means that Ended may be incomplete. The worker lists further ends
+	// after these have been acknowledged.
 	Truncated bool
 }
 
-// Worker takes orders. Errors are of type *Error. Every answer carries the
-// worker's clock; it is 0 when unknown.
+// Worker sends orders to one worker. Errors are of type *Error.
 type Worker interface {
+	// Start also returns the reading of the worker's clock, or 0 when it is
+	// unknown.
 	Start(ctx context.Context, s Start) (clock time.Duration, err error)
 	Stop(ctx context.Context, s Stop) error
 	Pace(ctx context.Context, p Pace) error
 	Hold(ctx context.Context, h Hold) (Report, error)
-	// Close gives the connections up.
+	// Close releases the connections to the worker.
 	Close()
 }
 
-// Advice names the workers on which the tasks of a step may run.
+// Advice is an adviser's decision on the workers that may run the tasks of a step.
 type Advice struct {
-	// Tickets maps worker IDs to the tickets that orders must carry.
+	// Tickets maps the ID of each permitted worker to the ticket that a Start must
+	// carry.
 	Tickets map[string]string
-	// Validity is how long the tickets are good from the answer on.
+	// Validity is how long the tickets are valid after the answer.
 	Validity time.Duration
 }
 
-// Adviser is the service that knows which workers a step may use.
+// Adviser is an external service that decides which workers a step may use. An
+// operator configures it per queue.
 type Adviser interface {
+	// Advise returns which of the given worker IDs the step may use.
 	Advise(ctx context.Context, step work.StepID, workers []string) (Advice, error)
 }
--- a/internal/peer/caller/gateway.go
+++ b/internal/peer/caller/gateway.go
@@ -1,5 +1,6 @@
-// Package caller speaks HTTP with callers: requests, their outcomes and
-// cancellation. See docs/caller_interface.md.
+// Package caller implements the HTTP interface for callers, the clients that submit
+// requests and jobs, fetch their outcomes and cancel them. See
+// docs/caller_interface.md.
 package caller
 
 import (
@@ -23,32 +24,36 @@
 	"github.com/almondpost/almondpost/internal/state/job"
 )
 
-// Service is what the gateway needs of the entry VM.
+// Service is the entry VM that executes the calls of a Gateway. Requests and jobs
+// are found by ID no matter which entry VM they were submitted to.
 type Service interface {
-	// Submit admits a request; a refused one has an outcome at once.
+	// Submit submits a request and returns its ID. When admission refuses it, it
+	// also returns the final outcome.
 	Submit(spec request.Spec) (id string, refused *request.Outcome)
-	// Fetch returns the outcome of a request wherever it was submitted, and
-	// waits for its end. It reports false for an unknown request.
+	// Fetch waits up to wait for a request to end and returns its outcome so far.
+	// It returns false for an unknown request.
 	Fetch(ctx context.Context, id string, wait time.Duration) (request.Outcome, bool)
-	// CancelRequest cancels a request wherever it was submitted.
+	// CancelRequest cancels a request. It returns false for an unknown request.
 	CancelRequest(ctx context.Context, id string) bool
-	// SubmitJob accepts a job once it is in the log.
+	// SubmitJob stores a job in the log. It returns once the job is stored or
+	// refused, or once it is unknown whether the job was stored.
 	SubmitJob(ctx context.Context, spec job.Spec) job.Status
-	// FetchJob returns the state of a job and waits for its end. It reports
+	// FetchJob waits up to wait for a job to end and returns its status. It returns
 	// false for an unknown job.
 	FetchJob(ctx context.Context, id string, wait time.Duration) (job.Status, bool)
-	// CancelJob asks for the end of a job.
+	// CancelJob stores the cancellation of a job in the log. The job ends later.
 	CancelJob(ctx context.Context, id string) error
-	// Report gathers the evidence that sharing pays.
+	// Report returns the report on resource sharing between plans.
 	Report(ctx context.Context) report.Report
-	// Ready reports whether callers should be sent here.
+	// Ready reports whether a load balancer should send callers to this entry VM.
 	Ready() bool
 }
 
-// Problem is the body of every reply that carries no outcome.
+// Problem is the body of an error reply that has no outcome or status to report.
 type Problem struct {
-	// Reason is machine-readable.
+	// Reason is a machine-readable code.
 	Reason string `json:"reason"`
+	// Detail is a description for people.
 	Detail string `json:"detail"`
 }
 
@@ -58,44 +63,48 @@
 	ReasonInvalid   = "invalid"
 	ReasonTooLarge  = "body_too_large"
 	ReasonUnknown   = "unknown_request"
-	// ReasonUnavailable means that the log gave no answer.
+	// ReasonUnavailable means that the log service did not answer.
 	ReasonUnavailable = "log_unavailable"
 )
 
 const (
-	// DefaultWait is how long a submission waits for its answer.
+	// DefaultWait is how long the reply to a submission waits for the request to
+	// end, unless the caller sets wait_milliseconds. It is also the maximum of
+	// wait_milliseconds.
 	DefaultWait = 10 * time.Minute
-	// fetchWait bounds one fetch.
-	fetchWait = 30 * time.Second
-	// The timeouts guard against callers that read or write slowly.
+	// maxFetchWait is the maximum wait of one call to Service.Fetch or FetchJob.
+	// Longer waits take several calls.
+	maxFetchWait = 30 * time.Second
+	// These timeouts limit how long slow callers can occupy a connection.
 	readTimeout       = 15 * time.Second
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
 )
 
-// Gateway serves callers.
+// Gateway translates the HTTP calls of callers into calls of a Service.
 type Gateway struct {
-	service   Service
-	bodyLimit int64
-	log       logr.Logger
+	service      Service
+	maxBodyBytes int64
+	log          logr.Logger
 }
 
-// New returns a gateway that refuses bodies above a limit in bytes.
-func New(s Service, bodyLimit int64, log logr.Logger) *Gateway {
-	return &Gateway{service: s, bodyLimit: bodyLimit, log: log}
+// New returns a gateway that rejects request bodies of more than maxBodyBytes.
+func New(s Service, maxBodyBytes int64, log logr.Logger) *Gateway {
+	return &Gateway{service: s, maxBodyBytes: maxBodyBytes, log: log}
 }
 
-// Server returns an HTTP server with the timeouts of the gateway.
-func (g *Gateway) Server(extra func(r chi.Router)) *http.Server {
+// Server returns an HTTP server for the gateway. addRoutes registers further routes;
+// it may be nil.
+func (g *Gateway) Server(addRoutes func(r chi.Router)) *http.Server {
 	return &http.Server{
-		Handler:           g.handler(extra),
+		Handler:           g.handler(addRoutes),
 		ReadTimeout:       readTimeout,
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
 	}
 }
 
-func (g *Gateway) handler(extra func(r chi.Router)) http.Handler {
+func (g *Gateway) handler(addRoutes func(r chi.Router)) http.Handler {
 	r := chi.NewRouter()
 	r.Post("/v1/requests", g.submit)
 	r.Get("/v1/requests/{id}", g.fetch)
@@ -109,8 +118,8 @@
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	r.Get("/readyz", g.ready)
 	r.Method(http.MethodGet, "/debug/vars", expvar.Handler())
-	if extra != nil {
-		extra(r)
+	if addRoutes != nil {
+		addRoutes(r)
 	}
 	return r
 }
@@ -121,31 +130,34 @@
 	}
 }
 
-func problem(w http.ResponseWriter, status int, reason, detail string) {
+func writeProblem(w http.ResponseWriter, status int, reason, detail string) {
 	jsonhttp.Write(w, status, Problem{Reason: reason, Detail: detail})
 }
 
-// validator is a body that can name its first bad field.
+// validator is a decoded body. Validate describes its first invalid field, or returns
+// an empty string.
 type validator interface{ Validate() string }
 
-// decode reads and validates a body; it reports false after it has answered
-// with a Problem.
+// decode decodes and validates a body. If that fails, it replies with a Problem and
+// returns false.
 func decode[T validator](w http.ResponseWriter, r *http.Request, limit int64) (body T, ok bool) {
 	if !decodeBody(w, r, limit, &body) {
 		return body, false
 	}
 	if reason := body.Validate(); reason != "" {
-		problem(w, http.StatusBadRequest, ReasonInvalid, reason)
+		writeProblem(w, http.StatusBadRequest, ReasonInvalid, reason)
 		return body, false
 	}
 	return body, true
 }
 
-// decodeBody reads a strict JSON body of bounded size.
-func decodeBody(w http.ResponseWriter, r *http.Request, limit int64, into any) bool {
+// decodeBody decodes a JSON body of at most limit bytes into target. It rejects
+// unknown fields and trailing data. If that fails, it replies with a Problem and
+// returns false.
+func decodeBody(w http.ResponseWriter, r *http.Request, limit int64, target any) bool {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, limit))
 	d.DisallowUnknownFields()
-	err := d.Decode(into)
+	err := d.Decode(target)
 	if err == nil {
 		_, err = d.Token()
 		if errors.Is(err, io.EOF) {
@@ -153,92 +165,96 @@
 		}
 		err = fmt.Errorf("data after the JSON value: %w", err)
 	}
-	var large *http.MaxBytesError
-	if errors.As(err, &large) {
-		problem(w, http.StatusRequestEntityTooLarge, ReasonTooLarge, fmt.Sprintf("the body is above %d bytes", limit))
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		writeProblem(w, http.StatusRequestEntityTooLarge, ReasonTooLarge, fmt.Sprintf("the body is above %d bytes", limit))
 		return false
 	}
-	problem(w, http.StatusBadRequest, ReasonMalformed, err.Error())
+	writeProblem(w, http.StatusBadRequest, ReasonMalformed, err.Error())
 	return false
 }
 
 func (g *Gateway) submit(w http.ResponseWriter, r *http.Request) {
-	spec, ok := decode[request.Spec](w, r, g.bodyLimit)
+	spec, ok := decode[request.Spec](w, r, g.maxBodyBytes)
 	if !ok {
 		return
 	}
-	wait, ok := waitOf(w, r, DefaultWait)
+	wait, ok := parseWait(w, r, DefaultWait)
 	if !ok {
 		return
 	}
 	id, refused := g.service.Submit(spec)
 	if refused != nil {
-		g.write(w, *refused)
+		g.writeOutcome(w, *refused)
 		return
 	}
-	g.answer(w, r, id, wait)
+	g.waitForOutcome(w, r, id, wait)
 }
 
-// answer waits for the outcome. A caller that leaves does not cancel the work:
-// it may fetch the answer later from any entry VM.
-func (g *Gateway) answer(w http.ResponseWriter, r *http.Request, id string, wait time.Duration) {
+// waitForOutcome waits up to wait for a request to end and replies with its outcome.
+// A caller that disconnects does not cancel the request; it can fetch the outcome
+// from any entry VM later.
+func (g *Gateway) waitForOutcome(w http.ResponseWriter, r *http.Request, id string, wait time.Duration) {
 	deadline := time.Now().Add(wait)
 	for {
-		left := max(0, time.Until(deadline))
-		out, ok := g.service.Fetch(r.Context(), id, min(left, fetchWait))
+		remaining := max(0, time.Until(deadline))
+		outcome, ok := g.service.Fetch(r.Context(), id, min(remaining, maxFetchWait))
 		switch {
 		case r.Context().Err() != nil:
 			return
 		case !ok:
-			problem(w, http.StatusNotFound, ReasonUnknown, "no request "+id+" is known")
+			writeProblem(w, http.StatusNotFound, ReasonUnknown, "no request "+id+" is known")
 			return
-		case out.State.Ended() || left == 0:
-			g.write(w, out)
+		case outcome.State.Ended() || remaining == 0:
+			g.writeOutcome(w, outcome)
 			return
 		}
 	}
 }
 
 func (g *Gateway) fetch(w http.ResponseWriter, r *http.Request) {
-	if wait, ok := waitOf(w, r, 0); ok {
-		g.answer(w, r, chi.URLParam(r, "id"), wait)
+	if wait, ok := parseWait(w, r, 0); ok {
+		g.waitForOutcome(w, r, chi.URLParam(r, "id"), wait)
 	}
 }
 
 func (g *Gateway) cancel(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
 	if !g.service.CancelRequest(r.Context(), id) {
-		problem(w, http.StatusNotFound, ReasonUnknown, "no request "+id+" is known")
+		writeProblem(w, http.StatusNotFound, ReasonUnknown, "no request "+id+" is known")
 		return
 	}
-	g.answer(w, r, id, 0)
+	g.waitForOutcome(w, r, id, 0)
 }
 
-// waitOf reads the query parameter wait_milliseconds.
-func waitOf(w http.ResponseWriter, r *http.Request, standard time.Duration) (time.Duration, bool) {
+// parseWait returns the query parameter wait_milliseconds, or fallback when it is
+// absent. If it is invalid, parseWait replies with a Problem and returns false.
+func parseWait(w http.ResponseWriter, r *http.Request, fallback time.Duration) (time.Duration, bool) {
 	text := r.URL.Query().Get("wait_milliseconds")
 	if text == "" {
-		return standard, true
+		return fallback, true
 	}
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || n < 0 || n > DefaultWait.Milliseconds() {
-		problem(w, http.StatusBadRequest, ReasonInvalid, fmt.Sprintf("wait_milliseconds must be between 0 and %d", DefaultWait.Milliseconds()))
+		writeProblem(w, http.StatusBadRequest, ReasonInvalid, fmt.Sprintf("wait_milliseconds must be between 0 and %d", DefaultWait.Milliseconds()))
 		return 0, false
 	}
 	return time.Duration(n) * time.Millisecond, true
 }
 
-// write sends an outcome. The status says in short what the body says whole.
-func (g *Gateway) write(w http.ResponseWriter, o request.Outcome) {
+// writeOutcome replies with an outcome and the matching HTTP status.
+func (g *Gateway) writeOutcome(w http.ResponseWriter, o request.Outcome) {
 	if o.RetryAfterMilliseconds > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(float64(o.RetryAfterMilliseconds)/1000))))
 	}
-	jsonhttp.Write(w, statusOf(o), o)
+	jsonhttp.Write(w, outcomeStatusCode(o), o)
 }
 
-func statusOf(o request.Outcome) int { return statusOfState(o.State, o.RetryAfterMilliseconds) }
+func outcomeStatusCode(o request.Outcome) int {
+	return stateStatusCode(o.State, o.RetryAfterMilliseconds)
+}
 
-func statusOfState(s request.State, retryAfterMilliseconds int64) int {
+func stateStatusCode(s request.State, retryAfterMilliseconds int64) int {
 	switch s {
 	case request.Done:
 		return http.StatusOK
--- a/internal/peer/caller/gateway_test.go
+++ b/internal/peer/caller/gateway_test.go
@@ -20,7 +20,8 @@
 	"github.com/almondpost/almondpost/internal/state/job"
 )
 
-// fakeService answers every request at once.
+// fakeService completes every request at once, except that it refuses those of the
+// plan "busy".
 type fakeService struct{ submitted []request.Spec }
 
 func (f *fakeService) Submit(s request.Spec) (string, *request.Outcome) {
@@ -53,7 +54,7 @@
 
 func (f *fakeService) Ready() bool { return true }
 
-const good = `{"plan":"p","class":"urgent","size":{"milliprocessors":1,"memory_mebibytes":1,"slots":1,"connections":1},"run_time_milliseconds":5,"repeatable":true,"payload":""}`
+const validRequest = `{"plan":"p","class":"urgent","size":{"milliprocessors":1,"memory_mebibytes":1,"slots":1,"connections":1},"run_time_milliseconds":5,"repeatable":true,"payload":""}`
 
 func TestBadInputIsRefusedWithAReason(t *testing.T) {
 	scenarios := []struct {
@@ -66,15 +67,15 @@
 	}{
 		{"malformed", "/v1/requests", `{`, 400, caller.ReasonMalformed, "unexpected EOF"},
 		{"unknown field", "/v1/requests", `{"colour":"red"}`, 400, caller.ReasonMalformed, "colour"},
-		{"trailing data", "/v1/requests", good + good, 400, caller.ReasonMalformed, "data after"},
+		{"trailing data", "/v1/requests", validRequest + validRequest, 400, caller.ReasonMalformed, "data after"},
 		{"missing plan", "/v1/requests", `{}`, 400, caller.ReasonInvalid, "plan"},
-		{"unknown class", "/v1/requests", strings.Replace(good, "urgent", "soon", 1), 400, caller.ReasonInvalid, "class"},
-		{"negative size", "/v1/requests", strings.Replace(good, `"milliprocessors":1`, `"milliprocessors":-1`, 1), 400, caller.ReasonInvalid, "milliprocessors"},
-		{"absurd size", "/v1/requests", strings.Replace(good, `"milliprocessors":1`, `"milliprocessors":9223372036854775807`, 1), 400, caller.ReasonInvalid, "milliprocessors"},
-		{"negative run time", "/v1/requests", strings.Replace(good, `milliseconds":5`, `milliseconds":-5`, 1), 400, caller.ReasonInvalid, "run_time"},
-		{"no key", "/v1/requests", strings.Replace(good, `true`, `false`, 1), 400, caller.ReasonInvalid, "key"},
-		{"oversized body", "/v1/requests", strings.Replace(good, `"payload":""`, `"payload":"`+strings.Repeat("A", 4096)+`"`, 1), 413, caller.ReasonTooLarge, "2048"},
-		{"bad wait", "/v1/requests?wait_milliseconds=-1", good, 400, caller.ReasonInvalid, "wait_milliseconds"},
+		{"unknown class", "/v1/requests", strings.Replace(validRequest, "urgent", "soon", 1), 400, caller.ReasonInvalid, "class"},
+		{"negative size", "/v1/requests", strings.Replace(validRequest, `"milliprocessors":1`, `"milliprocessors":-1`, 1), 400, caller.ReasonInvalid, "milliprocessors"},
+		{"absurd size", "/v1/requests", strings.Replace(validRequest, `"milliprocessors":1`, `"milliprocessors":9223372036854775807`, 1), 400, caller.ReasonInvalid, "milliprocessors"},
+		{"negative run time", "/v1/requests", strings.Replace(validRequest, `milliseconds":5`, `milliseconds":-5`, 1), 400, caller.ReasonInvalid, "run_time"},
+		{"no key", "/v1/requests", strings.Replace(validRequest, `true`, `false`, 1), 400, caller.ReasonInvalid, "key"},
+		{"oversized body", "/v1/requests", strings.Replace(validRequest, `"payload":""`, `"payload":"`+strings.Repeat("A", 4096)+`"`, 1), 413, caller.ReasonTooLarge, "2048"},
+		{"bad wait", "/v1/requests?wait_milliseconds=-1", validRequest, 400, caller.ReasonInvalid, "wait_milliseconds"},
 		{"job without tasks", "/v1/jobs", `{"tasks":[],"gang":false}`, 400, caller.ReasonInvalid, "tasks"},
 		{"job with a bad task", "/v1/jobs", `{"tasks":[{}],"gang":false}`, 400, caller.ReasonInvalid, "tasks[0]"},
 	}
@@ -101,7 +102,7 @@
 	is := is.New(t)
 	server := httptest.NewServer(caller.New(&fakeService{}, 2048, logr.Discard()).Server(nil).Handler)
 	defer server.Close()
-	r, err := http.Post(server.URL+"/v1/requests", "application/json", strings.NewReader(strings.Replace(good, `"p"`, `"busy"`, 1)))
+	r, err := http.Post(server.URL+"/v1/requests", "application/json", strings.NewReader(strings.Replace(validRequest, `"p"`, `"busy"`, 1)))
 	is.NoErr(err)
 	_ = r.Body.Close()
 	is.Equal(r.StatusCode, http.StatusServiceUnavailable)
@@ -112,25 +113,26 @@
 	is.Equal(r.StatusCode, http.StatusNotFound)
 }
 
-// cutBody ends a body early, as a caller that leaves does.
-type cutBody struct{ sent bool }
+// truncatedBody is a request body that fails after 40 bytes, like that of a caller
+// that disconnects.
+type truncatedBody struct{ sent bool }
 
-func (c *cutBody) Read(b []byte) (int, error) {
+func (c *truncatedBody) Read(b []byte) (int, error) {
 	if c.sent {
 		return 0, io.ErrUnexpectedEOF
 	}
 	c.sent = true
-	return copy(b, good[:40]), nil
+	return copy(b, validRequest[:40]), nil
 }
 
-func TestCallerThatLeavesSubmitsNothing(t *testing.T) {
+func TestTruncatedBodySubmitsNothing(t *testing.T) {
 	is := is.New(t)
 	f := &fakeService{}
 	server := httptest.NewServer(caller.New(f, 2048, logr.Discard()).Server(nil).Handler)
 	defer server.Close()
-	q, err := http.NewRequest(http.MethodPost, server.URL+"/v1/requests", &cutBody{})
+	q, err := http.NewRequest(http.MethodPost, server.URL+"/v1/requests", &truncatedBody{})
 	is.NoErr(err)
-	q.ContentLength = int64(len(good))
+	q.ContentLength = int64(len(validRequest))
 	r, err := http.DefaultClient.Do(q)
 	if err == nil {
 		_ = r.Body.Close()
@@ -138,10 +140,10 @@
 	is.Equal(len(f.submitted), 0)
 }
 
-// FuzzSubmit looks for bodies that are neither refused with a reason nor
-// submitted as a valid request.
+// FuzzSubmit checks that every body is either rejected with a reason or submitted as
+// a valid request.
 func FuzzSubmit(f *testing.F) {
-	f.Add(good)
+	f.Add(validRequest)
 	f.Add(`{"plan":1}`)
 	f.Fuzz(func(t *testing.T, body string) {
 		service := &fakeService{}
--- a/internal/peer/entry/client.go
+++ b/internal/peer/entry/client.go
@@ -13,69 +13,80 @@
 	"github.com/almondpost/almondpost/internal/operate/traffic"
 )
 
-// ServiceName is the net/rpc name of the service of an entry VM.
+// ServiceName is the name under which an entry VM registers its net/rpc service.
 const ServiceName = "Entry"
 
 // Timing of connections between entry VMs.
 const (
-	DialTimeout  = time.Second
-	CallTimeout  = 3 * time.Second
+	DialTimeout = time.Second
+	// CallTimeout is for callers to set as the deadline of short calls; Call itself
+	// does not apply it.
+	CallTimeout = 3 * time.Second
+	// PingInterval is the pause between pings on a connection with calls in flight.
 	PingInterval = time.Second
-	// PingTimeout is how long a connection may be silent while calls wait.
+	// PingTimeout is how long a ping may go unanswered before the connection is
+	// closed.
 	PingTimeout = 2500 * time.Millisecond
 )
 
-// Client keeps one connection to each peer. While calls are outstanding the
-// connection is probed; one that has gone silent is closed and replaced.
+// Client makes calls to other entry VMs over one connection per peer. It pings a
+// connection while calls are in flight. A connection that stops answering is
+// closed, and the next call opens a new one.
 type Client struct {
 	counter *traffic.Counter
-	// blocked reports peers that can not be reached, for fault injection.
+	// blocked reports whether fault injection cuts off a peer from this client.
 	blocked func(a netip.AddrPort) bool
 	mutex   sync.Mutex
 	peers   map[netip.AddrPort]*connection
 }
 
+// connection is the connection to one peer.
 type connection struct {
-	rpc   *rpc.Client
-	calls int
-	// broken is closed when the connection is given up.
-	broken  chan struct{}
+	rpc *rpc.Client
+	// outstanding is the number of calls in flight.
+	outstanding int
+	// dropped is closed together with the connection.
+	dropped chan struct{}
+	// probing is true while a goroutine pings the connection.
 	probing bool
 }
 
-// New returns a client without connections.
+// New returns a client that counts its traffic in counter. Calls to peers for which
+// blocked returns true fail.
 func New(counter *traffic.Counter, blocked func(a netip.AddrPort) bool) *Client {
 	return &Client{counter: counter, blocked: blocked, peers: map[netip.AddrPort]*connection{}}
 }
 
+// acquire returns the open connection to a peer or dials a new one, and counts a
+// call in flight on it until release.
 func (c *Client) acquire(a netip.AddrPort) (*connection, error) {
 	c.mutex.Lock()
 	if p := c.peers[a]; p != nil {
-		p.calls++
+		p.outstanding++
 		c.probe(a, p)
 		c.mutex.Unlock()
 		return p, nil
 	}
 	c.mutex.Unlock()
-	n, err := net.DialTimeout("tcp", a.String(), DialTimeout)
+	conn, err := net.DialTimeout("tcp", a.String(), DialTimeout)
 	if err != nil {
 		return nil, err
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if p := c.peers[a]; p != nil {
-		_ = n.Close()
-		p.calls++
+		_ = conn.Close()
+		p.outstanding++
 		return p, nil
 	}
-	p := &connection{rpc: rpc.NewClient(traffic.Wrap(n, c.counter)), calls: 1, broken: make(chan struct{})}
+	p := &connection{rpc: rpc.NewClient(traffic.Wrap(conn, c.counter)), outstanding: 1, dropped: make(chan struct{})}
 	c.peers[a] = p
 	c.probe(a, p)
 	return p, nil
 }
 
-// probe pings a connection as long as calls wait on it. The caller holds the
-// lock.
+// probe starts a goroutine that pings a connection while calls are in flight on it
+// and drops it when a ping fails. The caller must hold the mutex.
 func (c *Client) probe(a netip.AddrPort, p *connection) {
 	if p.probing {
 		return
@@ -85,7 +96,7 @@
 		for {
 			time.Sleep(PingInterval)
 			c.mutex.Lock()
-			if p.calls == 0 {
+			if p.outstanding == 0 {
 				p.probing = false
 				c.mutex.Unlock()
 				return
@@ -105,26 +116,29 @@
 	}()
 }
 
+// drop closes a connection and ends the calls in flight on it with KindUnknown.
 func (c *Client) drop(a netip.AddrPort, p *connection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.peers[a] == p {
 		delete(c.peers, a)
-		close(p.broken)
+		close(p.dropped)
 		_ = p.rpc.Close()
 	}
 }
 
+// release ends the count that acquire began.
 func (c *Client) release(p *connection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	p.calls--
+	p.outstanding--
 }
 
-// Call makes one call. KindNotSent is returned only when nothing was sent.
+// Call calls a method of a peer's service and waits for the reply until ctx ends.
+// Errors are of type *Error. KindNotSent guarantees that nothing was sent.
 func (c *Client) Call(ctx context.Context, a netip.AddrPort, method string, args, reply any) error {
 	if c.blocked(a) {
-		return fault.Newf(method, KindNotSent, "peer is cut off")
+		return fault.Newf(method, KindNotSent, "fault injection blocks the peer")
 	}
 	p, err := c.acquire(a)
 	if err != nil {
@@ -135,23 +149,25 @@
 	select {
 	case <-call.Done:
 		if c.blocked(a) {
-			return fault.Newf(method, KindUnknown, "the answer was cut off")
+			return fault.Newf(method, KindUnknown, "fault injection drops the answer of the peer")
 		}
-		return c.callError(a, p, method, call.Error)
-	case <-p.broken:
-		return fault.Newf(method, KindUnknown, "connection is silent")
+		return c.classifyError(a, p, method, call.Error)
+	case <-p.dropped:
+		return fault.Newf(method, KindUnknown, "the connection was dropped before the answer arrived")
 	case <-ctx.Done():
 		return fault.New(method, KindUnknown, ctx.Err())
 	}
 }
 
-func (c *Client) callError(a netip.AddrPort, p *connection, method string, err error) error {
-	var server rpc.ServerError
+// classifyError converts the error of a finished call. It drops the connection when
+// the error does not come from the called method.
+func (c *Client) classifyError(a netip.AddrPort, p *connection, method string, err error) error {
+	var serverError rpc.ServerError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &server):
-		if string(server) == string(KindEpoch) {
+	case errors.As(err, &serverError):
+		if string(serverError) == string(KindEpoch) {
 			return fault.New(method, KindEpoch, err)
 		}
 		return fault.New(method, KindUnknown, err)
@@ -166,7 +182,7 @@
 	defer c.mutex.Unlock()
 	for a, p := range c.peers {
 		delete(c.peers, a)
-		close(p.broken)
+		close(p.dropped)
 		_ = p.rpc.Close()
 	}
 }
--- a/internal/peer/entry/client_test.go
+++ b/internal/peer/entry/client_test.go
@@ -13,7 +13,7 @@
 	"github.com/almondpost/almondpost/internal/peer/entry"
 )
 
-// slowHandler holds every Run until it is released.
+// slowHandler blocks every Run call until release is closed.
 type slowHandler struct{ release chan struct{} }
 
 func (h slowHandler) Run(entry.RunArgs) (entry.Status, error) {
@@ -45,7 +45,7 @@
 	return entry.ReserveReply{}, nil
 }
 
-func reachable(netip.AddrPort) bool { return false }
+func neverBlocked(netip.AddrPort) bool { return false }
 
 func listen(is *is.I) (net.Listener, netip.AddrPort) {
 	is.Helper()
@@ -54,9 +54,10 @@
 	return l, l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// TestSilentConnectionIsReplaced calls a peer that accepts connections and
-// answers nothing. The call ends with an unknown outcome though its caller set
-// no deadline, and later calls go through once the peer answers.
+// TestSilentConnectionIsReplaced guards against calls that hang on a dead
+// connection. The peer accepts connections but never answers: a call without a
+// deadline must end with an unknown outcome, and calls must succeed again once the
+// peer answers.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	is := is.New(t)
 	l, address := listen(is)
@@ -70,16 +71,16 @@
 			accepted <- c
 		}
 	}()
-	c := entry.New(&traffic.Counter{}, reachable)
+	c := entry.New(&traffic.Counter{}, neverBlocked)
 	defer c.Close()
 	err := c.Call(context.Background(), address, "Await", entry.AwaitArgs{}, &entry.Status{})
 	is.Equal(fault.KindOf[entry.Kind](err), entry.KindUnknown)
 	is.NoErr(l.Close())
 	_ = (<-accepted).Close()
 
-	again, err := net.Listen("tcp", address.String())
+	listener, err := net.Listen("tcp", address.String())
 	is.NoErr(err)
-	server, err := entry.NewServer(again, slowHandler{}, &traffic.Counter{})
+	server, err := entry.NewServer(listener, slowHandler{}, &traffic.Counter{})
 	is.NoErr(err)
 	defer server.Close()
 	var s entry.Status
@@ -87,16 +88,16 @@
 	is.Equal(s.State, entry.Running)
 }
 
-// TestProbeSparesASlowCall checks that a call which takes long on a living
-// connection is not given up.
-func TestProbeSparesASlowCall(t *testing.T) {
+// TestProbeKeepsConnectionOfSlowCall checks that a call in flight for a long time
+// is not ended while its connection still answers other calls.
+func TestProbeKeepsConnectionOfSlowCall(t *testing.T) {
 	is := is.New(t)
 	l, address := listen(is)
 	h := slowHandler{release: make(chan struct{})}
 	server, err := entry.NewServer(l, h, &traffic.Counter{})
 	is.NoErr(err)
 	defer server.Close()
-	c := entry.New(&traffic.Counter{}, reachable)
+	c := entry.New(&traffic.Counter{}, neverBlocked)
 	defer c.Close()
 	done := make(chan error, 1)
 	go func() {
@@ -113,7 +114,7 @@
 func TestKindsOfCallErrors(t *testing.T) {
 	is := is.New(t)
 	l, address := listen(is)
-	c := entry.New(&traffic.Counter{}, reachable)
+	c := entry.New(&traffic.Counter{}, neverBlocked)
 	defer c.Close()
 	server, err := entry.NewServer(l, slowHandler{}, &traffic.Counter{})
 	is.NoErr(err)
--- a/internal/peer/entry/heartbeat.go
+++ b/internal/peer/entry/heartbeat.go
@@ -8,7 +8,7 @@
 	"github.com/almondpost/almondpost/internal/state/membership"
 )
 
-// maxHeartbeatBytes bounds one heartbeat datagram.
+// maxHeartbeatBytes is the maximum size of a heartbeat datagram.
 const maxHeartbeatBytes = 1024
 
 // Heartbeats sends and receives heartbeats over UDP.
@@ -16,7 +16,7 @@
 	socket *net.UDPConn
 }
 
-// ListenHeartbeats opens the socket.
+// ListenHeartbeats opens a UDP socket on an address.
 func ListenHeartbeats(a netip.AddrPort) (*Heartbeats, error) {
 	s, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(a))
 	if err != nil {
@@ -34,16 +34,17 @@
 	return h.socket.WriteToUDPAddrPort(data, to)
 }
 
-// Received is a heartbeat as it came.
+// Received is a received heartbeat.
 type Received struct {
 	membership.Heartbeat
+	// From is the address of the sender.
 	From netip.AddrPort
-	// Length is in bytes.
+	// Length is the size of the datagram in bytes.
 	Length int
 }
 
-// Receive waits for the next heartbeat; malformed datagrams are skipped. It
-// fails once the socket is closed.
+// Receive waits for the next heartbeat and skips malformed datagrams. It returns an
+// error after the socket is closed.
 func (h *Heartbeats) Receive() (Received, error) {
 	buffer := make([]byte, maxHeartbeatBytes)
 	for {
--- a/internal/peer/entry/protocol.go
+++ b/internal/peer/entry/protocol.go
@@ -1,5 +1,9 @@
-// Package entry is the protocol between entry VMs: net/rpc calls over TCP, and
-// heartbeats over UDP.
+// Package entry implements the protocol between entry VMs: net/rpc calls over TCP
+// and heartbeats over UDP.
+//
+// Each worker is owned by one entry VM, which queues and runs attempts on it. The
+// holder of a request or job is the entry VM that tracks it and asks owners to run
+// its attempts.
 package entry
 
 import (
@@ -16,18 +20,19 @@
 
 // The kinds of Error.
 const (
-	// KindNotSent means that the call never left this process.
+	// KindNotSent means that no part of the call was sent.
 	KindNotSent Kind = "not_sent"
 	// KindUnknown means that the call may have taken effect.
 	KindUnknown Kind = "unknown_outcome"
-	// KindEpoch means that the called owner is not the one meant, or was paused.
+	// KindEpoch means that the epoch in the call is not that of the called owner:
+	// its process has restarted, or it took a new epoch after a pause.
 	KindEpoch Kind = "other_epoch"
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// State is what an owner says of an attempt.
+// State is the state of an attempt at its owner.
 type State string
 
 // The states of an attempt.
@@ -37,165 +42,185 @@
 	Finished State = "finished"
 	// Failed means that the attempt ran and failed.
 	Failed State = "failed"
-	// Stopped means that the attempt ran and was stopped, or its lease lapsed.
+	// Stopped means that the attempt ran and was stopped, or its lease expired.
 	Stopped State = "stopped"
 	// NotRun means that the attempt never ran and never will.
 	NotRun State = "not_run"
-	// Moved means that the worker of the attempt has another owner now; the
-	// attempt has to be resolved there.
+	// Moved means that another owner has adopted the worker of the attempt. The
+	// outcome must be resolved there.
 	Moved State = "moved"
 )
 
-// Ended reports whether the owner has nothing more to say of the attempt.
+// Ended reports whether the state at this owner is final.
 func (s State) Ended() bool { return s != Waiting && s != Running }
 
-// Reasons that owners give beside those of the allocator and the workers.
+// Reasons that owners report in Status.Reason, in addition to those of the allocator
+// and the workers.
 const (
 	ReasonFenced      = "fenced"
 	ReasonCancelled   = "cancelled"
 	ReasonPreempted   = "preempted"
 	ReasonLeaseLapsed = "lease_lapsed"
-	// ReasonInterrupted is given for work that ran, was stopped before its end,
-	// and could not be started again.
+	// ReasonInterrupted means that the work was stopped before it finished and could
+	// not be restarted.
 	ReasonInterrupted = "interrupted"
 )
 
-// Task is one attempt as it travels between entry VMs.
+// Task is one attempt to run a task, as sent between entry VMs.
 type Task struct {
-	Attempt    string
-	Customer   string
-	Plan       string
-	Class      plan.Class
-	Size       resource.Vector
-	Kind       string
-	Spread     string
+	// Attempt is the ID of the attempt.
+	Attempt  string
+	Customer string
+	Plan     string
+	Class    plan.Class
+	Size     resource.Vector
+	Kind     string
+	// Spread names a group of tasks that should run on different racks; it may be
+	// empty.
+	Spread string
+	// Repeatable means that the work may safely run again after it was stopped.
 	Repeatable bool
-	RunTime    time.Duration
-	// Name is the task that the attempt belongs to.
+	// RunTime is the declared run time.
+	RunTime time.Duration
+	// Name identifies the task that the attempt belongs to.
 	Name string
-	// Resumed attempts follow one that ran and was stopped.
+	// Resumed means that an earlier attempt of the task ran and was stopped.
 	Resumed bool
-	// Generation is that of the holder, for tasks of jobs; 0 for requests.
+	// Generation is the generation of the holder for tasks of jobs, 0 for requests.
 	Generation int
-	// Remaining is the time to the deadline when the call was sent; zero means
-	// no deadline. A duration is used since clocks of VMs differ.
+	// Remaining is the time from the sending of the call to the deadline; 0 means
+	// no deadline. It is a duration because the clocks of VMs differ.
 	Remaining time.Duration
 	Payload   []byte
 }
 
-// Status is what an owner says of an attempt.
+// Status is the state of an attempt at its owner, with its result.
 type Status struct {
 	State  State
 	Reason string
 	Worker string
 	Answer []byte
-	// RetryAfter is a hint for attempts that were not run.
+	// RetryAfter suggests when to retry an attempt in the state NotRun; 0 means no
+	// suggestion.
 	RetryAfter time.Duration
 	// Waited is how long the attempt was queued at the owner.
 	Waited time.Duration
 }
 
-// HolderLease is how long a waiting attempt is kept without being asked for.
-// Past it the attempt never starts, so that its holder may give up on an owner
-// that it can not reach.
+// HolderLease is how long an attempt stays startable after its holder last called
+// Run or Await for it. A waiting attempt does not start after that, so a holder that
+// cannot reach the owner knows after this time that the attempt will not start.
 const HolderLease = 4 * time.Second
 
-// RunArgs asks an owner to run an attempt and to wait for its end.
+// RunArgs requests that an owner run an attempt and wait for its end.
 type RunArgs struct {
-	// Epoch is that of the owner that the caller means; another one refuses.
+	// Epoch is the expected epoch of the owner. An owner with another epoch refuses
+	// the call.
 	Epoch uint64
 	Task  Task
-	Wait  time.Duration
+	// Wait is how long the owner may wait for the end of the attempt.
+	Wait time.Duration
 }
 
-// AwaitArgs asks for the end of an attempt that an owner was given before. An
-// attempt that the owner does not know is fenced: it never runs there later.
+// AwaitArgs requests that an owner wait for the end of an attempt from an earlier
+// Run call. If the owner does not know the attempt, it fences it: the attempt can
+// never run there.
 type AwaitArgs struct {
 	Epoch   uint64
 	Attempt string
 	Wait    time.Duration
 }
 
-// CancelArgs asks an owner to stop an attempt.
+// CancelArgs requests that an owner stop an attempt.
 type CancelArgs struct {
 	Attempt string
 }
 
-// ResolveArgs asks an owner what it knows of attempts whose former owner is
-// gone. Unknown attempts are fenced at the owner.
+// ResolveArgs queries the state of attempts whose former owner is gone. The owner
+// fences the attempts that it does not know.
 type ResolveArgs struct {
 	Attempts []string
-	// Peek asks without fencing.
+	// Peek disables the fencing of unknown attempts.
 	Peek bool
-	// Tasks asks for all attempts of tasks. Attempts of a generation below the
-	// given one are fenced: those that have not started here never will.
+	// Tasks maps task names to the generation of the holder. It queries the attempts
+	// of each task and fences those of lower generations: they can no longer start
+	// at this owner.
 	Tasks map[string]int
 }
 
-// ResolveReply tells what an owner knows.
+// ResolveReply is the result of a Resolve call.
 type ResolveReply struct {
-	// FoundTasks holds, by task, the attempt that runs or ended.
+	// FoundTasks maps each requested task that has an attempt at the owner to the
+	// most advanced one: finished before running or waiting before the rest.
 	FoundTasks map[string]FoundAttempt
-	// Found holds the attempts that run on or ended on the owner's workers.
+	// Found maps the requested attempts that the owner knows to their status.
+	// Attempts that are fenced or that moved to another owner are left out.
 	Found map[string]Status
-	// Epoch is that of the answering owner.
+	// Epoch is the epoch of the answering owner.
 	Epoch uint64
-	// Verified holds, for each worker that the owner holds the token of, how
-	// long ago the last answered call to it was sent.
+	// Verified maps each worker that the owner has adopted to the time since the
+	// last answered call to it was sent.
 	Verified map[string]time.Duration
 }
 
-// FoundAttempt is an attempt of a task that was asked for.
+// FoundAttempt is an attempt of a task in ResolveArgs.Tasks.
 type FoundAttempt struct {
 	Attempt string
 	Status  Status
 }
 
-// FetchArgs asks for the outcome of a request.
+// FetchArgs requests the outcome of a request or the status of a job.
 type FetchArgs struct {
 	ID string
-	// Job asks for a job instead of a request.
+	// Job selects a job instead of a request.
 	Job bool
-	// Cancel cancels the request instead.
+	// Cancel cancels the request instead of fetching its outcome.
 	Cancel bool
-	Wait   time.Duration
+	// Wait is how long the entry VM may wait for the end.
+	Wait time.Duration
 }
 
-// FetchReply carries an outcome as the caller interface shows it.
+// FetchReply is the result of a Fetch call.
 type FetchReply struct {
-	Known   bool
+	// Known reports whether the entry VM knows the request or job.
+	Known bool
+	// Outcome is the JSON body of the reply to the caller.
 	Outcome []byte
 }
 
-// ConfigurationReply carries the newest accepted configuration.
+// ConfigurationReply contains the newest accepted configuration.
 type ConfigurationReply struct {
+	// Offset is the offset of its record in the log.
 	Offset uint64
 	Lists  plan.Lists
 }
 
-// ReserveArgs asks an owner to hold room for tasks of a gang.
+// ReserveArgs requests that an owner reserve capacity for the tasks of a gang.
 type ReserveArgs struct {
+	// Epoch is the expected epoch of the owner.
 	Epoch uint64
-	// Gang names the gang; only one may collect at an owner at a time.
+	// Gang is the ID of the gang.
 	Gang  string
 	Tasks []Task
-	// Lease is how long room is held without a renewal.
+	// Lease is how long the reservation lasts without renewal.
 	Lease time.Duration
-	// Collect asks for room that comes free later, too.
+	// Collect also reserves capacity that becomes free later, ahead of all queues.
+	// Only one gang at a time may do this at an owner.
 	Collect bool
 }
 
-// ReserveReply names the attempts whose room is held.
+// ReserveReply is the result of a Reserve call.
 type ReserveReply struct {
+	// Held lists the attempts whose capacity is reserved.
 	Held []string
-	// Busy means that another gang collects.
+	// Busy means that another gang is collecting capacity at this owner.
 	Busy bool
 }
 
-// UsageReply carries the sums of an entry VM that are not in the log yet.
+// UsageReply contains the usage sums of an entry VM that are not in the log yet.
 type UsageReply struct {
 	Periods []usage.Period
 }
 
-// Nothing is an empty argument or reply.
+// Nothing is the argument or reply of a method without one.
 type Nothing struct{}
--- a/internal/peer/entry/server.go
+++ b/internal/peer/entry/server.go
@@ -9,7 +9,7 @@
 	"github.com/almondpost/almondpost/internal/operate/traffic"
 )
 
-// Handler is what an entry VM offers to the others.
+// Handler executes the calls of other entry VMs.
 type Handler interface {
 	Run(a RunArgs) (Status, error)
 	Await(a AwaitArgs) (Status, error)
@@ -21,72 +21,74 @@
 	Reserve(a ReserveArgs) (ReserveReply, error)
 }
 
-// ErrEpoch refuses a call that was meant for another process.
+// ErrEpoch refuses a call whose epoch is not that of this owner. Its text is the
+// kind KindEpoch, by which Client recognizes it.
 var ErrEpoch = errors.New(string(KindEpoch))
 
-// service adapts a Handler to the form of net/rpc.
+// service adapts a Handler to the method signatures of net/rpc.
 type service struct{ h Handler }
 
-// Ping answers at once.
+// Ping lets a client check that the connection works.
 func (s *service) Ping(_ Nothing, _ *Nothing) error { return nil }
 
-// Run serves Handler.Run.
+// Run calls Handler.Run.
 func (s *service) Run(a RunArgs, r *Status) (err error) {
 	*r, err = s.h.Run(a)
 	return err
 }
 
-// Await serves Handler.Await.
+// Await calls Handler.Await.
 func (s *service) Await(a AwaitArgs, r *Status) (err error) {
 	*r, err = s.h.Await(a)
 	return err
 }
 
-// Cancel serves Handler.Cancel.
+// Cancel calls Handler.Cancel.
 func (s *service) Cancel(a CancelArgs, _ *Nothing) error { return s.h.Cancel(a) }
 
-// Resolve serves Handler.Resolve.
+// Resolve calls Handler.Resolve.
 func (s *service) Resolve(a ResolveArgs, r *ResolveReply) (err error) {
 	*r, err = s.h.Resolve(a)
 	return err
 }
 
-// Fetch serves Handler.Fetch.
+// Fetch calls Handler.Fetch.
 func (s *service) Fetch(a FetchArgs, r *FetchReply) (err error) {
 	*r, err = s.h.Fetch(a)
 	return err
 }
 
-// Configuration serves Handler.Configuration.
+// Configuration calls Handler.Configuration.
 func (s *service) Configuration(_ Nothing, r *ConfigurationReply) (err error) {
 	*r, err = s.h.Configuration()
 	return err
 }
 
-// Usage serves Handler.Usage.
+// Usage calls Handler.Usage.
 func (s *service) Usage(_ Nothing, r *UsageReply) (err error) {
 	*r, err = s.h.Usage()
 	return err
 }
 
-// Reserve serves Handler.Reserve.
+// Reserve calls Handler.Reserve.
 func (s *service) Reserve(a ReserveArgs, r *ReserveReply) (err error) {
 	*r, err = s.h.Reserve(a)
 	return err
 }
 
-// Server accepts calls of other entry VMs.
+// Server serves the calls of other entry VMs.
 type Server struct {
-	counter  *traffic.Counter
-	listener net.Listener
-	rpc      *rpc.Server
-	mutex    sync.Mutex
-	open     map[net.Conn]bool
+	counter     *traffic.Counter
+	listener    net.Listener
+	rpc         *rpc.Server
+	mutex       sync.Mutex
+	connections map[net.Conn]bool
 }
 
-// NewServer serves a handler on a listener until Close.
+// NewServer starts to serve a handler on a listener and does so until Close. It
+// counts the traffic of its connections.
 func NewServer(l net.Listener, h Handler, counter *traffic.Counter) (*Server, error) {
-	s := &Server{counter: counter, listener: l, rpc: rpc.NewServer(), open: map[net.Conn]bool{}}
+	s := &Server{counter: counter, listener: l, rpc: rpc.NewServer(), connections: map[net.Conn]bool{}}
 	if err := s.rpc.RegisterName(ServiceName, &service{h}); err != nil {
 		return nil, err
 	}
@@ -101,23 +103,23 @@
 			return
 		}
 		s.mutex.Lock()
-		s.open[c] = true
+		s.connections[c] = true
 		s.mutex.Unlock()
 		go func() {
 			s.rpc.ServeConn(traffic.Wrap(c, s.counter))
 			s.mutex.Lock()
-			delete(s.open, c)
+			delete(s.connections, c)
 			s.mutex.Unlock()
 		}()
 	}
 }
 
-// Close ends the listener and every connection.
+// Close closes the listener and every connection.
 func (s *Server) Close() {
 	_ = s.listener.Close()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for c := range s.open {
+	for c := range s.connections {
 		_ = c.Close()
 	}
 }
--- a/internal/peer/jsonhttp/jsonhttp.go
+++ b/internal/peer/jsonhttp/jsonhttp.go
@@ -1,5 +1,5 @@
-// Package jsonhttp carries JSON values over HTTP for the clients and servers of
-// the platform's protocols.
+// Package jsonhttp sends and receives JSON over HTTP. The clients of the platform's
+// services, their emulations and the caller interface share it.
 package jsonhttp
 
 import (
@@ -12,14 +12,14 @@
 	"net/http"
 )
 
-// MaxBodyBytes bounds every body that is read.
+// MaxBodyBytes is the maximum number of bytes read from a body.
 const MaxBodyBytes = 64 << 20
 
 // StatusError is a reply with a status other than 200.
 type StatusError struct {
 	// Code is the HTTP status.
 	Code int
-	// Message is the body, cut at maxMessageBytes.
+	// Message is the body, truncated to maxMessageBytes.
 	Message string
 }
 
@@ -28,7 +28,8 @@
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Code, e.Message) }
 
-// Post sends request as JSON and decodes the reply.
+// Post sends request as JSON and decodes the JSON reply. It returns a *StatusError
+// for a status other than 200.
 func Post(ctx context.Context, client *http.Client, url string, request, reply any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -37,14 +38,16 @@
 	return do(ctx, client, http.MethodPost, url, bytes.NewReader(body), reply)
 }
 
-// Get decodes the reply to a GET.
+// Get sends a GET request and decodes the JSON reply. It returns a *StatusError for
+// a status other than 200.
 func Get(ctx context.Context, client *http.Client, url string, reply any) error {
 	return do(ctx, client, http.MethodGet, url, nil, reply)
 }
 
-// GetTagged decodes the reply to a GET unless it still has the entity tag that
-// the caller knows; reply is left alone then. It returns the current tag.
-func GetTagged(ctx context.Context, client *http.Client, url, tag string, reply any) (string, error) {
+// GetIfChanged is Get with the condition that the entity tag differs from tag, and
+// returns the current tag. It leaves reply unchanged when the tag is the same. An
+// empty tag means no condition.
+func GetIfChanged(ctx context.Context, client *http.Client, url, tag string, reply any) (string, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return "", err
@@ -63,6 +66,7 @@
 	return s.Header.Get("ETag"), decode(s, reply)
 }
 
+// do sends a request and decodes the JSON reply.
 func do(ctx context.Context, client *http.Client, method, url string, body io.Reader, reply any) error {
 	r, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
@@ -77,9 +81,11 @@
 	return decode(s, reply)
 }
 
-// omitUserAgent saves the bytes of a header that no peer reads.
+// omitUserAgent removes the User-Agent header, which no peer reads, to save
+// traffic.
 func omitUserAgent(r *http.Request) { r.Header.Set("User-Agent", "") }
 
+// decode reads and closes the body of a response.
 func decode(s *http.Response, reply any) error {
 	defer func() { _ = s.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(s.Body, MaxBodyBytes))
@@ -92,7 +98,7 @@
 	return json.Unmarshal(data, reply)
 }
 
-// Write sends a value as JSON with a status.
+// Write replies with a status and a value encoded as JSON.
 func Write(w http.ResponseWriter, status int, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -105,7 +111,8 @@
 	_, _ = w.Write(data)
 }
 
-// Handler adapts a typed function to HTTP. A *StatusError chooses the status.
+// Handler converts a function from request to reply into an HTTP handler with JSON
+// bodies. An error results in status 500, or in the code of a *StatusError.
 func Handler[Q, A any](f func(ctx context.Context, request Q) (A, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var request Q
--- a/internal/peer/link/client.go
+++ b/internal/peer/link/client.go
@@ -1,6 +1,6 @@
-// Package link carries calls between entry VMs over net/rpc. A connection on
-// which a call is not answered in time is given up, since connections can go
-// silent for good while new ones work.
+// Package link makes net/rpc calls between entry VMs. When a call times out, its
+// connection is closed and the next call opens a new one, because a connection can
+// hang forever while new connections to the same peer work.
 package link
 
 import (
@@ -22,17 +22,18 @@
 const (
 	// KindUnreachable means that the call was not sent.
 	KindUnreachable Kind = "unreachable"
-	// KindUnknown means that the call has no answer.
+	// KindUnknown means that the call was sent but not answered, so its outcome is
+	// unknown.
 	KindUnknown Kind = "unknown"
-	// KindFailed means that the peer answered with an error.
+	// KindFailed means that the called method returned an error.
 	KindFailed Kind = "failed"
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// dialTimeout bounds the time to connect: several round trips between failure
-// domains.
+// dialTimeout is the timeout for connecting. It allows for several round trips
+// between failure domains.
 const dialTimeout = 400 * time.Millisecond
 
 // Client keeps one connection to each peer.
@@ -40,15 +41,17 @@
 	service string
 	mutex   sync.Mutex
 	peers   map[netip.AddrPort]*rpc.Client
-	// silent holds when a peer last left a call without an answer.
-	silent map[netip.AddrPort]time.Time
+	// lastUnanswered is the time of the last unanswered call to each peer. A
+	// successful call deletes the entry.
+	lastUnanswered map[netip.AddrPort]time.Time
 }
 
-// NewClient returns a client for the methods of a service.
+// NewClient returns a client for the methods of one net/rpc service.
 func NewClient(service string) *Client {
-	return &Client{service: service, peers: map[netip.AddrPort]*rpc.Client{}, silent: map[netip.AddrPort]time.Time{}}
+	return &Client{service: service, peers: map[netip.AddrPort]*rpc.Client{}, lastUnanswered: map[netip.AddrPort]time.Time{}}
 }
 
+// connect returns the open connection to a peer or dials a new one.
 func (c *Client) connect(ctx context.Context, a netip.AddrPort) (*rpc.Client, error) {
 	c.mutex.Lock()
 	p := c.peers[a]
@@ -72,29 +75,30 @@
 	return p, nil
 }
 
-// Silent reports whether a peer has left a call without an answer lately, and has
-// answered none since.
+// Silent reports whether a call to the peer went unanswered within the last
+// silentPeriod and no later call succeeded.
 func (c *Client) Silent(a netip.AddrPort) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	at, ok := c.silent[a]
-	return ok && time.Since(at) < silenceKept
+	at, ok := c.lastUnanswered[a]
+	return ok && time.Since(at) < silentPeriod
 }
 
-// silenceKept is how long a peer without an answer counts as silent.
-const silenceKept = 3 * time.Second
+// silentPeriod is how long a peer counts as silent after an unanswered call.
+const silentPeriod = 3 * time.Second
 
-// note remembers whether a peer has answered.
-func (c *Client) note(a netip.AddrPort, answered bool) {
+// recordAnswer records for Silent whether a call to the peer was answered.
+func (c *Client) recordAnswer(a netip.AddrPort, answered bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if answered {
-		delete(c.silent, a)
+		delete(c.lastUnanswered, a)
 	} else {
-		c.silent[a] = time.Now()
+		c.lastUnanswered[a] = time.Now()
 	}
 }
 
+// drop closes a connection and removes it, so that the next call opens a new one.
 func (c *Client) drop(a netip.AddrPort, p *rpc.Client) {
 	c.mutex.Lock()
 	if c.peers[a] == p {
@@ -104,33 +108,34 @@
 	_ = p.Close()
 }
 
-// Call makes one call.
+// Call calls a method of a peer's service and waits for the reply until ctx ends.
+// Errors are of type *Error.
 func Call[Args, Reply any](ctx context.Context, c *Client, a netip.AddrPort, method string, args Args) (Reply, error) {
 	var reply Reply
 	p, err := c.connect(ctx, a)
 	if err != nil {
-		c.note(a, false)
+		c.recordAnswer(a, false)
 		return reply, fault.New(method, KindUnreachable, err)
 	}
 	call := p.Go(c.service+"."+method, args, &reply, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
-		var answered rpc.ServerError
+		var serverError rpc.ServerError
 		switch {
 		case call.Error == nil:
-			c.note(a, true)
+			c.recordAnswer(a, true)
 			return reply, nil
-		case errors.As(call.Error, &answered):
+		case errors.As(call.Error, &serverError):
 			return reply, fault.New(method, KindFailed, call.Error)
 		}
 		c.drop(a, p)
 		return reply, fault.New(method, KindUnknown, call.Error)
 	case <-ctx.Done():
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			c.note(a, false)
+			c.recordAnswer(a, false)
 			c.drop(a, p)
 		}
-		var none Reply // The call may still write to reply.
+		var none Reply // The call in flight may still write to reply.
 		return none, fault.New(method, KindUnknown, ctx.Err())
 	}
 }
@@ -145,8 +150,8 @@
 	}
 }
 
-// Serve answers calls to the exported methods of a receiver until the listener
-// is closed. It closes its connections then.
+// Serve serves the exported methods of a receiver as a net/rpc service until the
+// listener is closed. It then closes all accepted connections.
 func Serve(l net.Listener, service string, receiver any) error {
 	server := rpc.NewServer()
 	if err := server.RegisterName(service, receiver); err != nil {
@@ -159,16 +164,16 @@
 		if err != nil {
 			return nil //nolint:nilerr // The listener was closed.
 		}
-		served := make(chan struct{})
+		connDone := make(chan struct{})
 		go func() {
-			defer close(served)
+			defer close(connDone)
 			server.ServeConn(conn)
 		}()
 		go func() {
 			select {
 			case <-done:
 				_ = conn.Close()
-			case <-served:
+			case <-connDone:
 			}
 		}()
 	}
--- a/internal/peer/logservice/log.go
+++ b/internal/peer/logservice/log.go
@@ -1,5 +1,5 @@
-// Package logservice speaks with the platform's log service: append-only
-// streams with offsets and limited retention.
+// Package logservice is the client of the platform's log service, which stores
+// append-only streams of records with offsets and limited retention.
 package logservice
 
 import (
@@ -17,52 +17,55 @@
 // Kind classifies the errors of this package.
 type Kind string
 
-// KindUnreachable means that the log gave no answer; an append may still have
-// taken effect.
+// KindUnreachable means that the log service sent no valid answer. An append may
+// have taken effect nevertheless.
 const KindUnreachable Kind = "unreachable"
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// CallTimeout bounds every call beside the wait that it asks for.
+// CallTimeout is the timeout of a call; the wait time that a call requests is added
+// to it.
 const CallTimeout = 3 * time.Second
 
 // Record is one record of a stream.
 type Record struct {
-	// Offset starts at 1 and rises by 1 within a stream.
+	// Offset is 1 for the first record of a stream and increases by 1 per record.
 	Offset uint64 `json:"offset"`
 	Data   []byte `json:"data"`
 }
 
-// AppendRequest appends records in order.
+// AppendRequest appends records to a stream, in the given order.
 type AppendRequest struct {
 	Stream  string   `json:"stream"`
 	Records [][]byte `json:"records"`
 }
 
-// AppendReply tells where the records were put.
+// AppendReply is the result of an append.
 type AppendReply struct {
-	// First is the offset of the first record.
+	// First is the offset of the first appended record.
 	First uint64 `json:"first"`
 }
 
-// ReadReply carries the records after an offset.
+// ReadReply contains the records after the requested offset.
 type ReadReply struct {
 	Records []Record `json:"records"`
-	// Oldest is the oldest offset that is still retained, or the next offset
-	// when the stream is empty.
+	// Oldest is the offset of the oldest retained record, or the next offset to be
+	// assigned when the stream is empty.
 	Oldest uint64 `json:"oldest"`
 }
 
-// Log is the log service as the system sees it.
+// Log is the interface to the log service. Errors are of type *Error.
 type Log interface {
-	// Append adds records. After an error the records may or may not be there.
+	// Append adds records to a stream and returns the offset of the first. After an
+	// error it is unknown whether the records were added.
 	Append(ctx context.Context, stream string, records [][]byte) (first uint64, err error)
-	// Read returns up to limit records after an offset and waits for the first.
+	// Read returns up to limit records after an offset. When there are none, it
+	// waits for one for up to wait.
 	Read(ctx context.Context, stream string, after uint64, limit int, wait time.Duration) (ReadReply, error)
 }
 
-// Client is a Log over HTTP and JSON.
+// Client is a Log that sends JSON over HTTP.
 type Client struct {
 	base   string
 	client *http.Client
--- a/internal/peer/store/read.go
+++ b/internal/peer/store/read.go
@@ -2,11 +2,14 @@
 
 import "time"
 
-// Read asks for the records of a topic from an offset on.
+// Read requests the records of one partition, starting at an offset.
 type Read struct {
 	Topic Topic
-	Part  int
-	From  int64
-	// Wait is how long the store may wait for a record; 0 means not at all.
+	// Part is the partition of the topic.
+	Part int
+	// From is the offset of the first record to return.
+	From int64
+	// Wait is how long the store may wait for a record when there is none; 0 makes
+	// it answer at once.
 	Wait time.Duration
 }
--- a/internal/peer/store/store.go
+++ b/internal/peer/store/store.go
@@ -1,5 +1,6 @@
-// Package store is the platform's store as the scheduler sees it: topics of
-// keyed records, of which the newest of each key is kept.
+// Package store defines the scheduler's interface to the platform's store. The
+// store consists of topics, which are compacted logs of keyed records: the newest
+// record of each key is always kept. Package platform implements it over HTTP.
 package store
 
 import (
@@ -13,15 +14,18 @@
 
 // The kinds of Error.
 const (
-	// KindRefused means that nothing was done.
+	// KindRefused means that the store rejected the call and changed nothing.
 	KindRefused Kind = "refused"
-	// KindUnknown means that the call may have been carried out, or may be yet.
+	// KindUnknown means that the call may have taken effect or may still take
+	// effect.
 	KindUnknown Kind = "unknown"
-	// KindFenced means that a producer with a higher epoch has written.
+	// KindFenced means that the same producer has already written with a higher
+	// epoch.
 	KindFenced Kind = "fenced"
-	// KindConflict means that the topic does not end where the caller said.
+	// KindConflict means that the end of the topic violates the condition of the
+	// append, or that a sequence number of the producer is missing.
 	KindConflict Kind = "conflict"
-	// KindDropped means that the records asked for are not kept any more.
+	// KindDropped means that the store has deleted records in the requested range.
 	KindDropped Kind = "dropped"
 )
 
@@ -33,77 +37,82 @@
 
 // The topics of the scheduler.
 const (
-	// Jobs holds submissions and cancellations, in several partitions.
+	// Jobs contains job submissions and cancellations. It has several partitions.
 	Jobs Topic = "jobs"
-	// Progress holds the progress of each job under its ID; only the leader
-	// writes here, as a producer with its epoch.
+	// Progress contains the progress of each job, keyed by job ID. Only the leader
+	// writes to it, as a producer with the epoch of its leadership.
 	Progress Topic = "progress"
-	// Claims holds who leads.
+	// Claims contains the claims to leadership, from which the leader is elected.
 	Claims Topic = "claims"
-	// VMs holds the entry VMs by name.
+	// VMs contains the entry VMs, keyed by name.
 	VMs Topic = "vms"
-	// Configuration holds what operators publish.
+	// Configuration contains the configurations that operators publish.
 	Configuration Topic = "configuration"
-	// Workers holds what workers say of themselves.
+	// Workers contains the registrations of workers, keyed by instance ID.
 	Workers Topic = "workers"
 )
 
-// Record is a keyed record. One without a value drops the key.
+// Record is a keyed record. A record with an empty value deletes the key.
 type Record struct {
-	Key    string
-	Value  []byte
+	Key   string
+	Value []byte
+	// Offset is the position of the record in its partition.
 	Offset int64
 }
 
-// Producer makes appends idempotent and fences older epochs.
+// Producer identifies the writer of an append. The store uses it to drop duplicate
+// appends and to refuse appends with an older epoch.
 type Producer struct {
 	Name  string
 	Epoch int64
-	// Sequence numbers the appends of an epoch, each one more than the last.
+	// Sequence numbers the appends of an epoch consecutively.
 	Sequence int64
 }
 
 // Append is one atomic append.
 type Append struct {
 	Topic Topic
-	// Part is the partition; a producer's epoch holds within one.
+	// Part is the partition. The epoch and sequence of a producer are tracked
+	// separately for each partition.
 	Part    int
 	Records []Record
-	// Producer is nil for an append that may safely be carried out twice.
+	// Producer is nil for an append that may safely take effect twice.
 	Producer *Producer
-	// Condition, where it is set, must hold for the append to happen.
+	// Condition must be met for the append to take effect, unless it is the zero
+	// value.
 	Condition Condition
 }
 
-// Condition makes an append depend on where the topic ends.
+// Condition makes an append a compare-and-set on the end offset of the topic.
 type Condition struct {
-	// Set tells that there is a condition.
+	// Set enables the condition.
 	Set bool
-	// End is where the topic must end.
+	// End is the required end offset.
 	End int64
 }
 
-// Batch is an answer to a read.
+// Batch is the result of a Read.
 type Batch struct {
 	Records []Record
-	// Next is the offset after the last record returned.
+	// Next is the offset from which to continue reading.
 	Next int64
 }
 
-// Snapshot holds the newest record of each key.
+// Snapshot contains the newest record of each key in a partition.
 type Snapshot struct {
 	Records []Record
-	// End is where to go on reading; the records may hold later ones too.
+	// End is the offset from which to continue reading. Records may already include
+	// some records after it.
 	End int64
 }
 
 // Store is the platform's store. Errors are of type *Error.
 type Store interface {
-	// Append returns the end of the topic after the append.
+	// Append returns the end offset of the topic after the append.
 	Append(ctx context.Context, a Append) (int64, error)
-	// Read returns the records from an offset; it waits for one for a time
-	// that is part of ctx's deadline and at most wait.
+	// Read returns the records from r.From on. When there are none, it waits up to
+	// r.Wait for one; the deadline of ctx must allow for that wait.
 	Read(ctx context.Context, r Read) (Batch, error)
-	// Newest reads the newest record of each key of a partition.
+	// Newest returns the newest record of each key in a partition.
 	Newest(ctx context.Context, t Topic, part int) (Snapshot, error)
 }
--- a/internal/peer/vmlist/vmlist.go
+++ b/internal/peer/vmlist/vmlist.go
@@ -1,4 +1,5 @@
-// Package vmlist reads the platform's lagging list of live and leaving VMs.
+// Package vmlist reads the platform's list of live and leaving VMs, which lags behind
+// the actual state.
 package vmlist
 
 import (
@@ -15,13 +16,13 @@
 // Kind classifies the errors of this package.
 type Kind string
 
-// KindUnreachable means that the platform gave no answer.
+// KindUnreachable means that the platform sent no valid answer.
 const KindUnreachable Kind = "unreachable"
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Role says what a VM is for.
+// Role is the function of a VM in the cluster.
 type Role string
 
 // The roles of VMs.
@@ -30,50 +31,52 @@
 	Worker Role = "worker"
 )
 
-// VM is one row of the list.
+// VM is one entry of the list.
 type VM struct {
 	Name    string         `json:"name"`
 	Role    Role           `json:"role"`
 	Domain  string         `json:"domain"`
 	Rack    string         `json:"rack"`
 	Address netip.AddrPort `json:"address"`
-	// Leaving means that the VM will go away soon and gets no new work.
+	// Leaving means that the VM will be removed soon and receives no new work.
 	Leaving bool `json:"leaving"`
 }
 
-// List is the platform's view.
+// List is the platform's list of VMs.
 type List struct {
 	VMs []VM `json:"vms"`
 }
 
-// CallTimeout bounds one read of the list.
+// CallTimeout is the timeout for one read of the list.
 const CallTimeout = 2 * time.Second
 
-// Lister returns the VMs of one failure domain, or of all when domain is
-// empty.
+// Lister reads the list of VMs. Errors are of type *Error.
 type Lister interface {
+	// List returns the VMs of one failure domain, or of all domains when domain is
+	// empty.
 	List(ctx context.Context, domain string) (List, error)
 }
 
-// Client is a Lister over HTTP and JSON.
+// Client is a Lister that reads JSON over HTTP.
 type Client struct {
 	base   string
 	client *http.Client
 
 	mutex sync.Mutex
-	// last holds the newest reply for each domain, so that an unchanged list
-	// is not sent again.
-	last map[string]tagged
+	// cache maps a failure domain to its last list, so that the platform need not
+	// send an unchanged list again.
+	cache map[string]cachedList
 }
 
-type tagged struct {
+// cachedList is a list with its entity tag.
+type cachedList struct {
 	tag  string
 	list List
 }
 
 // New returns a client for the VM list at an address.
 func New(address netip.AddrPort, client *http.Client) *Client {
-	return &Client{base: "http://" + address.String(), client: client, last: map[string]tagged{}}
+	return &Client{base: "http://" + address.String(), client: client, cache: map[string]cachedList{}}
 }
 
 // List implements Lister.
@@ -81,18 +84,18 @@
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	c.mutex.Lock()
-	last := c.last[domain]
+	cached := c.cache[domain]
 	c.mutex.Unlock()
 	var fresh List
-	tag, err := jsonhttp.GetTagged(ctx, c.client, c.base+"/v1/vms?domain="+domain, last.tag, &fresh)
+	tag, err := jsonhttp.GetIfChanged(ctx, c.client, c.base+"/v1/vms?domain="+domain, cached.tag, &fresh)
 	if err != nil {
 		return List{}, fault.New("list", KindUnreachable, err)
 	}
-	if tag != "" && tag == last.tag {
-		return last.list, nil
+	if tag != "" && tag == cached.tag {
+		return cached.list, nil
 	}
 	c.mutex.Lock()
-	c.last[domain] = tagged{tag, fresh}
+	c.cache[domain] = cachedList{tag, fresh}
 	c.mutex.Unlock()
 	return fresh, nil
 }
--- a/internal/peer/worker/client.go
+++ b/internal/peer/worker/client.go
@@ -11,10 +11,11 @@
 	"github.com/almondpost/almondpost/internal/peer/jsonhttp"
 )
 
-// CallTimeout bounds every call beside the wait that it asks for.
+// CallTimeout is the timeout of a call; the wait time that a call requests is added
+// to it.
 const CallTimeout = 2 * time.Second
 
-// Client speaks the worker protocol over HTTP and JSON.
+// Client is a Peer that sends JSON over HTTP.
 type Client struct {
 	base   string
 	client *http.Client
@@ -45,6 +46,8 @@
 	return call[StopReply](ctx, c, "stop", r, 0)
 }
 
+// call posts a request and decodes the reply. The worker may delay its reply by up
+// to wait.
 func call[T any](ctx context.Context, c *Client, operation string, request any, wait time.Duration) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+CallTimeout)
 	defer cancel()
--- a/internal/peer/worker/protocol.go
+++ b/internal/peer/worker/protocol.go
@@ -1,6 +1,6 @@
-// Package worker speaks with worker VMs. The protocol is stated as numbered
-// assumptions in docs/design/worker_protocol.md; another protocol changes this
-// package alone.
+// Package worker implements the protocol between an entry VM and the worker VMs
+// that it owns. docs/design/worker_protocol.md states the protocol as numbered
+// assumptions. No other package depends on its encoding.
 package worker
 
 import (
@@ -16,19 +16,20 @@
 
 // The kinds of Error.
 const (
-	// KindFenced means that a higher fencing token has adopted the worker.
+	// KindFenced means that the worker was adopted with a higher fencing token.
 	KindFenced Kind = "fenced"
-	// KindRefused means that the worker did not and will not start the attempt.
+	// KindRefused means that the worker has not started the attempt and never will.
 	KindRefused Kind = "refused"
-	// KindUnreachable means that the outcome of the call is unknown.
+	// KindUnreachable means that no valid answer arrived, so the outcome of the
+	// call is unknown.
 	KindUnreachable Kind = "unreachable"
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Token is a fencing token. A worker obeys only the highest token that it has
-// seen.
+// Token is a fencing token. A worker rejects calls with a lower token than the
+// highest it has seen.
 type Token struct {
 	// Epoch orders tokens; a later adoption has a higher epoch.
 	Epoch uint64 `json:"epoch"`
@@ -36,7 +37,7 @@
 	Owner string `json:"owner"`
 }
 
-// Less reports whether t is older than o.
+// Less reports whether t is lower than o, by epoch and then by owner.
 func (t Token) Less(o Token) bool {
 	if t.Epoch != o.Epoch {
 		return t.Epoch < o.Epoch
@@ -52,16 +53,16 @@
 	Running  Phase = "running"
 	Finished Phase = "finished"
 	Failed   Phase = "failed"
-	// Stopped means that the attempt ran and was ended early.
+	// Stopped means that the attempt ran and was stopped before it finished.
 	Stopped Phase = "stopped"
 	// Fenced means that the attempt never ran and never will.
 	Fenced Phase = "fenced"
 )
 
-// Ended reports whether the attempt will not run any more.
+// Ended reports whether the phase is final.
 func (p Phase) Ended() bool { return p != Running }
 
-// Attempt is what a worker is asked to run.
+// Attempt is one execution of a task on a worker.
 type Attempt struct {
 	ID       string          `json:"id"`
 	Customer string          `json:"customer,omitempty"`
@@ -69,36 +70,38 @@
 	Class    string          `json:"class,omitempty"`
 	Size     resource.Vector `json:"size,omitzero"`
 	Kind     string          `json:"kind,omitempty"`
-	// Repeatable work may run again after it was stopped.
+	// Repeatable means that the work may safely run again after it was stopped.
 	Repeatable bool   `json:"repeatable,omitempty"`
 	Payload    []byte `json:"payload,omitempty"`
 	// RunTime is the declared run time.
 	RunTime time.Duration `json:"run_time,omitempty"`
 }
 
-// Record is what a worker says of one attempt.
+// Record is a worker's report on one attempt.
 type Record struct {
-	// Attempt is without payload in every reply, and holds only the ID in
-	// replies other than that to an adoption.
+	// Attempt never includes the payload. Only an AdoptReply fills its other
+	// fields; in other replies it holds just the ID.
 	Attempt Attempt `json:"attempt"`
 	Phase   Phase   `json:"phase"`
-	// Sequence orders the worker's phase changes; it only rises.
+	// Sequence numbers the phase changes on the worker in increasing order.
 	Sequence uint64 `json:"sequence"`
 	Answer   []byte `json:"answer,omitempty"`
 	Reason   string `json:"reason,omitempty"`
 }
 
-// AdoptRequest takes ownership of a worker.
+// AdoptRequest makes the sender the owner of a worker.
 type AdoptRequest struct {
 	Token Token `json:"token"`
-	// Lease is how long tasks go on without a later call of the owner.
+	// Lease is how long attempts keep running without another call from the owner.
 	Lease time.Duration `json:"lease"`
 }
 
-// AdoptReply is atomic with the adoption: from then on lower tokens are
-// refused, and Records lists every attempt that runs or ended recently.
+// AdoptReply is the result of an adoption. It is atomic: after an accepted adoption
+// the worker refuses lower tokens, and Records lists every attempt that is running
+// or ended recently.
 type AdoptReply struct {
-	Accepted bool            `json:"accepted"`
+	Accepted bool `json:"accepted"`
+	// Current is the highest token that the worker has seen.
 	Current  Token           `json:"current"`
 	Capacity resource.Vector `json:"capacity"`
 	Rack     string          `json:"rack"`
@@ -116,23 +119,24 @@
 type SyncRequest struct {
 	Token Token         `json:"token"`
 	Lease time.Duration `json:"lease"`
-	// After asks for records with a higher sequence.
-	After uint64        `json:"after"`
-	Wait  time.Duration `json:"wait"`
+	// After acknowledges all records up to this sequence and requests later ones.
+	After uint64 `json:"after"`
+	// Wait is how long the worker may delay its reply until there is a new record.
+	Wait time.Duration `json:"wait"`
 }
 
-// SyncReply carries the records after the asked sequence.
+// SyncReply contains the records after SyncRequest.After.
 type SyncReply struct {
 	Records  []Record `json:"records,omitempty"`
 	Sequence uint64   `json:"sequence"`
-	// Used is the measured use, reported with a lag.
+	// Used is the measured resource usage, which lags behind the records.
 	Used resource.Vector `json:"used,omitzero"`
 }
 
-// StopMode says how an attempt is taken off a worker.
+// StopMode is the way in which a worker frees the resources of an attempt.
 type StopMode string
 
-// The stop modes, from the mildest to the harshest.
+// The stop modes, from the least to the most disruptive.
 const (
 	Checkpoint StopMode = "checkpoint"
 	Throttle   StopMode = "throttle"
@@ -146,13 +150,13 @@
 	Mode    StopMode `json:"mode"`
 }
 
-// StopReply tells the phase after the stop.
+// StopReply contains the record of the attempt after the stop.
 type StopReply struct {
 	Record Record `json:"record"`
 }
 
-// Peer is one worker as its owner sees it. Every method may return a
-// KindUnreachable error, after which the outcome is unknown.
+// Peer is the owner's interface to one worker. A KindUnreachable error from any
+// method leaves the outcome of the call unknown.
 type Peer interface {
 	Adopt(ctx context.Context, r AdoptRequest) (AdoptReply, error)
 	Start(ctx context.Context, r StartRequest) (Record, error)
