--- a/cmd/almondpost-entry/main.go
+++ b/cmd/almondpost-entry/main.go
@@ -1,4 +1,5 @@
-// Command almondpost-entry runs an entry VM on the prepared platform.
+// Command almondpost-entry runs an entry VM with the settings and interfaces of the
+// platform that package platform adapts.
 package main
 
 import (
--- a/cmd/load/main.go
+++ b/cmd/load/main.go
@@ -1,5 +1,5 @@
-// Command load drives entry processes over loopback through a scenario and
-// prints what callers and workers saw.
+// Command load runs a load-test scenario against entry VM processes on loopback and
+// prints the results that callers and workers observed.
 package main
 
 import (
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin plays the platform: the log service, the VM list or a fleet
-// of workers, one role to a process.
+// Command standin emulates one part of the platform: the log service, the VM list or
+// a fleet of workers, as selected by its role flag.
 package main
 
 import (
--- a/internal/operate/deployment/deployment.go
+++ b/internal/operate/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment describes the VMs of an example: failure domains, entry
-// VMs, and pools of workers in racks.
+// Package deployment loads the descriptions of example deployments: their failure
+// domains, entry VMs and pools of workers in racks.
 package deployment
 
 import (
@@ -17,24 +17,26 @@
 // The kinds of Error.
 const (
 	KindUnreadable Kind = "unreadable"
-	KindInvalid    Kind = "invalid"
+	// KindInvalid means that a file has malformed content or an invalid value.
+	KindInvalid Kind = "invalid"
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Deployment is one example with its lists.
+// Deployment describes the VMs, customers and plans of an example.
 type Deployment struct {
 	Name string `json:"name"`
-	// Domains are the failure domains; VMs are dealt out over them in turn.
+	// Domains names the failure domains. Entry VMs and racks are distributed over
+	// them round-robin.
 	Domains  []string `json:"domains"`
 	EntryVMs int      `json:"entry_vms"`
 	Pools    []Pool   `json:"pools"`
-	// Lists are read from files of their own.
+	// Lists holds the customers and plans, which have files of their own.
 	Lists plan.Lists `json:"-"`
 }
 
-// Pool is a set of equal workers.
+// Pool is a set of identical workers.
 type Pool struct {
 	Name           string          `json:"name"`
 	Workers        int             `json:"workers"`
@@ -42,18 +44,19 @@
 	Capacity       resource.Vector `json:"capacity"`
 }
 
-// Worker is one worker of a pool.
+// Worker describes one worker VM of a pool.
 type Worker struct {
 	Name, Domain, Rack string
 	Capacity           resource.Vector
 }
 
-// Entry is one entry VM.
+// Entry describes one entry VM.
 type Entry struct {
 	Name, Domain string
 }
 
-// Load reads the deployment of a folder.
+// Load reads and validates the deployment in the folder name. Errors are of type
+// *Error.
 func Load(files fs.FS, name string) (Deployment, error) {
 	var d Deployment
 	for _, f := range []struct {
@@ -76,7 +79,7 @@
 	return d, nil
 }
 
-// Entries deals the entry VMs out over the failure domains.
+// Entries returns the entry VMs, distributed over the failure domains.
 func (d Deployment) Entries() []Entry {
 	out := make([]Entry, 0, d.EntryVMs)
 	for i := range d.EntryVMs {
@@ -85,7 +88,8 @@
 	return out
 }
 
-// Workers deals the racks of every pool out over the failure domains.
+// Workers returns the workers of all pools. All workers of a rack are in the same
+// failure domain.
 func (d Deployment) Workers() []Worker {
 	var out []Worker
 	racks := 0
--- a/internal/operate/deployment/deployment_test.go
+++ b/internal/operate/deployment/deployment_test.go
@@ -10,7 +10,7 @@
 	"github.com/almondpost/almondpost/internal/operate/deployment"
 )
 
-func TestExamplesAreOfTheSizesOfTheCustomers(t *testing.T) {
+func TestExampleSizes(t *testing.T) {
 	scenarios := []struct {
 		testName                  string
 		domains, entries, workers int
@@ -26,11 +26,11 @@
 			is.Equal(len(d.Domains), s.domains)
 			is.Equal(len(d.Entries()), s.entries)
 			is.Equal(len(d.Workers()), s.workers)
-			inDomain := map[string]int{}
+			workersPerDomain := map[string]int{}
 			for _, w := range d.Workers() {
-				inDomain[w.Domain]++
+				workersPerDomain[w.Domain]++
 			}
-			is.Equal(len(inDomain), s.domains)
+			is.Equal(len(workersPerDomain), s.domains)
 			loaded, err := settings.Load("../../../examples/" + s.testName + "/entry.json")
 			is.NoErr(err)
 			is.NoErr(loaded.Validate())
--- a/internal/operate/explain/explain.go
+++ b/internal/operate/explain/explain.go
@@ -1,4 +1,5 @@
-// Package explain tells the life of one job from the logs of many processes.
+// Package explain reconstructs the history of one job from the logs of several
+// processes.
 package explain
 
 import (
@@ -19,48 +20,51 @@
 // The kinds of Error.
 const (
 	KindUnreadable Kind = "unreadable"
-	KindNotFound   Kind = "not_found"
+	// KindNotFound means that no log line contains the job ID.
+	KindNotFound Kind = "not_found"
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// line is an event that concerns the job.
+// line is a logged event.
 type line struct {
-	at   time.Time
+	at time.Time
+	// text is the rest of the log line from "event=" on.
 	text string
 }
 
-// maxLine bounds a log line, in bytes.
+// maxLine is the maximum length of a log line in bytes.
 const maxLine = 1 << 20
 
-var timeField = regexp.MustCompile(`\btime=(\S+)`)
+var timePattern = regexp.MustCompile(`\btime=(\S+)`)
 
-// context are events without a job that decide what happens to all.
-var context = []string{"claim_gained", "claim_lost", "take_over_done", "store_lost", "store_regained", "drain_started", "configuration_accepted"}
+// contextEvents are events that name no job but affect all jobs.
+var contextEvents = []string{"claim_gained", "claim_lost", "take_over_done", "store_lost", "store_regained", "drain_started", "configuration_accepted"}
 
-// Job prints the events of a job in the order of time, with the changes of leader,
-// store and configuration from its first event to its last.
+// Job prints the events of a job in chronological order, with the time since the
+// first one. It includes the contextEvents between the first and the last event of
+// the job.
 func Job(w io.Writer, id string, logs []io.Reader) error {
-	var own, around []line
+	var jobLines, contextLines []line
 	for _, l := range logs {
-		if err := read(l, id, &own, &around); err != nil {
+		if err := readLog(l, id, &jobLines, &contextLines); err != nil {
 			return err
 		}
 	}
-	if len(own) == 0 {
-		return fault.Newf("explain", KindNotFound, "no line names %q", id)
+	if len(jobLines) == 0 {
+		return fault.Newf("explain", KindNotFound, "no log line contains the job ID %q", id)
 	}
 	byTime := func(a, b line) int { return a.at.Compare(b.at) }
-	slices.SortStableFunc(own, byTime)
-	first, last := own[0].at, own[len(own)-1].at
-	for _, v := range around {
+	slices.SortStableFunc(jobLines, byTime)
+	first, last := jobLines[0].at, jobLines[len(jobLines)-1].at
+	for _, v := range contextLines {
 		if !v.at.Before(first) && !v.at.After(last) {
-			own = append(own, v)
+			jobLines = append(jobLines, v)
 		}
 	}
-	slices.SortStableFunc(own, byTime)
-	for _, v := range own {
+	slices.SortStableFunc(jobLines, byTime)
+	for _, v := range jobLines {
 		if _, err := fmt.Fprintf(w, "%+8.3fs %s\n", v.at.Sub(first).Seconds(), v.text); err != nil {
 			return err
 		}
@@ -68,18 +72,20 @@
 	return nil
 }
 
-func read(r io.Reader, id string, own, around *[]line) error {
+// readLog appends the events of the job with the given ID to jobLines and the
+// contextEvents to contextLines.
+func readLog(r io.Reader, id string, jobLines, contextLines *[]line) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
 		text := scanner.Text()
-		at, event, ok := parse(text)
+		at, event, ok := parseLine(text)
 		switch {
 		case !ok:
 		case strings.Contains(text, id):
-			*own = append(*own, line{at, event})
-		case slices.ContainsFunc(context, func(name string) bool { return strings.HasPrefix(event, "event="+name+" ") }):
-			*around = append(*around, line{at, event})
+			*jobLines = append(*jobLines, line{at, event})
+		case slices.ContainsFunc(contextEvents, func(name string) bool { return strings.HasPrefix(event, "event="+name+" ") }):
+			*contextLines = append(*contextLines, line{at, event})
 		}
 	}
 	if err := scanner.Err(); err != nil {
@@ -88,14 +94,14 @@
 	return nil
 }
 
-// parse finds the time and the event of a line; what stands before them is left
-// out.
-func parse(text string) (at time.Time, event string, ok bool) {
-	m := timeField.FindStringSubmatch(text)
+// parseLine returns the time of a log line and its text from "event=" on. ok is false
+// when the line lacks either.
+func parseLine(text string) (at time.Time, event string, ok bool) {
+	match := timePattern.FindStringSubmatch(text)
 	i := strings.Index(text, "event=")
-	if m == nil || i < 0 {
+	if match == nil || i < 0 {
 		return at, "", false
 	}
-	at, err := time.Parse(time.RFC3339Nano, m[1])
+	at, err := time.Parse(time.RFC3339Nano, match[1])
 	return at, text[i:], err == nil
 }
--- a/internal/operate/invariant/invariant.go
+++ b/internal/operate/invariant/invariant.go
@@ -1,5 +1,6 @@
-// Package invariant asserts properties that must hold at all times. Violations
-// are counted in expvar; tests and the load program make them fatal.
+// Package invariant checks properties that must always be true. It counts violations
+// in the expvar invariant_violations. Tests and the load program make violations
+// panic.
 package invariant
 
 import (
@@ -13,11 +14,11 @@
 	fatal      atomic.Bool
 )
 
-// SetFatal makes every later violation panic.
+// SetFatal sets whether later violations panic.
 func SetFatal(on bool) { fatal.Store(on) }
 
-// Check counts a violation of the named invariant when ok is false. The
-// message is only formatted then.
+// Check reports a violation of the named invariant when ok is false. The message is
+// formatted only when the violation panics.
 func Check(ok bool, name, format string, args ...any) {
 	if ok {
 		return
--- a/internal/operate/logbuffer/logbuffer.go
+++ b/internal/operate/logbuffer/logbuffer.go
@@ -1,5 +1,5 @@
-// Package logbuffer stands between a program and its log output: writing a line
-// never waits for the reader. Lines that find no room are dropped and counted.
+// Package logbuffer writes log lines in the background, so that a blocked log output
+// never blocks the program. When the buffer is full, it drops and counts lines.
 package logbuffer
 
 import (
@@ -10,23 +10,25 @@
 )
 
 const (
-	// capacity bounds the lines that wait, in bytes.
-	capacity = 1 << 20
-	// flushInterval is how long lines gather before they are written.
+	// maxPendingBytes is the maximum size of the pending lines.
+	maxPendingBytes = 1 << 20
+	// flushInterval is how long lines are collected before they are written.
 	flushInterval = 20 * time.Millisecond
-	// closeTimeout bounds the wait for the reader at the end.
+	// closeTimeout is how long Close waits for the output.
 	closeTimeout = 200 * time.Millisecond
 )
 
-// Buffer is an io.Writer of whole lines.
+// Buffer is an io.Writer that accepts whole lines and writes them in the background.
 type Buffer struct {
 	out   io.Writer
 	mutex sync.Mutex
-	// waiting holds the lines that are not written yet.
-	waiting []byte
-	// dropped counts the lines that found no room since the last report.
+	// pending holds the lines that have not been written yet.
+	pending []byte
+	// dropped counts the lines dropped since the last log_lines_dropped event.
 	dropped int
-	wake    chan struct{}
+	// wake signals run that there are pending lines.
+	wake chan struct{}
+	// closing is closed by Close, done when run returns.
 	closing chan struct{}
 	done    chan struct{}
 }
@@ -38,15 +40,16 @@
 	return b
 }
 
-// Write takes a line. It never fails and never waits for the reader.
+// Write adds a line to the buffer, or drops it when the buffer is full. It neither
+// fails nor blocks on the output.
 func (b *Buffer) Write(line []byte) (int, error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if len(b.waiting)+len(line) > capacity {
+	if len(b.pending)+len(line) > maxPendingBytes {
 		b.dropped++
 		return len(line), nil
 	}
-	b.waiting = append(b.waiting, line...)
+	b.pending = append(b.pending, line...)
 	select {
 	case b.wake <- struct{}{}:
 	default:
@@ -54,12 +57,13 @@
 	return len(line), nil
 }
 
-// take returns what waits, with a line about what was dropped.
-func (b *Buffer) take(spare []byte) []byte {
+// swapPending returns the pending lines, followed by a log_lines_dropped event if
+// lines were dropped. It reuses the memory of spare for the next lines.
+func (b *Buffer) swapPending(spare []byte) []byte {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	lines := b.waiting
-	b.waiting = spare[:0]
+	lines := b.pending
+	b.pending = spare[:0]
 	if b.dropped > 0 {
 		lines = fmt.Appendf(lines, "time=%s level=WARN event=log_lines_dropped lines=%d\n", time.Now().UTC().Format(time.RFC3339Nano), b.dropped)
 		b.dropped = 0
@@ -67,6 +71,7 @@
 	return lines
 }
 
+// run writes pending lines to the output until Close.
 func (b *Buffer) run() {
 	defer close(b.done)
 	var spare []byte
@@ -75,10 +80,10 @@
 		case <-b.wake:
 			time.Sleep(flushInterval)
 		case <-b.closing:
-			_, _ = b.out.Write(b.take(nil)) // There is nowhere left to report an error.
+			_, _ = b.out.Write(b.swapPending(nil)) // An error cannot be reported any more.
 			return
 		}
-		lines := b.take(spare)
+		lines := b.swapPending(spare)
 		if _, err := b.out.Write(lines); err != nil {
 			b.mutex.Lock()
 			b.dropped++
@@ -88,7 +93,8 @@
 	}
 }
 
-// Close writes what waits, as far as the reader takes it in a short time.
+// Close writes the pending lines. It gives up after closeTimeout when the output
+// blocks.
 func (b *Buffer) Close() {
 	close(b.closing)
 	select {
--- a/internal/operate/logbuffer/logbuffer_test.go
+++ b/internal/operate/logbuffer/logbuffer_test.go
@@ -12,37 +12,39 @@
 	"github.com/almondpost/almondpost/internal/operate/logbuffer"
 )
 
-// reader takes nothing until it is released.
-type reader struct {
+// blockingWriter blocks every Write until released is closed.
+type blockingWriter struct {
 	mutex    sync.Mutex
 	text     bytes.Buffer
 	released chan struct{}
 }
 
-func (r *reader) Write(p []byte) (int, error) {
+func (r *blockingWriter) Write(p []byte) (int, error) {
 	<-r.released
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.text.Write(p)
 }
 
-func (r *reader) String() string {
+func (r *blockingWriter) String() string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.text.String()
 }
 
+// TestStuckReaderBlocksNothing guards against a program that blocks, or that uses
+// more and more memory, when nothing reads its log output.
 func TestStuckReaderBlocksNothing(t *testing.T) {
 	is := is.New(t)
-	r := &reader{released: make(chan struct{})}
+	r := &blockingWriter{released: make(chan struct{})}
 	b := logbuffer.New(r)
 	line := []byte(strings.Repeat("x", 1<<10) + "\n")
-	begun := time.Now()
+	start := time.Now()
 	for range 10_000 {
 		_, err := b.Write(line)
 		is.NoErr(err)
 	}
-	is.True(time.Since(begun) < 2*time.Second)
+	is.True(time.Since(start) < 2*time.Second)
 	close(r.released)
 	end := time.Now().Add(5 * time.Second)
 	for !strings.Contains(r.String(), "event=log_lines_dropped") && time.Now().Before(end) {
@@ -50,12 +52,12 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	is.True(strings.Contains(r.String(), "event=log_lines_dropped lines="))
-	is.True(r.text.Len() < 3<<20) // The memory for lines is bounded.
+	is.True(r.text.Len() < 3<<20) // Pending lines use a bounded amount of memory.
 }
 
-func TestCloseWritesWhatWaits(t *testing.T) {
+func TestCloseWritesPendingLines(t *testing.T) {
 	is := is.New(t)
-	r := &reader{released: make(chan struct{})}
+	r := &blockingWriter{released: make(chan struct{})}
 	close(r.released)
 	b := logbuffer.New(r)
 	_, _ = b.Write([]byte("event=stopped\n"))
--- a/internal/operate/measure/measure.go
+++ b/internal/operate/measure/measure.go
@@ -1,5 +1,4 @@
-// Package measure keeps counters and latency histograms by name and prints them
-// as text.
+// Package measure collects counters and latency histograms and prints them as text.
 package measure
 
 import (
@@ -12,19 +11,22 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Times from 1 ms to 10 min are kept with two significant digits.
+// The histograms record times from 1 ms to 10 min with two significant digits.
 const (
 	lowestMilliseconds  = 1
 	highestMilliseconds = int64(10 * time.Minute / time.Millisecond)
-	digits              = 2
+	significantDigits   = 2
 )
 
-// Key names a measure; Of tells the queue, store topic or kind, or is empty.
+// Key identifies a counter or a histogram.
 type Key struct {
 	Name string
-	Of   string
+	// Of is a label such as the queue, the store topic or an error kind. It may be
+	// empty.
+	Of string
 }
 
+// String returns the key in the form name{of}, or name when Of is empty.
 func (k Key) String() string {
 	if k.Of == "" {
 		return k.Name
@@ -32,7 +34,7 @@
 	return k.Name + "{" + k.Of + "}"
 }
 
-// Set holds the measures of one process.
+// Set holds the counters and histograms of one process.
 type Set struct {
 	mutex      sync.Mutex
 	counters   map[Key]int64
@@ -51,23 +53,25 @@
 	s.counters[k]++
 }
 
-// Observe adds a time to a histogram. Times beyond its range count as its end.
+// Observe adds a time to a histogram. A time outside the range of the histogram is
+// recorded as the nearest bound.
 func (s *Set) Observe(k Key, d time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	h := s.histograms[k]
 	if h == nil {
-		h = hdrhistogram.New(lowestMilliseconds, highestMilliseconds, digits)
+		h = hdrhistogram.New(lowestMilliseconds, highestMilliseconds, significantDigits)
 		s.histograms[k] = h
 	}
 	ms := min(max(d.Milliseconds(), lowestMilliseconds), highestMilliseconds)
 	_ = h.RecordValue(ms) // The value is within the range.
 }
 
-// quantiles are printed of each histogram.
+// quantiles lists the percentiles that Write prints for each histogram.
 var quantiles = []float64{50, 95, 99}
 
-// Write prints one line for each counter and several for each histogram.
+// Write prints one line for each counter, and for each histogram its count and its
+// quantiles.
 func (s *Set) Write(w io.Writer) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/operate/measure/measure_test.go
+++ b/internal/operate/measure/measure_test.go
@@ -16,7 +16,7 @@
 	s.Count(measure.Key{Name: "jobs_accepted", Of: "mail"})
 	s.Count(measure.Key{Name: "jobs_accepted", Of: "mail"})
 	s.Observe(measure.Key{Name: "take_over"}, 40*time.Millisecond)
-	s.Observe(measure.Key{Name: "take_over"}, 24*time.Hour) // Beyond the range.
+	s.Observe(measure.Key{Name: "take_over"}, 24*time.Hour) // Above the range of the histogram.
 	var text strings.Builder
 	is.NoErr(s.Write(&text))
 	is.True(strings.Contains(text.String(), "jobs_accepted{mail} 2\n"))
--- a/internal/operate/metrics/metrics.go
+++ b/internal/operate/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics keeps counters and waiting-time histograms per customer, plan
-// and class, and shows them through expvar.
+// Package metrics collects counters and waiting-time histograms per customer, plan
+// and class, and publishes them through expvar.
 package metrics
 
 import (
@@ -10,42 +10,46 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Key names one group of work.
+// Key identifies a group of tasks with common metrics.
 type Key struct {
 	Customer string `json:"customer"`
 	Plan     string `json:"plan"`
 	Class    string `json:"class"`
 }
 
-// Waiting times from 1 ms to 1 h are kept with two significant digits.
+// The histograms record waiting times from 1 ms to 1 h with two significant digits.
 const (
 	lowestMilliseconds  = 1
 	highestMilliseconds = int64(time.Hour / time.Millisecond)
-	digits              = 2
+	significantDigits   = 2
 )
 
-// Summary is the state of one group.
+// Summary contains the metrics of one group.
 type Summary struct {
 	Key
 	Submitted int64 `json:"submitted"`
 	Answered  int64 `json:"answered"`
 	NotRun    int64 `json:"not_run"`
-	Other     int64 `json:"other"`
-	// Used is in milliprocessor seconds of ended tasks.
-	Used    int64   `json:"used_milliprocessor_seconds"`
+	// Other counts the requests that ended neither answered nor not run.
+	Other int64 `json:"other"`
+	// Used sums over the answered requests the requested milliprocessors times the
+	// declared run time, in milliprocessor seconds.
+	Used int64 `json:"used_milliprocessor_seconds"`
+	// P50, P95 and P99 are percentiles of the waiting time.
 	P50     float64 `json:"waiting_p50_milliseconds"`
 	P95     float64 `json:"waiting_p95_milliseconds"`
 	P99     float64 `json:"waiting_p99_milliseconds"`
 	Started int64   `json:"started"`
 }
 
+// group holds the metrics of one Key. The mutex guards both other fields.
 type group struct {
 	mutex   sync.Mutex
 	summary Summary
 	waiting *hdrhistogram.Histogram
 }
 
-// Registry holds the groups of one entry VM.
+// Registry holds the metrics of one entry VM.
 type Registry struct {
 	mutex  sync.RWMutex
 	groups map[Key]*group
@@ -54,13 +58,15 @@
 // New returns an empty registry.
 func New() *Registry { return &Registry{groups: map[Key]*group{}} }
 
-// Publish shows the registry in expvar under a name, once per process.
+// Publish publishes the registry in expvar under a name. It does nothing if the name
+// is already in use, since expvar would panic.
 func (r *Registry) Publish(name string) {
 	if expvar.Get(name) == nil {
 		expvar.Publish(name, expvar.Func(func() any { return r.Summaries() }))
 	}
 }
 
+// group returns the group of a key and creates it on first use.
 func (r *Registry) group(k Key) *group {
 	r.mutex.RLock()
 	g := r.groups[k]
@@ -71,13 +77,13 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if g = r.groups[k]; g == nil {
-		g = &group{summary: Summary{Key: k}, waiting: hdrhistogram.New(lowestMilliseconds, highestMilliseconds, digits)}
+		g = &group{summary: Summary{Key: k}, waiting: hdrhistogram.New(lowestMilliseconds, highestMilliseconds, significantDigits)}
 		r.groups[k] = g
 	}
 	return g
 }
 
-// Update changes the counters of a group under its lock.
+// Update calls change with the counters of a group while it holds the group's lock.
 func (r *Registry) Update(k Key, change func(s *Summary)) {
 	g := r.group(k)
 	g.mutex.Lock()
@@ -85,7 +91,7 @@
 	change(&g.summary)
 }
 
-// Waited records how long a task waited for its start.
+// Waited records the start of a task and how long the task waited for it.
 func (r *Registry) Waited(k Key, d time.Duration) {
 	g := r.group(k)
 	g.mutex.Lock()
@@ -94,7 +100,7 @@
 	_ = g.waiting.RecordValue(min(max(d.Milliseconds(), 0), highestMilliseconds))
 }
 
-// Summaries returns the state of every group.
+// Summaries returns the metrics of every group.
 func (r *Registry) Summaries() []Summary {
 	r.mutex.RLock()
 	groups := make([]*group, 0, len(r.groups))
--- a/internal/operate/report/plot.go
+++ b/internal/operate/report/plot.go
@@ -14,7 +14,7 @@
 // Kind classifies the errors of this package.
 type Kind string
 
-// KindPlot means that the plot could not be drawn.
+// KindPlot means that the chart could not be drawn.
 const KindPlot Kind = "plot"
 
 // Error is the error type of this package.
@@ -26,7 +26,8 @@
 	barWidth   = 14 * vg.Millimeter
 )
 
-// WriteSVG draws the VM-hours of each plan: used, shared and alone.
+// WriteSVG draws a bar chart of each plan's VM-hours: used, charged in the shared pool
+// and needed in a separate pool. Errors in drawing are of type *Error.
 func (r Report) WriteSVG(w io.Writer) error {
 	p := plot.New()
 	p.Title.Text = "VM-hours by plan"
--- a/internal/operate/report/report.go
+++ b/internal/operate/report/report.go
@@ -1,6 +1,6 @@
-// Package report shows whether sharing pays: for each plan what it was
-// promised, used, borrowed and lent, and the VM-hours and cost of the shared
-// pool against a pool of its own.
+// Package report shows whether sharing a pool of workers between plans saves money.
+// For each plan it lists the promised, used, borrowed and lent VM-hours, and compares
+// the VM-hours and cost of the shared pool with those of a separate pool.
 package report
 
 import (
@@ -13,22 +13,22 @@
 	"github.com/almondpost/almondpost/internal/state/usage"
 )
 
-// Report is the evidence over a time.
+// Report is the sharing report for the time from Begin to End.
 type Report struct {
 	Begin time.Time `json:"begin"`
 	End   time.Time `json:"end"`
-	// PoolVMHours is the size of the pool times the time.
+	// PoolVMHours is the size of the pool multiplied by the time.
 	PoolVMHours float64 `json:"pool_vm_hours"`
 	Rows        []Row   `json:"rows"`
-	// Missing names the entry VMs that gave no answer; while it is not empty
-	// the figures are incomplete.
+	// Missing names the entry VMs that did not answer. Their usage is not included.
 	Missing []string `json:"missing,omitempty"`
-	// Complete is false when an entry VM or the log gave no answer.
-	Complete bool   `json:"complete"`
-	Note     string `json:"note,omitempty"`
+	// Complete is false when an entry VM or the log service did not answer.
+	Complete bool `json:"complete"`
+	// Note explains to people why the report is incomplete.
+	Note string `json:"note,omitempty"`
 }
 
-// Row is one plan.
+// Row contains the figures of one plan.
 type Row struct {
 	Customer        string  `json:"customer"`
 	Plan            string  `json:"plan"`
@@ -36,21 +36,24 @@
 	UsedVMHours     float64 `json:"used_vm_hours"`
 	BorrowedVMHours float64 `json:"borrowed_vm_hours"`
 	LentVMHours     float64 `json:"lent_vm_hours"`
-	// SharedVMHours is what the plan pays for in the shared pool: its use and
-	// its part of what was idle.
+	// SharedVMHours is what the plan is charged for in the shared pool: its own
+	// usage and its share of the idle time.
 	SharedVMHours float64 `json:"shared_vm_hours"`
-	// AloneVMHours is what a pool of its own would take at the same waiting
-	// time.
-	AloneVMHours float64                  `json:"alone_vm_hours"`
-	SharedCost   float64                  `json:"shared_cost"`
-	AloneCost    float64                  `json:"alone_cost"`
-	Started      int64                    `json:"started"`
-	Waiting      map[string]usage.Buckets `json:"waiting"`
+	// AloneVMHours is what a separate pool for the plan would need for the same
+	// waiting times.
+	AloneVMHours float64 `json:"alone_vm_hours"`
+	SharedCost   float64 `json:"shared_cost"`
+	AloneCost    float64 `json:"alone_cost"`
+	// Started counts the started tasks.
+	Started int64 `json:"started"`
+	// Waiting counts the started tasks by waiting time, for each class.
+	Waiting map[string]usage.Buckets `json:"waiting"`
 }
 
 const secondsPerHour = 3600
 
-// New merges the periods of all pools.
+// New merges the usage periods of all pools into a report. missing names the entry
+// VMs that did not answer; logRead is false when the log service did not.
 func New(periods []usage.Period, prices *plan.Index, missing []string, logRead bool) Report {
 	r := Report{Missing: missing, Complete: len(missing) == 0 && logRead}
 	if !logRead {
@@ -74,7 +77,7 @@
 	}
 	for name, s := range sums {
 		e, _ := prices.Entitlement(name)
-		r.Rows = append(r.Rows, rowOf(s, e.Price))
+		r.Rows = append(r.Rows, newRow(s, e.Price))
 	}
 	sort.Slice(r.Rows, func(i, j int) bool {
 		if r.Rows[i].Customer != r.Rows[j].Customer {
@@ -85,7 +88,8 @@
 	return r
 }
 
-func rowOf(s usage.Sums, price float64) Row {
+// newRow converts the usage sums of a plan; price is the price of a VM-hour.
+func newRow(s usage.Sums, price float64) Row {
 	row := Row{
 		Customer: s.Customer, Plan: s.Plan,
 		PromisedVMHours: s.Promised / secondsPerHour, UsedVMHours: s.Used / secondsPerHour,
@@ -97,7 +101,7 @@
 	return row
 }
 
-// WriteTable prints the report for people.
+// WriteTable prints the report as a text table.
 func (r Report) WriteTable(w io.Writer) {
 	_, _ = fmt.Fprintf(w, "sharing report, %s to %s, pool of %.3f VM-hours\n", r.Begin.UTC().Format(time.RFC3339), r.End.UTC().Format(time.RFC3339), r.PoolVMHours)
 	if !r.Complete {
--- a/internal/operate/traffic/traffic.go
+++ b/internal/operate/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic counts the bytes that a process exchanges with each kind of
-// peer.
+// Package traffic counts the bytes that a process sends to and receives from each
+// kind of peer.
 package traffic
 
 import (
@@ -11,21 +11,22 @@
 	"time"
 )
 
-// Counter counts bytes in both directions.
+// Counter counts the bytes sent and received.
 type Counter struct{ bytes atomic.Int64 }
 
 // Add adds a number of bytes.
 func (c *Counter) Add(n int) { c.bytes.Add(int64(n)) }
 
-// Bytes returns the sum so far.
+// Bytes returns the number of bytes counted so far.
 func (c *Counter) Bytes() int64 { return c.bytes.Load() }
 
-// Counters are the counters of one entry VM.
+// Counters holds one counter per kind of peer of an entry VM. Peers are other entry
+// VMs.
 type Counters struct {
 	Heartbeats, Peers, Workers, Platform Counter
 }
 
-// Sums is the state of Counters as expvar shows it.
+// Sums contains the values of Counters, as published in expvar.
 type Sums struct {
 	Heartbeats int64 `json:"heartbeats"`
 	Peers      int64 `json:"peers"`
@@ -33,19 +34,20 @@
 	Platform   int64 `json:"platform"`
 }
 
-// Sums returns the state of the counters.
+// Sums returns the current values.
 func (c *Counters) Sums() Sums {
 	return Sums{c.Heartbeats.Bytes(), c.Peers.Bytes(), c.Workers.Bytes(), c.Platform.Bytes()}
 }
 
-// Publish shows the counters in expvar, once per process.
+// Publish publishes the counters in expvar under a name. It does nothing if the name
+// is already in use, since expvar would panic.
 func (c *Counters) Publish(name string) {
 	if expvar.Get(name) == nil {
 		expvar.Publish(name, expvar.Func(func() any { return c.Sums() }))
 	}
 }
 
-// conn counts what passes a connection.
+// conn is a connection that counts the bytes read and written.
 type conn struct {
 	net.Conn
 	counter *Counter
@@ -65,7 +67,7 @@
 	return n, err
 }
 
-// Wrap returns a connection that feeds a counter.
+// Wrap returns a connection that counts its bytes in counter.
 func Wrap(c net.Conn, counter *Counter) net.Conn { return conn{c, counter} }
 
 const (
@@ -74,7 +76,7 @@
 	idleConnections = 16
 )
 
-// Client returns an HTTP client whose connections feed a counter.
+// Client returns an HTTP client whose connections count their bytes in counter.
 func Client(counter *Counter) *http.Client {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}
 	return &http.Client{Transport: &http.Transport{
--- a/main.go
+++ b/main.go
@@ -1,4 +1,4 @@
-// Command almondpost runs an entry VM of the scheduler and its operator tools.
+// Command almondpost runs an entry VM of the scheduler or one of its operator tools.
 package main
 
 import (
