--- a/internal/operate/explain/explain.go
+++ b/internal/operate/explain/explain.go
@@ -34,8 +34,8 @@
 	text string
 }
 
-// maxLine is the maximum length of a log line in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
 var timePattern = regexp.MustCompile(`\btime=(\S+)`)
 
@@ -58,14 +58,14 @@
 	byTime := func(a, b line) int { return a.at.Compare(b.at) }
 	slices.SortStableFunc(jobLines, byTime)
 	first, last := jobLines[0].at, jobLines[len(jobLines)-1].at
-	for _, v := range contextLines {
-		if !v.at.Before(first) && !v.at.After(last) {
-			jobLines = append(jobLines, v)
+	for _, l := range contextLines {
+		if !l.at.Before(first) && !l.at.After(last) {
+			jobLines = append(jobLines, l)
 		}
 	}
 	slices.SortStableFunc(jobLines, byTime)
-	for _, v := range jobLines {
-		if _, err := fmt.Fprintf(w, "%+8.3fs %s\n", v.at.Sub(first).Seconds(), v.text); err != nil {
+	for _, l := range jobLines {
+		if _, err := fmt.Fprintf(w, "%+8.3fs %s\n", l.at.Sub(first).Seconds(), l.text); err != nil {
 			return err
 		}
 	}
@@ -76,7 +76,7 @@
 // contextEvents to contextLines.
 func readLog(r io.Reader, id string, jobLines, contextLines *[]line) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Text()
 		at, event, ok := parseLine(text)
--- a/internal/operate/traffic/traffic.go
+++ b/internal/operate/traffic/traffic.go
@@ -67,27 +67,27 @@
 	return n, err
 }
 
-// Wrap returns a connection that counts its bytes in counter.
-func Wrap(c net.Conn, counter *Counter) net.Conn { return conn{c, counter} }
+// WrapConn returns a connection that counts its bytes in counter.
+func WrapConn(c net.Conn, counter *Counter) net.Conn { return conn{c, counter} }
 
 const (
-	dialTimeout     = time.Second
-	keepAlive       = 15 * time.Second
-	idleConnections = 16
+	dialTimeout    = time.Second
+	keepAlive      = 15 * time.Second
+	maxIdlePerHost = 16
 )
 
 // Client returns an HTTP client whose connections count their bytes in counter.
 func Client(counter *Counter) *http.Client {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}
 	return &http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: idleConnections,
+		MaxIdleConnsPerHost: maxIdlePerHost,
 		DisableCompression:  true,
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			c, err := dialer.DialContext(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			return Wrap(c, counter), nil
+			return WrapConn(c, counter), nil
 		},
 	}}
 }
--- a/internal/peer/backend/backend.go
+++ b/internal/peer/backend/backend.go
@@ -198,8 +198,8 @@
 	Validity time.Duration
 }
 
-// Adviser is an external service that decides which workers a step may use. An
-// operator configures it per queue.
+// Adviser is an external service that decides which workers a step may use. The
+// configuration of a queue determines whether its steps need this advice.
 type Adviser interface {
 	// Advise returns which of the given worker IDs the step may use.
 	Advise(ctx context.Context, step work.StepID, workers []string) (Advice, error)
--- a/internal/peer/caller/gateway.go
+++ b/internal/peer/caller/gateway.go
@@ -59,12 +59,12 @@
 
 // Reasons of a Problem.
 const (
-	ReasonMalformed = "malformed"
-	ReasonInvalid   = "invalid"
-	ReasonTooLarge  = "body_too_large"
-	ReasonUnknown   = "unknown_request"
-	// ReasonUnavailable means that the log service did not answer.
-	ReasonUnavailable = "log_unavailable"
+	ReasonMalformed      = "malformed"
+	ReasonInvalid        = "invalid"
+	ReasonBodyTooLarge   = "body_too_large"
+	ReasonUnknownRequest = "unknown_request"
+	// ReasonLogUnavailable means that the log service did not answer.
+	ReasonLogUnavailable = "log_unavailable"
 )
 
 const (
@@ -167,7 +167,7 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		writeProblem(w, http.StatusRequestEntityTooLarge, ReasonTooLarge, fmt.Sprintf("the body is above %d bytes", limit))
+		writeProblem(w, http.StatusRequestEntityTooLarge, ReasonBodyTooLarge, fmt.Sprintf("the body is above %d bytes", limit))
 		return false
 	}
 	writeProblem(w, http.StatusBadRequest, ReasonMalformed, err.Error())
@@ -203,7 +203,7 @@
 		case r.Context().Err() != nil:
 			return
 		case !ok:
-			writeProblem(w, http.StatusNotFound, ReasonUnknown, "no request "+id+" is known")
+			writeProblem(w, http.StatusNotFound, ReasonUnknownRequest, "no request "+id+" is known")
 			return
 		case outcome.State.Ended() || remaining == 0:
 			g.writeOutcome(w, outcome)
@@ -221,7 +221,7 @@
 func (g *Gateway) cancel(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
 	if !g.service.CancelRequest(r.Context(), id) {
-		writeProblem(w, http.StatusNotFound, ReasonUnknown, "no request "+id+" is known")
+		writeProblem(w, http.StatusNotFound, ReasonUnknownRequest, "no request "+id+" is known")
 		return
 	}
 	g.waitForOutcome(w, r, id, 0)
--- a/internal/peer/caller/gateway_test.go
+++ b/internal/peer/caller/gateway_test.go
@@ -74,7 +74,7 @@
 		{"absurd size", "/v1/requests", strings.Replace(validRequest, `"milliprocessors":1`, `"milliprocessors":9223372036854775807`, 1), 400, caller.ReasonInvalid, "milliprocessors"},
 		{"negative run time", "/v1/requests", strings.Replace(validRequest, `milliseconds":5`, `milliseconds":-5`, 1), 400, caller.ReasonInvalid, "run_time"},
 		{"no key", "/v1/requests", strings.Replace(validRequest, `true`, `false`, 1), 400, caller.ReasonInvalid, "key"},
-		{"oversized body", "/v1/requests", strings.Replace(validRequest, `"payload":""`, `"payload":"`+strings.Repeat("A", 4096)+`"`, 1), 413, caller.ReasonTooLarge, "2048"},
+		{"oversized body", "/v1/requests", strings.Replace(validRequest, `"payload":""`, `"payload":"`+strings.Repeat("A", 4096)+`"`, 1), 413, caller.ReasonBodyTooLarge, "2048"},
 		{"bad wait", "/v1/requests?wait_milliseconds=-1", validRequest, 400, caller.ReasonInvalid, "wait_milliseconds"},
 		{"job without tasks", "/v1/jobs", `{"tasks":[],"gang":false}`, 400, caller.ReasonInvalid, "tasks"},
 		{"job with a bad task", "/v1/jobs", `{"tasks":[{}],"gang":false}`, 400, caller.ReasonInvalid, "tasks[0]"},
--- a/internal/peer/caller/jobs.go
+++ b/internal/peer/caller/jobs.go
@@ -33,7 +33,7 @@
 		case r.Context().Err() != nil:
 			return
 		case !ok && remaining == 0:
-			writeProblem(w, http.StatusNotFound, ReasonUnknown, "no job "+id+" is known")
+			writeProblem(w, http.StatusNotFound, ReasonUnknownRequest, "no job "+id+" is known")
 			return
 		case ok && (s.State.Ended() || remaining == 0):
 			jsonhttp.Write(w, stateStatusCode(s.State, s.RetryAfterMilliseconds), s)
@@ -45,7 +45,7 @@
 func (g *Gateway) cancelJob(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
 	if err := g.service.CancelJob(r.Context(), id); err != nil {
-		writeProblem(w, http.StatusServiceUnavailable, ReasonUnavailable, err.Error())
+		writeProblem(w, http.StatusServiceUnavailable, ReasonLogUnavailable, err.Error())
 		return
 	}
 	w.WriteHeader(http.StatusAccepted)
--- a/internal/peer/entry/client.go
+++ b/internal/peer/entry/client.go
@@ -35,9 +35,9 @@
 type Client struct {
 	counter *traffic.Counter
 	// blocked reports whether fault injection cuts off a peer from this client.
-	blocked func(a netip.AddrPort) bool
-	mutex   sync.Mutex
-	peers   map[netip.AddrPort]*connection
+	blocked     func(a netip.AddrPort) bool
+	mutex       sync.Mutex
+	connections map[netip.AddrPort]*connection
 }
 
 // connection is the connection to one peer.
@@ -54,14 +54,14 @@
 // New returns a client that counts its traffic in counter. Calls to peers for which
 // blocked returns true fail.
 func New(counter *traffic.Counter, blocked func(a netip.AddrPort) bool) *Client {
-	return &Client{counter: counter, blocked: blocked, peers: map[netip.AddrPort]*connection{}}
+	return &Client{counter: counter, blocked: blocked, connections: map[netip.AddrPort]*connection{}}
 }
 
 // acquire returns the open connection to a peer or dials a new one, and counts a
 // call in flight on it until release.
 func (c *Client) acquire(a netip.AddrPort) (*connection, error) {
 	c.mutex.Lock()
-	if p := c.peers[a]; p != nil {
+	if p := c.connections[a]; p != nil {
 		p.outstanding++
 		c.probe(a, p)
 		c.mutex.Unlock()
@@ -74,13 +74,13 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if p := c.peers[a]; p != nil {
+	if p := c.connections[a]; p != nil {
 		_ = conn.Close()
 		p.outstanding++
 		return p, nil
 	}
-	p := &connection{rpc: rpc.NewClient(traffic.Wrap(conn, c.counter)), outstanding: 1, dropped: make(chan struct{})}
-	c.peers[a] = p
+	p := &connection{rpc: rpc.NewClient(traffic.WrapConn(conn, c.counter)), outstanding: 1, dropped: make(chan struct{})}
+	c.connections[a] = p
 	c.probe(a, p)
 	return p, nil
 }
@@ -120,8 +120,8 @@
 func (c *Client) drop(a netip.AddrPort, p *connection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.peers[a] == p {
-		delete(c.peers, a)
+	if c.connections[a] == p {
+		delete(c.connections, a)
 		close(p.dropped)
 		_ = p.rpc.Close()
 	}
@@ -180,8 +180,8 @@
 func (c *Client) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for a, p := range c.peers {
-		delete(c.peers, a)
+	for a, p := range c.connections {
+		delete(c.connections, a)
 		close(p.dropped)
 		_ = p.rpc.Close()
 	}
--- a/internal/peer/entry/client_test.go
+++ b/internal/peer/entry/client_test.go
@@ -103,7 +103,7 @@
 	go func() {
 		done <- c.Call(context.Background(), address, "Run", entry.RunArgs{}, &entry.Status{})
 	}()
-	// Each of these calls is answered while the slow one waits.
+	// The peer answers each of these calls while the slow call is in flight.
 	for range 100 {
 		is.NoErr(c.Call(context.Background(), address, "Await", entry.AwaitArgs{}, &entry.Status{}))
 	}
--- a/internal/peer/entry/server.go
+++ b/internal/peer/entry/server.go
@@ -106,7 +106,7 @@
 		s.connections[c] = true
 		s.mutex.Unlock()
 		go func() {
-			s.rpc.ServeConn(traffic.Wrap(c, s.counter))
+			s.rpc.ServeConn(traffic.WrapConn(c, s.counter))
 			s.mutex.Lock()
 			delete(s.connections, c)
 			s.mutex.Unlock()
--- a/internal/peer/link/client.go
+++ b/internal/peer/link/client.go
@@ -38,9 +38,9 @@
 
 // Client keeps one connection to each peer.
 type Client struct {
-	service string
-	mutex   sync.Mutex
-	peers   map[netip.AddrPort]*rpc.Client
+	service     string
+	mutex       sync.Mutex
+	connections map[netip.AddrPort]*rpc.Client
 	// lastUnanswered is the time of the last unanswered call to each peer. A
 	// successful call deletes the entry.
 	lastUnanswered map[netip.AddrPort]time.Time
@@ -48,13 +48,13 @@
 
 // NewClient returns a client for the methods of one net/rpc service.
 func NewClient(service string) *Client {
-	return &Client{service: service, peers: map[netip.AddrPort]*rpc.Client{}, lastUnanswered: map[netip.AddrPort]time.Time{}}
+	return &Client{service: service, connections: map[netip.AddrPort]*rpc.Client{}, lastUnanswered: map[netip.AddrPort]time.Time{}}
 }
 
 // connect returns the open connection to a peer or dials a new one.
 func (c *Client) connect(ctx context.Context, a netip.AddrPort) (*rpc.Client, error) {
 	c.mutex.Lock()
-	p := c.peers[a]
+	p := c.connections[a]
 	c.mutex.Unlock()
 	if p != nil {
 		return p, nil
@@ -66,12 +66,12 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if p = c.peers[a]; p != nil {
+	if p = c.connections[a]; p != nil {
 		_ = conn.Close()
 		return p, nil
 	}
 	p = rpc.NewClient(conn)
-	c.peers[a] = p
+	c.connections[a] = p
 	return p, nil
 }
 
@@ -101,8 +101,8 @@
 // drop closes a connection and removes it, so that the next call opens a new one.
 func (c *Client) drop(a netip.AddrPort, p *rpc.Client) {
 	c.mutex.Lock()
-	if c.peers[a] == p {
-		delete(c.peers, a)
+	if c.connections[a] == p {
+		delete(c.connections, a)
 	}
 	c.mutex.Unlock()
 	_ = p.Close()
@@ -144,8 +144,8 @@
 func (c *Client) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for a, p := range c.peers {
-		delete(c.peers, a)
+	for a, p := range c.connections {
+		delete(c.connections, a)
 		_ = p.Close()
 	}
 }
--- a/internal/peer/store/store.go
+++ b/internal/peer/store/store.go
@@ -32,7 +32,8 @@
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Topic names a stream of keyed records.
+// Topic is the name of a topic. A topic has one or more partitions, each of which is a
+// log of keyed records.
 type Topic string
 
 // The topics of the scheduler.
@@ -69,7 +70,7 @@
 	Sequence int64
 }
 
-// Append is one atomic append.
+// Append describes an atomic append of records to one partition.
 type Append struct {
 	Topic Topic
 	// Part is the partition. The epoch and sequence of a producer are tracked
@@ -106,7 +107,7 @@
 	End int64
 }
 
-// Store is the platform's store. Errors are of type *Error.
+// Store is the interface to the platform's store. Errors are of type *Error.
 type Store interface {
 	// Append returns the end offset of the topic after the append.
 	Append(ctx context.Context, a Append) (int64, error)
--- a/internal/peer/worker/protocol.go
+++ b/internal/peer/worker/protocol.go
@@ -109,7 +109,8 @@
 	Sequence uint64          `json:"sequence"`
 }
 
-// StartRequest starts one attempt. It is idempotent per attempt ID.
+// StartRequest starts one attempt. It is idempotent: a second request with the same
+// attempt ID has no further effect.
 type StartRequest struct {
 	Token   Token   `json:"token"`
 	Attempt Attempt `json:"attempt"`
@@ -143,7 +144,8 @@
 	Stop       StopMode = "stop"
 )
 
-// StopRequest ends an attempt, or fences one that has not started.
+// StopRequest stops an attempt. If the attempt has not started, the worker fences it,
+// so that it can never start.
 type StopRequest struct {
 	Token   Token    `json:"token"`
 	Attempt string   `json:"attempt"`
