--- a/internal/operate/report/report.go
+++ b/internal/operate/report/report.go
@@ -17,7 +17,7 @@
 type Report struct {
 	Begin time.Time `json:"begin"`
 	End   time.Time `json:"end"`
-	// PoolVMHours is the size of the pool multiplied by the time.
+	// PoolVMHours is the number of workers in the pool integrated over the time.
 	PoolVMHours float64 `json:"pool_vm_hours"`
 	Rows        []Row   `json:"rows"`
 	// Missing names the entry VMs that did not answer. Their usage is not included.
--- a/internal/peer/entry/protocol.go
+++ b/internal/peer/entry/protocol.go
@@ -86,7 +86,8 @@
 	Name string
 	// Resumed means that an earlier attempt of the task ran and was stopped.
 	Resumed bool
-	// Generation is the generation of the holder for tasks of jobs, 0 for requests.
+	// Generation increases each time that another entry VM becomes the holder of the
+	// job. It is 0 for requests.
 	Generation int
 	// Remaining is the time from the sending of the call to the deadline; 0 means
 	// no deadline. It is a duration because the clocks of VMs differ.
@@ -142,9 +143,9 @@
 	Attempts []string
 	// Peek disables the fencing of unknown attempts.
 	Peek bool
-	// Tasks maps task names to the generation of the holder. It queries the attempts
-	// of each task and fences those of lower generations: they can no longer start
-	// at this owner.
+	// Tasks maps task names to generations. The owner reports the attempts of these
+	// tasks and fences those of a lower generation, so that they can no longer start
+	// there.
 	Tasks map[string]int
 }
 
