--- a/internal/operate/measure/measure.go
+++ b/internal/operate/measure/measure.go
@@ -26,7 +26,7 @@
 	Of string
 }
 
-// String returns the key in the form name{of}, or name when Of is empty.
+// String returns the key in the form name{label}, or the name alone without a label.
 func (k Key) String() string {
 	if k.Of == "" {
 		return k.Name
--- a/internal/peer/entry/server.go
+++ b/internal/peer/entry/server.go
@@ -21,8 +21,8 @@
 	Reserve(a ReserveArgs) (ReserveReply, error)
 }
 
-// ErrEpoch refuses a call whose epoch is not that of this owner. Its text is the
-// kind KindEpoch, by which Client recognizes it.
+// ErrEpoch refuses a call whose epoch is not that of this owner. Its text is the error
+// kind, by which the Client recognizes it.
 var ErrEpoch = errors.New(string(KindEpoch))
 
 // service adapts a Handler to the method signatures of net/rpc.
