--- a/internal/state/job/spec.go
+++ b/internal/state/job/spec.go
@@ -6,49 +6,52 @@
 	"github.com/almondpost/almondpost/internal/node/request"
 )
 
-// TaskID names a task of a job.
-func TaskID(job string, i int) string { return fmt.Sprintf("%s:%d", job, i) }
+// TaskID returns the ID of a task: the job's ID and the task's index in the job,
+// such as "j1:0".
+func TaskID(jobID string, index int) string { return fmt.Sprintf("%s:%d", jobID, index) }
 
-// Validate returns a message that names the first bad field, or the empty
-// string.
+// Validate returns a message that names the first invalid field, or the empty
+// string when the spec is valid.
 func (s Spec) Validate() string {
 	if len(s.Tasks) == 0 || len(s.Tasks) > MaxTasks {
-		return fmt.Sprintf("tasks: %d of them, must be between 1 and %d", len(s.Tasks), MaxTasks)
+		return fmt.Sprintf("tasks: the job has %d tasks, must be between 1 and %d", len(s.Tasks), MaxTasks)
 	}
-	for i, k := range s.Tasks {
-		if k.Key != "" {
-			return fmt.Sprintf("tasks[%d]: key is not allowed in a job; the job is accepted once", i)
+	for i, t := range s.Tasks {
+		if t.Key != "" {
+			return fmt.Sprintf("tasks[%d]: key is not allowed in a job, which is accepted only once", i)
 		}
-		if !k.Repeatable {
-			// A task of a job is named in the log, so that it needs no key.
-			k.Key = "-"
+		if !t.Repeatable {
+			// The job record in the log replaces the idempotency key that a
+			// non-repeatable request needs otherwise.
+			t.Key = "-"
 		}
-		if reason := k.Validate(); reason != "" {
+		if reason := t.Validate(); reason != "" {
 			return fmt.Sprintf("tasks[%d]: %s", i, reason)
 		}
-		if k.Plan != s.Tasks[0].Plan {
-			return fmt.Sprintf("tasks[%d]: plan %s differs from that of the first task", i, k.Plan)
+		if t.Plan != s.Tasks[0].Plan {
+			return fmt.Sprintf("tasks[%d]: plan %s differs from the plan of the first task", i, t.Plan)
 		}
 	}
 	return ""
 }
 
-// Status is what a caller gets of a job.
+// Status is the state of a job as it is reported to the caller.
 type Status struct {
 	ID    string        `json:"id"`
 	State request.State `json:"state"`
-	// Reason says why a job was not accepted.
+	// Reason states why the job was not accepted.
 	Reason                 string `json:"reason,omitempty"`
 	RetryAfterMilliseconds int64  `json:"retry_after_milliseconds,omitempty"`
-	Tasks                  int    `json:"tasks"`
-	Ended                  int    `json:"ended"`
-	// Outcomes holds one entry for each task; those that have not ended are
-	// pending.
+	// Tasks and Ended are the numbers of all tasks and of ended tasks.
+	Tasks int `json:"tasks"`
+	Ended int `json:"ended"`
+	// Outcomes has one element per task; unfinished tasks are pending.
 	Outcomes []request.Outcome `json:"outcomes,omitempty"`
 }
 
-// Status returns the state of a job as its caller sees it: done when every
-// task is done, else the state of the first task that is not.
+// Status returns the state of the job for its caller: pending until every task
+// has ended, then done if all tasks are done, else the state of the first task
+// that is not done.
 func (j *Job) Status() Status {
 	s := Status{ID: j.ID, State: request.Done, Tasks: len(j.Outcomes), Ended: len(j.Outcomes) - j.Left}
 	for i, o := range j.Outcomes {
--- a/internal/state/job/table.go
+++ b/internal/state/job/table.go
@@ -1,6 +1,7 @@
-// Package job keeps the jobs of one failure domain. The state is a pure
-// function of the domain's log stream, so every entry VM that reads it agrees
-// on which jobs exist, which entry VM holds each, and what has ended.
+// Package job builds the job table of one failure domain by replaying the
+// domain's log stream. The table is a pure function of the stream, so all entry
+// VMs that read it agree on which jobs exist, which process runs each of them
+// and which tasks have ended.
 package job
 
 import (
@@ -16,245 +17,261 @@
 // Kind classifies the errors of this package.
 type Kind string
 
-// KindMalformed means that a record can not be read.
+// KindMalformed means that a record of the stream cannot be decoded.
 const KindMalformed Kind = "malformed"
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Stream returns the log stream of a failure domain's jobs.
+// Stream returns the name of the log stream with a failure domain's jobs.
 func Stream(domain string) string { return "jobs-" + domain }
 
-// Holder names one process of an entry VM.
+// Holder identifies the entry VM process that runs a job. Incarnation tells the
+// processes apart that one VM has started over time.
 type Holder struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Spec is what a caller asks for.
+// Spec describes a job as its caller submits it.
 type Spec struct {
 	Tasks []request.Spec `json:"tasks"`
-	// Gang jobs run all their tasks at once or none.
+	// Gang requires that all tasks start together or none does.
 	Gang bool `json:"gang"`
 }
 
-// MaxTasks bounds the tasks of one job.
+// MaxTasks is the maximum number of tasks in one job.
 const MaxTasks = 1000
 
-// Action says what a record does.
+// Action is the type of a record in the stream.
 type Action string
 
-// The actions of records.
+// The actions that a record can have.
 const (
+	// Accepted adds a job.
 	Accepted Action = "accepted"
-	// TaskStarted is written before a task that may not repeat is offered to an
-	// owner for the first time.
+	// TaskStarted is written before a non-repeatable task is offered for the first
+	// time to an entry VM that owns workers. A later holder then knows that the
+	// task may have run.
 	TaskStarted Action = "task_started"
-	TaskEnded   Action = "task_ended"
-	Cancelled   Action = "cancelled"
-	// TakenOver moves every job of a holder to another.
+	// TaskEnded stores the outcome of a task.
+	TaskEnded Action = "task_ended"
+	// Cancelled asks the holder to stop a job.
+	Cancelled Action = "cancelled"
+	// TakenOver assigns all unfinished jobs of one holder to another.
 	TakenOver Action = "taken_over"
-	// Repeated carries the state of an unfinished job, so that it outlives the
-	// retention of the log.
-	Repeated Action = "repeated"
+	// Snapshot holds the whole state of an unfinished job. It is appended from
+	// time to time, since the log drops records after its retention.
+	Snapshot Action = "repeated"
 )
 
-// Record is one line of the stream.
+// Record is the content of one log record. Each action uses some of the fields.
 type Record struct {
 	Action Action `json:"action"`
 	// By is the process that wrote the record.
 	By   Holder `json:"by"`
 	Job  string `json:"job,omitempty"`
 	Spec *Spec  `json:"spec,omitempty"`
-	// Task is the index of the task that ended.
+	// Task is the index of the task that starts or has ended.
 	Task    int              `json:"task,omitempty"`
 	Outcome *request.Outcome `json:"outcome,omitempty"`
-	// From is the former holder of a takeover.
+	// From is the holder whose jobs a takeover reassigns to By.
 	From *Holder `json:"from,omitempty"`
-	// At is the writer's time of a start.
+	// At is the start time of a task, by the clock of the writer.
 	At time.Time `json:"at,omitzero"`
-	// Generation, Outcomes, Started and AsOf belong to a repeated job: AsOf is the offset
-	// up to which its writer knew the stream.
+	// Generation, Outcomes and Started are the state of a job in a snapshot. AsOf
+	// is the offset up to which the writer of the snapshot had read the stream.
 	Generation int                `json:"generation,omitempty"`
 	Outcomes   []*request.Outcome `json:"outcomes,omitempty"`
 	Started    []time.Time        `json:"started,omitempty"`
 	AsOf       uint64             `json:"as_of,omitempty"`
 }
 
-// Encode returns the data of a record.
+// Encode returns the record as JSON.
 func (r Record) Encode() []byte {
 	data, err := json.Marshal(r)
 	invariant.Check(err == nil, "job_record", "%v", err)
 	return data
 }
 
-// Job is the state of one job.
+// Job is the current state of one job.
 type Job struct {
 	ID     string
 	Spec   Spec
 	Holder Holder
-	// Generation counts the holders; attempts of an older generation must not
-	// start any more.
+	// Generation is 1 for the first holder and rises with each takeover. It
+	// fences the attempts of former holders: those of an older generation must
+	// not start any more.
 	Generation int
-	// Outcomes holds the outcome of each ended task; it is nil for others. A
-	// task ends once.
+	// Outcomes has one element per task, which is nil until the task has ended.
+	// Only the first end of a task counts.
 	Outcomes []*request.Outcome
-	// Started holds, for tasks that may not repeat, the first time at which they
-	// may have started, by the clock of their holder; it is zero before.
-	Started   []time.Time
+	// Started has one element per task: the earliest time at which a
+	// non-repeatable task may have started, by the clock of its holder. It is
+	// zero before, and always for repeatable tasks.
+	Started []time.Time
+	// Left is the number of tasks that have not ended.
 	Left      int
 	Cancelled bool
-	// EndedAt is the offset at which the last task ended, or 0.
+	// EndedAt is the offset of the record that ended the last task, or 0 while
+	// the job is unfinished.
 	EndedAt uint64
 }
 
-// TaskID names a task of a job.
-func (j *Job) TaskID(i int) string { return TaskID(j.ID, i) }
+// TaskID returns the ID of the task at an index of the job.
+func (j *Job) TaskID(index int) string { return TaskID(j.ID, index) }
 
-// Table is the state of a failure domain's jobs. Its owner serialises access.
+// Table holds the jobs of a failure domain. It is not safe for concurrent use.
 type Table struct {
 	jobs map[string]*Job
-	// read is the offset of the last applied record.
-	read uint64
-	// moved is the offset of the last takeover.
-	moved uint64
-	// ended lists ended jobs in order, for pruning.
-	ended []string
+	// appliedOffset is the offset of the last applied record.
+	appliedOffset uint64
+	// takeoverOffset is the offset of the newest takeover record.
+	takeoverOffset uint64
+	// endedIDs lists the IDs of ended jobs, oldest first, for pruning.
+	endedIDs []string
 }
 
-// maxEnded bounds the ended jobs whose outcomes are kept.
-const maxEnded = 2000
+// maxEndedJobs is the number of ended jobs that a table keeps; older ones are
+// forgotten.
+const maxEndedJobs = 2000
 
 // New returns an empty table.
 func New() *Table { return &Table{jobs: map[string]*Job{}} }
 
 // Read returns the offset of the last applied record.
-func (t *Table) Read() uint64 { return t.read }
+func (t *Table) Read() uint64 { return t.appliedOffset }
 
-// Job returns a job, or nil.
+// Job returns the job with an ID, or nil when the table does not contain it.
 func (t *Table) Job(id string) *Job { return t.jobs[id] }
 
-// Len returns the number of known jobs.
+// Len returns the number of jobs in the table, ended ones included.
 func (t *Table) Len() int { return len(t.jobs) }
 
-// Each calls f for every job in no fixed order.
+// Each calls f for every job, in no fixed order.
 func (t *Table) Each(f func(j *Job)) {
 	for _, j := range t.jobs {
 		f(j)
 	}
 }
 
-// Apply takes in the next record of the stream. Records that do not fit the
-// state, such as a second end of a task or a line of a former holder, change
-// nothing, so that repeated appends are harmless.
+// Apply updates the table with the next record of the stream. Records that
+// contradict the state, such as a second end of a task or a record of a former
+// holder, change nothing, so appending a record twice is harmless. Apply returns
+// an error of KindMalformed for a record that cannot be decoded.
 func (t *Table) Apply(r logservice.Record) error {
-	if r.Offset <= t.read {
+	if r.Offset <= t.appliedOffset {
 		return nil
 	}
-	t.read = r.Offset
-	var c Record
-	if err := json.Unmarshal(r.Data, &c); err != nil {
+	t.appliedOffset = r.Offset
+	var record Record
+	if err := json.Unmarshal(r.Data, &record); err != nil {
 		return fault.New("apply", KindMalformed, err)
 	}
-	switch c.Action {
+	switch record.Action {
 	case Accepted:
-		t.accept(c)
+		t.accept(record)
 	case TaskStarted:
-		if j := t.jobs[c.Job]; j != nil && c.Task >= 0 && c.Task < len(j.Started) && j.Holder == c.By && j.Started[c.Task].IsZero() {
-			j.Started[c.Task] = c.At
+		if j := t.jobs[record.Job]; j != nil && record.Task >= 0 && record.Task < len(j.Started) && j.Holder == record.By && j.Started[record.Task].IsZero() {
+			j.Started[record.Task] = record.At
 		}
 	case TaskEnded:
-		t.endTask(c, r.Offset)
+		t.endTask(record, r.Offset)
 	case Cancelled:
-		if j := t.jobs[c.Job]; j != nil {
+		if j := t.jobs[record.Job]; j != nil {
 			j.Cancelled = true
 		}
 	case TakenOver:
-		t.moved = r.Offset
-		t.takeOver(c)
-	case Repeated:
-		t.repeat(c)
+		t.takeoverOffset = r.Offset
+		t.takeOver(record)
+	case Snapshot:
+		t.applySnapshot(record)
 	}
 	return nil
 }
 
-func (t *Table) accept(c Record) {
-	if t.jobs[c.Job] != nil || c.Spec == nil || len(c.Spec.Tasks) == 0 {
+// accept adds a job, unless its ID is known or it has no tasks.
+func (t *Table) accept(r Record) {
+	if t.jobs[r.Job] != nil || r.Spec == nil || len(r.Spec.Tasks) == 0 {
 		return
 	}
-	t.jobs[c.Job] = &Job{
-		ID: c.Job, Spec: *c.Spec, Holder: c.By, Generation: 1,
-		Outcomes: make([]*request.Outcome, len(c.Spec.Tasks)), Started: make([]time.Time, len(c.Spec.Tasks)), Left: len(c.Spec.Tasks),
+	t.jobs[r.Job] = &Job{
+		ID: r.Job, Spec: *r.Spec, Holder: r.By, Generation: 1,
+		Outcomes: make([]*request.Outcome, len(r.Spec.Tasks)), Started: make([]time.Time, len(r.Spec.Tasks)), Left: len(r.Spec.Tasks),
 	}
 }
 
-func (t *Table) endTask(c Record, offset uint64) {
-	j := t.jobs[c.Job]
-	if j == nil || c.Outcome == nil || c.Task < 0 || c.Task >= len(j.Outcomes) || j.Outcomes[c.Task] != nil || j.Holder != c.By {
+// endTask stores the outcome of a task if the record comes from the job's holder
+// and the task has none yet. It drops the payload, which is no longer needed.
+func (t *Table) endTask(r Record, offset uint64) {
+	j := t.jobs[r.Job]
+	if j == nil || r.Outcome == nil || r.Task < 0 || r.Task >= len(j.Outcomes) || j.Outcomes[r.Task] != nil || j.Holder != r.By {
 		return
 	}
-	j.Outcomes[c.Task] = c.Outcome
-	j.Spec.Tasks[c.Task].Payload = nil
+	j.Outcomes[r.Task] = r.Outcome
+	j.Spec.Tasks[r.Task].Payload = nil
 	j.Left--
 	if j.Left == 0 {
 		j.EndedAt = offset
-		t.ended = append(t.ended, j.ID)
+		t.endedIDs = append(t.endedIDs, j.ID)
 		t.prune()
 	}
 }
 
+// prune forgets the oldest ended jobs above maxEndedJobs.
 func (t *Table) prune() {
-	for len(t.ended) > maxEnded {
-		delete(t.jobs, t.ended[0])
-		t.ended = t.ended[1:]
+	for len(t.endedIDs) > maxEndedJobs {
+		delete(t.jobs, t.endedIDs[0])
+		t.endedIDs = t.endedIDs[1:]
 	}
 }
 
-// repeat takes in a job whose first record was dropped by the log. When a
-// takeover came after the writer's view of the stream, the holder that it names
-// may be wrong; the next repetition will do.
-func (t *Table) repeat(c Record) {
-	if t.jobs[c.Job] != nil || c.Spec == nil || len(c.Outcomes) != len(c.Spec.Tasks) || len(c.Started) != len(c.Spec.Tasks) || t.moved > c.AsOf {
+// applySnapshot adds an unfinished job whose first record the log has dropped. A
+// snapshot that misses a takeover, since its writer had not read that far, may
+// name the wrong holder: it is ignored, and a later snapshot adds the job.
+func (t *Table) applySnapshot(r Record) {
+	if t.jobs[r.Job] != nil || r.Spec == nil || len(r.Outcomes) != len(r.Spec.Tasks) || len(r.Started) != len(r.Spec.Tasks) || t.takeoverOffset > r.AsOf {
 		return
 	}
-	j := &Job{ID: c.Job, Spec: *c.Spec, Holder: c.By, Generation: c.Generation, Outcomes: c.Outcomes, Started: c.Started}
-	for _, o := range c.Outcomes {
+	j := &Job{ID: r.Job, Spec: *r.Spec, Holder: r.By, Generation: r.Generation, Outcomes: r.Outcomes, Started: r.Started}
+	for _, o := range r.Outcomes {
 		if o == nil {
 			j.Left++
 		}
 	}
 	if j.Left > 0 {
-		t.jobs[c.Job] = j
+		t.jobs[r.Job] = j
 	}
 }
 
-// Repetitions returns the records that repeat the unfinished jobs of a holder.
+// Repetitions returns a snapshot record for each unfinished job of a holder.
 func (t *Table) Repetitions(h Holder) []Record {
 	var out []Record
 	for _, j := range t.HeldBy(h) {
 		spec := Spec{Gang: j.Spec.Gang, Tasks: append([]request.Spec(nil), j.Spec.Tasks...)}
 		outcomes := append([]*request.Outcome(nil), j.Outcomes...)
 		out = append(out, Record{
-			Action: Repeated, By: h, Job: j.ID, Spec: &spec, Generation: j.Generation,
-			Outcomes: outcomes, Started: append([]time.Time(nil), j.Started...), AsOf: t.read,
+			Action: Snapshot, By: h, Job: j.ID, Spec: &spec, Generation: j.Generation,
+			Outcomes: outcomes, Started: append([]time.Time(nil), j.Started...), AsOf: t.appliedOffset,
 		})
 	}
 	return out
 }
 
-func (t *Table) takeOver(c Record) {
-	if c.From == nil {
+// takeOver assigns the unfinished jobs of one holder to the writer of the record.
+func (t *Table) takeOver(r Record) {
+	if r.From == nil {
 		return
 	}
 	for _, j := range t.jobs {
-		if j.Holder == *c.From && j.Left > 0 {
-			j.Holder = c.By
+		if j.Holder == *r.From && j.Left > 0 {
+			j.Holder = r.By
 			j.Generation++
 		}
 	}
 }
 
-// HeldBy returns the unfinished jobs of a holder.
+// HeldBy returns the unfinished jobs of a holder, in no fixed order.
 func (t *Table) HeldBy(h Holder) []*Job {
 	var out []*Job
 	for _, j := range t.jobs {
@@ -265,7 +282,7 @@
 	return out
 }
 
-// Holders returns the processes that hold unfinished jobs.
+// Holders returns the set of processes that hold unfinished jobs.
 func (t *Table) Holders() map[Holder]bool {
 	out := map[Holder]bool{}
 	for _, j := range t.jobs {
