--- a/internal/state/membership/view.go
+++ b/internal/state/membership/view.go
@@ -1,7 +1,8 @@
-// Package membership keeps one entry VM's view of the others from heartbeats,
-// with suspicion before removal, and assigns workers to entry VMs by rendezvous
-// hashing. Views may differ between VMs: they keep assignments stable and are
-// never needed for safety.
+// Package membership builds an entry VM's view of the other entry VMs from their
+// heartbeats, and assigns workers to entry VMs by rendezvous hashing. A silent
+// member is suspected before it is removed, so that a short pause doesn't move
+// its workers. The views of two VMs may differ for a while: they only keep the
+// assignments stable, and safety never depends on them.
 package membership
 
 import (
@@ -12,95 +13,105 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what the view believes of a member.
+// State is the state of a member as this view sees it.
 type State string
 
 // The states of a member.
 const (
+	// Alive members have sent a heartbeat recently.
 	Alive State = "alive"
-	// Suspect members keep their workers but get no new work.
+	// Suspect members have been silent for longer than Timing.SuspectAfter. They
+	// keep their workers but get no new work.
 	Suspect State = "suspect"
-	// Removed members have lost their workers.
+	// Removed members have been silent for longer than Timing.RemoveAfter. Their
+	// workers are assigned to other members.
 	Removed State = "removed"
-	// Leaving members hand over and get no new work.
+	// Leaving members are shutting down. They hand over their workers and get no
+	// new work.
 	Leaving State = "leaving"
 )
 
-// Advert is the load that a member tells others.
+// Advert is the load that a member advertises in its heartbeats.
 type Advert struct {
-	// Free is the scarcest free fraction of the member's workers, 0 to 1.
+	// Free is the free fraction of the scarcest resource of the member's workers,
+	// from 0 to 1.
 	Free float64 `json:"f,omitempty"`
-	// Waiting is the number of waiting tasks.
+	// Waiting is the number of tasks in the member's queues.
 	Waiting int `json:"q,omitempty"`
-	// Workers is the number of adopted workers.
+	// Workers is the number of workers that the member has adopted.
 	Workers int `json:"w,omitempty"`
 }
 
-// Heartbeat is what members send each other. Field names are short since every
-// byte is sent each second to every peer.
+// Heartbeat is the message that members send each other. The JSON names are
+// short, since every heartbeat goes to every peer each second.
 type Heartbeat struct {
 	Name string `json:"n"`
-	// Incarnation rises with each start of a member; it is the start time.
+	// Incarnation is the start time of the process, so it rises with each restart.
 	Incarnation uint64 `json:"i"`
-	// Epoch is that of the member's owner of workers.
+	// Epoch rises when the member starts or was paused for too long. The member
+	// refuses calls that carry another epoch.
 	Epoch uint64 `json:"e"`
-	// Domain and Address are left out of most heartbeats to members that know
-	// them.
+	// Domain is the failure domain. Domain and Address are empty in brief
+	// heartbeats, which go to members that already know both.
 	Domain  string         `json:"d,omitempty"`
 	Address netip.AddrPort `json:"a,omitzero"`
 	Advert  Advert         `json:"l"`
 	Leaving bool           `json:"x,omitempty"`
-	// Offset is the newest configuration offset that the member knows.
+	// Offset is the log offset of the newest configuration that the member has
+	// accepted.
 	Offset uint64 `json:"o"`
 }
 
-// IsBrief reports whether the heartbeat leaves out what peers know already.
+// IsBrief reports whether the heartbeat lacks the domain and the address.
 func (h Heartbeat) IsBrief() bool { return h.Domain == "" }
 
-// Brief returns the heartbeat without what peers know already.
+// Brief returns a copy of the heartbeat without the domain and the address.
 func (h Heartbeat) Brief() Heartbeat {
 	h.Domain, h.Address = "", netip.AddrPort{}
 	return h
 }
 
-// Member is what the view knows of a peer.
+// Member is a peer in the view.
 type Member struct {
 	Heartbeat
-	// Heard is when the last heartbeat came.
-	Heard time.Time
-	State State
+	// LastHeartbeat is when the newest heartbeat was received.
+	LastHeartbeat time.Time
+	State         State
 }
 
-// Timing bounds how fast the view reacts.
+// Timing sets how long a member may be silent before its state changes. All
+// durations count from its last heartbeat.
 type Timing struct {
-	// SuspectAfter and RemoveAfter count from the last heartbeat.
+	// SuspectAfter and RemoveAfter are the silence after which a member becomes
+	// Suspect and Removed.
 	SuspectAfter, RemoveAfter time.Duration
-	// ForgetAfter is when a removed member is dropped altogether.
+	// ForgetAfter is the silence after which the view drops a member.
 	ForgetAfter time.Duration
 }
 
-// View is the membership view of one entry VM. Its owner serialises access.
+// View is the membership view of one entry VM. It is not safe for concurrent use.
 type View struct {
 	self    Heartbeat
 	members map[string]*Member
 	timing  Timing
 }
 
-// New returns a view with only the member itself.
+// New returns a view that contains only this VM itself.
 func New(self Heartbeat, t Timing) *View {
 	return &View{self: self, members: map[string]*Member{}, timing: t}
 }
 
-// Self returns the member's own heartbeat.
+// Self returns the heartbeat that this VM sends.
 func (v *View) Self() Heartbeat { return v.self }
 
-// SetSelf replaces the changing parts of the own heartbeat.
-func (v *View) SetSelf(a Advert, epoch, offset uint64, leaving bool) {
-	v.self.Advert, v.self.Epoch, v.self.Offset, v.self.Leaving = a, epoch, offset, leaving
+// SetSelf updates the parts of this VM's heartbeat that change while it runs.
+func (v *View) SetSelf(load Advert, epoch, offset uint64, leaving bool) {
+	v.self.Advert, v.self.Epoch, v.self.Offset, v.self.Leaving = load, epoch, offset, leaving
 }
 
-// Observe takes in a heartbeat and reports whether the set of usable members
-// changed. Heartbeats of an older incarnation are ignored.
+// Observe updates the view with a heartbeat that was received at now. It reports
+// whether the sender is new, has restarted or has changed its state. Heartbeats
+// of an older incarnation, and brief ones of an unknown incarnation, are ignored.
 func (v *View) Observe(now time.Time, h Heartbeat) bool {
 	if h.Name == v.self.Name || h.Name == "" {
 		return false
@@ -120,23 +131,25 @@
 		state = Leaving
 	}
 	changed := m == nil || m.State != state || m.Incarnation != h.Incarnation
-	v.members[h.Name] = &Member{Heartbeat: h, Heard: now, State: state}
+	v.members[h.Name] = &Member{Heartbeat: h, LastHeartbeat: now, State: state}
 	return changed
 }
 
-// Tick ages the members and reports whether any changed its state.
+// Tick updates the states of silent members and drops those that are silent for
+// longer than Timing.ForgetAfter. It reports whether the state of any remaining
+// member changed.
 func (v *View) Tick(now time.Time) bool {
 	changed := false
 	for name, m := range v.members {
-		silent := now.Sub(m.Heard)
+		silence := now.Sub(m.LastHeartbeat)
 		state := m.State
 		switch {
-		case silent > v.timing.ForgetAfter:
+		case silence > v.timing.ForgetAfter:
 			delete(v.members, name)
 			continue
-		case silent > v.timing.RemoveAfter:
+		case silence > v.timing.RemoveAfter:
 			state = Removed
-		case silent > v.timing.SuspectAfter:
+		case silence > v.timing.SuspectAfter:
 			state = Suspect
 		}
 		if state != m.State {
@@ -146,7 +159,7 @@
 	return changed
 }
 
-// Member returns a copy of what is known of a peer.
+// Member returns a peer by its name and whether the view contains it.
 func (v *View) Member(name string) (Member, bool) {
 	m, ok := v.members[name]
 	if !ok {
@@ -155,7 +168,7 @@
 	return *m, true
 }
 
-// Members returns all known peers in name order.
+// Members returns all peers in the view, sorted by name.
 func (v *View) Members() []Member {
 	out := make([]Member, 0, len(v.members))
 	for _, m := range v.members {
@@ -165,8 +178,8 @@
 	return out
 }
 
-// Owners returns the names of the members of the own domain that may own
-// workers: alive or suspect ones and, unless leaving, the member itself.
+// Owners returns the sorted names of the members of this VM's failure domain that
+// may own workers: alive and suspect peers, and this VM unless it is leaving.
 func (v *View) Owners() []string {
 	var out []string
 	if !v.self.Leaving {
@@ -181,15 +194,15 @@
 	return out
 }
 
-// Rendezvous returns the candidate with the highest hash for a key, or the
-// empty string without candidates. Removing one candidate moves only the keys
-// that it had.
+// Rendezvous assigns a key to one of the candidates by rendezvous hashing: it
+// returns the candidate whose hash with the key is highest, or the empty string
+// if there are no candidates. Removing a candidate reassigns only its own keys.
 func Rendezvous(key string, candidates []string) string {
 	best, bestHash := "", uint64(0)
 	for _, c := range candidates {
-		h := xxhash.Sum64String(key + "\x00" + c)
-		if best == "" || h > bestHash || h == bestHash && c > best {
-			best, bestHash = c, h
+		hash := xxhash.Sum64String(key + "\x00" + c)
+		if best == "" || hash > bestHash || hash == bestHash && c > best {
+			best, bestHash = c, hash
 		}
 	}
 	return best
--- a/internal/state/membership/view_test.go
+++ b/internal/state/membership/view_test.go
@@ -12,65 +12,65 @@
 )
 
 var (
-	begin  = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	timing = membership.Timing{SuspectAfter: 2 * time.Second, RemoveAfter: 3 * time.Second, ForgetAfter: time.Minute}
-	at     = netip.MustParseAddrPort("127.0.0.1:1")
+	baseTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	timing   = membership.Timing{SuspectAfter: 2 * time.Second, RemoveAfter: 3 * time.Second, ForgetAfter: time.Minute}
+	address  = netip.MustParseAddrPort("127.0.0.1:1")
 )
 
-func beat(name string, incarnation uint64) membership.Heartbeat {
-	return membership.Heartbeat{Name: name, Incarnation: incarnation, Domain: "d", Address: at}
+func heartbeat(name string, incarnation uint64) membership.Heartbeat {
+	return membership.Heartbeat{Name: name, Incarnation: incarnation, Domain: "d", Address: address}
 }
 
-func TestSilenceLeadsToSuspicionAndRemoval(t *testing.T) {
+func TestSilentMembersAreSuspectedThenRemoved(t *testing.T) {
 	scenarios := []struct {
-		testName string
-		silent   time.Duration
-		state    membership.State
-		owners   int
+		testName   string
+		silence    time.Duration
+		state      membership.State
+		ownerCount int
 	}{
-		{"heard", time.Second, membership.Alive, 2},
+		{"alive after a recent heartbeat", time.Second, membership.Alive, 2},
 		{"suspect keeps its workers", 2500 * time.Millisecond, membership.Suspect, 2},
 		{"removed loses its workers", 3500 * time.Millisecond, membership.Removed, 1},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			is := is.New(t)
-			v := membership.New(beat("self", 1), timing)
-			v.Observe(begin, beat("other", 1))
-			v.Tick(begin.Add(s.silent))
+			v := membership.New(heartbeat("self", 1), timing)
+			v.Observe(baseTime, heartbeat("other", 1))
+			v.Tick(baseTime.Add(s.silence))
 			m, _ := v.Member("other")
 			is.Equal(m.State, s.state)
-			is.Equal(len(v.Owners()), s.owners)
+			is.Equal(len(v.Owners()), s.ownerCount)
 		})
 	}
 }
 
 func TestOlderIncarnationIsIgnored(t *testing.T) {
 	is := is.New(t)
-	v := membership.New(beat("self", 1), timing)
-	v.Observe(begin, beat("other", 2))
-	is.True(!v.Observe(begin.Add(time.Second), beat("other", 1)))
+	v := membership.New(heartbeat("self", 1), timing)
+	v.Observe(baseTime, heartbeat("other", 2))
+	is.True(!v.Observe(baseTime.Add(time.Second), heartbeat("other", 1)))
 	m, _ := v.Member("other")
 	is.Equal(m.Incarnation, uint64(2))
 }
 
-func TestBriefHeartbeatKeepsWhatIsKnown(t *testing.T) {
+func TestBriefHeartbeatKeepsDomainAndAddress(t *testing.T) {
 	is := is.New(t)
-	v := membership.New(beat("self", 1), timing)
-	is.True(!v.Observe(begin, beat("other", 1).Brief()))
-	v.Observe(begin, beat("other", 1))
-	v.Observe(begin.Add(time.Second), beat("other", 1).Brief())
+	v := membership.New(heartbeat("self", 1), timing)
+	is.True(!v.Observe(baseTime, heartbeat("other", 1).Brief()))
+	v.Observe(baseTime, heartbeat("other", 1))
+	v.Observe(baseTime.Add(time.Second), heartbeat("other", 1).Brief())
 	m, _ := v.Member("other")
 	is.Equal(m.Domain, "d")
-	is.Equal(m.Address, at)
+	is.Equal(m.Address, address)
 }
 
 func TestLeavingMembersOwnNothing(t *testing.T) {
 	is := is.New(t)
-	v := membership.New(beat("self", 1), timing)
-	h := beat("other", 1)
+	v := membership.New(heartbeat("self", 1), timing)
+	h := heartbeat("other", 1)
 	h.Leaving = true
-	v.Observe(begin, h)
+	v.Observe(baseTime, h)
 	is.Equal(v.Owners(), []string{"self"})
 	v.SetSelf(membership.Advert{}, 1, 0, true)
 	is.Equal(len(v.Owners()), 0)
@@ -79,15 +79,15 @@
 func TestRendezvousMovesOnlyTheKeysOfARemovedCandidate(t *testing.T) {
 	is := is.New(t)
 	all := []string{"a", "b", "c", "d"}
-	moved := 0
+	movedCount := 0
 	for i := range 1000 {
 		key := fmt.Sprint(i)
 		before, after := membership.Rendezvous(key, all), membership.Rendezvous(key, all[:3])
 		if before != "d" {
 			is.Equal(before, after)
 		} else {
-			moved++
+			movedCount++
 		}
 	}
-	is.True(moved > 200 && moved < 300)
+	is.True(movedCount > 200 && movedCount < 300)
 }
--- a/internal/state/plan/lists.go
+++ b/internal/state/plan/lists.go
@@ -1,6 +1,7 @@
-// Package plan holds the two lists that operators edit: each customer's plans,
-// and what each plan may use. Validation is a pure function of the lists, so
-// every entry VM accepts or rejects the same record.
+// Package plan defines the two lists that operators edit: the plans of each
+// customer, and the entitlement of each plan, which states what the plan may use.
+// Validation is a pure function of the lists, so all entry VMs accept or reject
+// the same configuration record.
 package plan
 
 import (
@@ -20,14 +21,16 @@
 
 // The kinds of Error.
 const (
+	// KindMalformed means that the data is not a JSON value of the expected type.
 	KindMalformed Kind = "malformed"
-	KindInvalid   Kind = "invalid"
+	// KindInvalid means that a field of the lists has an invalid value.
+	KindInvalid Kind = "invalid"
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Class is the urgency of a piece of work.
+// Class is the urgency of a task.
 type Class string
 
 // The classes, from most to least urgent.
@@ -40,8 +43,8 @@
 // Classes lists the classes from most to least urgent.
 var Classes = [...]Class{Urgent, Normal, Overnight}
 
-// Rank returns the position of c in Classes, or -1 for an unknown class. Lower
-// ranks are more urgent.
+// Rank returns the index of c in Classes, or -1 for an unknown class. A lower rank
+// is more urgent.
 func (c Class) Rank() int {
 	for i, k := range Classes {
 		if k == c {
@@ -51,20 +54,20 @@
 	return -1
 }
 
-// Customers is the first list: each customer's plans.
+// Customers is the first list: the plans of each customer.
 type Customers struct {
 	Customers []Customer `json:"customers"`
 }
 
 // Customer is an organisation that shares the pool.
 type Customer struct {
-	// Name is unique in the list.
+	// Name is unique among the customers.
 	Name string `json:"name"`
-	// Plans are the names of the customer's plans, unique in the whole list.
+	// Plans are the names of the customer's plans. A plan belongs to one customer.
 	Plans []string `json:"plans"`
 }
 
-// Entitlements is the second list: what each plan may use.
+// Entitlements is the second list: the entitlement of each plan.
 type Entitlements struct {
 	Plans []Entitlement `json:"plans"`
 }
@@ -74,23 +77,27 @@
 	// Plan names a plan of the first list. Every plan has exactly one
 	// entitlement.
 	Plan string `json:"plan"`
-	// PromisedShare is the fraction of the pool, above 0 and at most 1, that
-	// the plan gets whenever it asks. The shares of all plans sum to at most 1.
+	// PromisedShare is the fraction of the pool that the plan is guaranteed at
+	// any time. It is above 0 and at most 1, and so is the sum over all plans.
 	PromisedShare float64 `json:"promised_share"`
-	// LimitShare is the fraction of the pool that the plan never exceeds, also
-	// on lent capacity. It is at least PromisedShare and at most 1.
+	// LimitShare is the largest fraction of the pool that the plan may use,
+	// including capacity that other plans lend. It is at least PromisedShare and
+	// at most 1.
 	LimitShare float64 `json:"limit_share"`
-	// MaxTask is the largest size of one task; zero amounts mean no limit.
+	// MaxTask is the largest allowed size of one task. An amount of zero means
+	// that the resource is not limited.
 	MaxTask resource.Vector `json:"max_task"`
 	// Classes are the classes that the plan may use.
 	Classes []Class `json:"classes"`
-	// QueueLimit bounds the waiting tasks of the plan per class and entry VM.
+	// QueueLimit is the maximum number of tasks of the plan that may wait in each
+	// class on each entry VM. It is between 1 and MaxQueueLimit.
 	QueueLimit int `json:"queue_limit"`
-	// Price is the price of one VM-hour in the customer's currency, at least 0.
+	// Price is the price of one VM-hour in the customer's currency. It is at least
+	// 0 and below 1e9.
 	Price float64 `json:"price"`
 }
 
-// Lists is one whole configuration.
+// Lists is a complete configuration: both lists.
 type Lists struct {
 	Customers    Customers    `json:"customers"`
 	Entitlements Entitlements `json:"entitlements"`
@@ -98,20 +105,23 @@
 
 // Bounds of the lists.
 const (
-	MaxPlans      = 4096
+	// MaxPlans is the maximum number of plans of all customers.
+	MaxPlans = 4096
+	// MaxQueueLimit is the largest allowed Entitlement.QueueLimit.
 	MaxQueueLimit = 1_000_000
-	// shareSlack absorbs rounding when promised shares are added up.
-	shareSlack = 1e-9
+	// shareTolerance allows for rounding errors in the sum of promised shares.
+	shareTolerance = 1e-9
 )
 
+// namePattern matches valid names of customers and plans.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9_-]{0,62}$`)
 
-// DecodeStrict decodes one JSON value and refuses unknown fields and trailing
-// data.
-func DecodeStrict(data []byte, into any) error {
+// DecodeStrict decodes one JSON value into target. It returns an error of
+// KindMalformed for invalid JSON, unknown fields and data after the value.
+func DecodeStrict(data []byte, target any) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
+	if err := d.Decode(target); err != nil {
 		return fault.New("decode", KindMalformed, err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
@@ -120,28 +130,31 @@
 	return nil
 }
 
-// Validate checks both lists against each other. The error names the field,
-// the value and the reason.
+// Validate checks both lists and that they name the same plans. It returns an
+// error of KindInvalid that names the first invalid field, its value and the
+// reason.
 func (l Lists) Validate() error {
-	customerOf, err := l.Customers.index()
+	customerOf, err := l.Customers.customersByPlan()
 	if err != nil {
 		return err
 	}
 	return l.Entitlements.validate(customerOf)
 }
 
-func (c Customers) index() (map[string]string, error) {
+// customersByPlan validates the names in the list and returns the customer of
+// each plan.
+func (c Customers) customersByPlan() (map[string]string, error) {
 	customerOf := map[string]string{}
-	names := map[string]bool{}
+	seen := map[string]bool{}
 	for i, u := range c.Customers {
 		field := fmt.Sprintf("customers[%d].name", i)
 		if !namePattern.MatchString(u.Name) {
 			return nil, invalid(field, u.Name, "must match "+namePattern.String())
 		}
-		if names[u.Name] {
+		if seen[u.Name] {
 			return nil, invalid(field, u.Name, "is a duplicate")
 		}
-		names[u.Name] = true
+		seen[u.Name] = true
 		for j, p := range u.Plans {
 			field := fmt.Sprintf("customers[%d].plans[%d]", i, j)
 			if !namePattern.MatchString(p) {
@@ -159,9 +172,11 @@
 	return customerOf, nil
 }
 
+// validate checks every entitlement, the sum of the promised shares, and that each
+// plan in customerOf has exactly one entitlement.
 func (e Entitlements) validate(customerOf map[string]string) error {
 	seen := map[string]bool{}
-	sum := 0.0
+	promised := 0.0
 	for i, p := range e.Plans {
 		field := func(name string) string { return fmt.Sprintf("plans[%d].%s", i, name) }
 		if _, ok := customerOf[p.Plan]; !ok {
@@ -174,8 +189,8 @@
 		if err := p.validate(field); err != nil {
 			return err
 		}
-		sum += p.PromisedShare
-		if sum > 1+shareSlack {
+		promised += p.PromisedShare
+		if promised > 1+shareTolerance {
 			return invalid(field("promised_share"), p.PromisedShare, "brings the sum of promises above 1")
 		}
 	}
@@ -187,6 +202,8 @@
 	return nil
 }
 
+// validate checks the values of one entitlement. The function field returns the
+// path of a field for the error.
 func (p Entitlement) validate(field func(string) string) error {
 	if !(p.PromisedShare > 0 && p.PromisedShare <= 1) {
 		return invalid(field("promised_share"), p.PromisedShare, "must be above 0 and at most 1")
@@ -214,46 +231,51 @@
 	return nil
 }
 
+// invalid returns an error of KindInvalid for a field with its value.
 func invalid(field string, value any, reason string) error {
 	return fault.Newf("validate", KindInvalid, "field %s, value %v: %s", field, value, reason)
 }
 
-// Index gives fast access to one accepted configuration. It is immutable.
+// Index looks up the plans of one valid configuration by name. It is immutable.
 type Index struct {
+	// Both maps are indexed by the name of the plan.
 	entitlements map[string]Entitlement
-	customers    map[string]string
+	customerOf   map[string]string
 }
 
-// NewIndex validates the lists and builds their index.
+// NewIndex builds the index of lists. It returns the error of Lists.Validate for
+// invalid ones.
 func NewIndex(l Lists) (*Index, error) {
 	if err := l.Validate(); err != nil {
 		return nil, err
 	}
-	customers, _ := l.Customers.index()
-	x := &Index{entitlements: map[string]Entitlement{}, customers: customers}
+	customerOf, _ := l.Customers.customersByPlan()
+	x := &Index{entitlements: map[string]Entitlement{}, customerOf: customerOf}
 	for _, p := range l.Entitlements.Plans {
 		x.entitlements[p.Plan] = p
 	}
 	return x, nil
 }
 
-// Entitlement returns what a plan may use and whether the plan exists.
-func (x *Index) Entitlement(name string) (Entitlement, bool) {
-	e, ok := x.entitlements[name]
+// Entitlement returns the entitlement of a plan and whether the plan exists.
+func (x *Index) Entitlement(plan string) (Entitlement, bool) {
+	e, ok := x.entitlements[plan]
 	return e, ok
 }
 
-// Customer returns the customer that a plan belongs to.
-func (x *Index) Customer(name string) string { return x.customers[name] }
+// Customer returns the name of the customer that a plan belongs to, or the empty
+// string for an unknown plan.
+func (x *Index) Customer(plan string) string { return x.customerOf[plan] }
 
-// Entitlements calls f for every plan, in no fixed order.
+// Entitlements calls f with the customer and the entitlement of each plan, in no
+// fixed order.
 func (x *Index) Entitlements(f func(customer string, e Entitlement)) {
 	for name, e := range x.entitlements {
-		f(x.customers[name], e)
+		f(x.customerOf[name], e)
 	}
 }
 
-// Allows reports whether the plan may use the class.
+// Allows reports whether the plan may submit work of a class.
 func (p Entitlement) Allows(c Class) bool {
 	for _, k := range p.Classes {
 		if k == c {
--- a/internal/state/recorder/recorder.go
+++ b/internal/state/recorder/recorder.go
@@ -1,6 +1,6 @@
-// Package recorder appends to the platform's log with group commit: one append
-// is under way at a time and carries everything of its stream that waits, under
-// a rate that the entry VMs share.
+// Package recorder appends records to the platform's log with group commit: one
+// append is in flight at a time, and the next one carries all queued records of
+// its stream. Each entry VM gets a part of the total append rate.
 package recorder
 
 import (
@@ -18,79 +18,91 @@
 
 // The kinds of Error.
 const (
-	// KindFull means that too much waits already; nothing was appended.
+	// KindFull means that the queue is full; the record was not appended.
 	KindFull Kind = "full"
 	// KindUnknown means that the record may or may not be in the log.
 	KindUnknown Kind = "unknown_outcome"
-	// KindAbandoned means that the caller gave up before the append was sent.
+	// KindAbandoned means that the caller's context ended before the append was
+	// sent; the record was not appended.
 	KindAbandoned Kind = "abandoned"
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Bounds of what waits.
 const (
-	MaxWaiting   = 4096
-	maxBatch     = 256
+	// MaxQueued is the maximum number of records in the queue.
+	MaxQueued = 4096
+	// maxBatch is the maximum number of records in one append.
+	maxBatch = 256
+	// limiterBurst is the number of appends that may exceed the rate after a
+	// pause.
 	limiterBurst = 4
 )
 
-// Recorder serialises the appends of one process.
+// Recorder queues the records of one process and appends them in batches. It is
+// safe for concurrent use.
 type Recorder struct {
 	log     logservice.Log
 	limiter *rate.Limiter
-	wake    chan struct{}
+	// wake tells run that the queue is not empty.
+	wake chan struct{}
 
-	mutex   sync.Mutex
-	waiting []*pending
+	mutex sync.Mutex
+	queue []*pendingAppend
 }
 
-type pending struct {
+// pendingAppend is a queued record whose caller waits for the result.
+type pendingAppend struct {
 	ctx    context.Context
 	stream string
 	data   []byte
-	done   chan result
+	done   chan appendResult
 }
 
-type result struct {
+type appendResult struct {
 	offset uint64
 	err    error
 }
 
-// New returns a recorder with a rate in appends per second. It works until ctx
-// ends.
-func New(ctx context.Context, log logservice.Log, perSecond float64) *Recorder {
-	r := &Recorder{log: log, limiter: rate.NewLimiter(rate.Limit(perSecond), limiterBurst), wake: make(chan struct{}, 1)}
+// New returns a recorder that appends to log at a limited rate. It runs until ctx
+// ends; records that are queued then are not appended.
+func New(ctx context.Context, log logservice.Log, appendsPerSecond float64) *Recorder {
+	r := &Recorder{log: log, limiter: rate.NewLimiter(rate.Limit(appendsPerSecond), limiterBurst), wake: make(chan struct{}, 1)}
 	go r.run(ctx)
 	return r
 }
 
-// SetRate changes the rate in appends per second.
-func (r *Recorder) SetRate(perSecond float64) { r.limiter.SetLimit(rate.Limit(perSecond)) }
+// SetRate changes the maximum rate of appends.
+func (r *Recorder) SetRate(appendsPerSecond float64) {
+	r.limiter.SetLimit(rate.Limit(appendsPerSecond))
+}
 
-// Append appends one record and returns its offset.
+// Append appends one record to a stream and waits for its offset. It returns an
+// error of KindFull when the queue is full, and of KindUnknown when the append
+// fails or ctx ends, since the record may be in the log then.
 func (r *Recorder) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
-	p := &pending{ctx: ctx, stream: stream, data: data, done: make(chan result, 1)}
+	p := &pendingAppend{ctx: ctx, stream: stream, data: data, done: make(chan appendResult, 1)}
 	r.mutex.Lock()
-	if len(r.waiting) >= MaxWaiting {
+	if len(r.queue) >= MaxQueued {
 		r.mutex.Unlock()
-		return 0, fault.Newf("append", KindFull, "%d records wait", MaxWaiting)
+		return 0, fault.Newf("append", KindFull, "%d records are queued already", MaxQueued)
 	}
-	r.waiting = append(r.waiting, p)
+	r.queue = append(r.queue, p)
 	r.mutex.Unlock()
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 	select {
-	case done := <-p.done:
-		return done.offset, done.err
+	case result := <-p.done:
+		return result.offset, result.err
 	case <-ctx.Done():
 		return 0, fault.New("append", KindUnknown, ctx.Err())
 	}
 }
 
+// run appends batches until ctx ends.
 func (r *Recorder) run(ctx context.Context) {
 	for {
 		select {
@@ -99,38 +111,40 @@
 		case <-r.wake:
 		}
 		for {
-			batch := r.take()
+			batch := r.nextBatch()
 			if len(batch) == 0 {
 				break
 			}
 			if r.limiter.Wait(ctx) != nil {
 				return
 			}
-			r.send(ctx, batch)
+			r.appendBatch(ctx, batch)
 		}
 	}
 }
 
-// take removes the oldest waiting record and those of the same stream.
-func (r *Recorder) take() []*pending {
+// nextBatch removes the oldest record and others of its stream from the queue, at
+// most maxBatch of them. It drops records whose callers have given up.
+func (r *Recorder) nextBatch() []*pendingAppend {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var batch, rest []*pending
-	for _, p := range r.waiting {
+	var batch, remaining []*pendingAppend
+	for _, p := range r.queue {
 		switch {
 		case p.ctx.Err() != nil:
-			p.done <- result{err: fault.New("append", KindAbandoned, p.ctx.Err())}
+			p.done <- appendResult{err: fault.New("append", KindAbandoned, p.ctx.Err())}
 		case len(batch) < maxBatch && (len(batch) == 0 || batch[0].stream == p.stream):
 			batch = append(batch, p)
 		default:
-			rest = append(rest, p)
+			remaining = append(remaining, p)
 		}
 	}
-	r.waiting = rest
+	r.queue = remaining
 	return batch
 }
 
-func (r *Recorder) send(ctx context.Context, batch []*pending) {
+// appendBatch appends records of one stream and passes the results to the callers.
+func (r *Recorder) appendBatch(ctx context.Context, batch []*pendingAppend) {
 	records := make([][]byte, len(batch))
 	for i, p := range batch {
 		records[i] = p.data
@@ -138,9 +152,9 @@
 	first, err := r.log.Append(ctx, batch[0].stream, records)
 	for i, p := range batch {
 		if err != nil {
-			p.done <- result{err: fault.New("append", KindUnknown, err)}
+			p.done <- appendResult{err: fault.New("append", KindUnknown, err)}
 			continue
 		}
-		p.done <- result{offset: first + uint64(i)}
+		p.done <- appendResult{offset: first + uint64(i)}
 	}
 }
--- a/internal/state/resource/vector.go
+++ b/internal/state/resource/vector.go
@@ -1,5 +1,5 @@
-// Package resource describes amounts of the resources that a worker offers and
-// a task asks for.
+// Package resource represents the amounts of resources that a worker has and a
+// task requires.
 package resource
 
 import "fmt"
@@ -7,26 +7,27 @@
 // Kinds is the number of resource kinds in a Vector.
 const Kinds = 5
 
-// MaxAmount bounds every single amount, so that sums over a whole fleet can
-// not overflow.
+// MaxAmount is the largest valid amount of one resource. Sums over a whole fleet
+// cannot overflow an int64 below it.
 const MaxAmount = int64(1) << 40
 
-// Vector is an amount of each resource kind. Amounts are never negative in a
-// valid size or capacity; differences may be.
+// Vector holds an amount of each resource kind: the size of a task, the capacity
+// of a worker, or a difference of two vectors. Only differences have negative
+// amounts.
 type Vector struct {
 	// Milliprocessors is in thousandths of a processor core.
 	Milliprocessors int64 `json:"milliprocessors"`
 	// MemoryMebibytes is in MiB.
 	MemoryMebibytes int64 `json:"memory_mebibytes"`
-	// Accelerators is in whole devices.
+	// Accelerators is a number of whole devices.
 	Accelerators int64 `json:"accelerators,omitempty"`
-	// Slots is in concurrent tasks.
+	// Slots is a number of tasks that run at the same time.
 	Slots int64 `json:"slots"`
-	// Connections is in open connections of a worker.
+	// Connections is a number of open connections of a worker.
 	Connections int64 `json:"connections"`
 }
 
-// KindNames lists the resource kinds in the order of Amounts.
+// KindNames holds the name of each resource kind, in the order of Amounts.
 var KindNames = [Kinds]string{"milliprocessors", "memory_mebibytes", "accelerators", "slots", "connections"}
 
 // Amounts returns the amounts in the order of KindNames.
@@ -73,7 +74,7 @@
 	return v.Milliprocessors < 0 || v.MemoryMebibytes < 0 || v.Accelerators < 0 || v.Slots < 0 || v.Connections < 0
 }
 
-// Max returns the larger amount of each kind.
+// Max returns the larger of the two amounts for each kind.
 func (v Vector) Max(o Vector) Vector {
 	return Vector{
 		max(v.Milliprocessors, o.Milliprocessors),
@@ -84,7 +85,7 @@
 	}
 }
 
-// Min returns the smaller amount of each kind.
+// Min returns the smaller of the two amounts for each kind.
 func (v Vector) Min(o Vector) Vector {
 	return Vector{
 		min(v.Milliprocessors, o.Milliprocessors),
@@ -95,9 +96,9 @@
 	}
 }
 
-// DominantFraction returns the largest fraction of total that v takes in any
-// kind. A kind that total lacks is skipped unless v asks for it, which yields
-// a fraction above every real one.
+// DominantFraction returns the dominant share of v: the largest of the fractions
+// v/total over all kinds. Kinds of which v has nothing are skipped. If v requires
+// a kind of which total has nothing, the result is unavailableFraction.
 func (v Vector) DominantFraction(total Vector) float64 {
 	amounts, totals := v.Amounts(), total.Amounts()
 	fraction := 0.0
@@ -113,11 +114,12 @@
 	return fraction
 }
 
-// unavailableFraction stands for a demand on a resource that does not exist.
+// unavailableFraction is the dominant fraction of a demand that no capacity can
+// meet. It is larger than the fraction of any demand on existing capacity.
 const unavailableFraction = 1e9
 
-// Validate returns a message naming the first amount that is negative or
-// larger than MaxAmount, or the empty string.
+// Validate returns a message that names the first amount below 0 or above
+// MaxAmount, or the empty string when all amounts are valid.
 func (v Vector) Validate() string {
 	for i, a := range v.Amounts() {
 		if a < 0 {
@@ -130,7 +132,7 @@
 	return ""
 }
 
-// String formats the vector as key=value pairs.
+// String formats the vector as key=value pairs separated by spaces.
 func (v Vector) String() string {
 	return fmt.Sprintf("milliprocessors=%d memory_mebibytes=%d accelerators=%d slots=%d connections=%d",
 		v.Milliprocessors, v.MemoryMebibytes, v.Accelerators, v.Slots, v.Connections)
--- a/internal/state/usage/usage.go
+++ b/internal/state/usage/usage.go
@@ -1,6 +1,7 @@
-// Package usage integrates what each plan was promised, used, borrowed and
-// lent, and what the same demand would need alone. It does no I/O; its owner
-// serialises access.
+// Package usage meters the plans of a pool: it integrates over time how much
+// capacity each plan was promised, used, borrowed from other plans and lent to
+// them, and how much it would need in a pool of its own. It does no I/O and is not
+// safe for concurrent use.
 package usage
 
 import (
@@ -10,20 +11,21 @@
 	"github.com/almondpost/almondpost/internal/operate/invariant"
 )
 
-// WaitingBounds are the upper bounds of the waiting-time buckets; the last
-// bucket has none.
+// WaitingBounds are the upper bounds of the waiting-time buckets, inclusive. One
+// more bucket counts the longer times.
 var WaitingBounds = [...]time.Duration{
 	100 * time.Millisecond, 300 * time.Millisecond, time.Second, 2100 * time.Millisecond,
 	10 * time.Second, time.Minute, time.Hour,
 }
 
-// Buckets counts tasks by the time that they waited for their start.
+// Buckets is a histogram of the times that tasks waited for their start. Its
+// bounds are WaitingBounds.
 type Buckets [len(WaitingBounds) + 1]int64
 
-// Add counts one task.
-func (b *Buckets) Add(d time.Duration) {
+// Add counts one task by its waiting time.
+func (b *Buckets) Add(waited time.Duration) {
 	for i, bound := range WaitingBounds {
-		if d <= bound {
+		if waited <= bound {
 			b[i]++
 			return
 		}
@@ -31,29 +33,32 @@
 	b[len(WaitingBounds)]++
 }
 
-// Sums are the sums of one plan over a time. VM-seconds are the plan's dominant
-// share of a pool times the number of its workers.
+// Sums is the metered usage of one plan over a period. Amounts are in VM-seconds:
+// the plan's dominant share of the pool times the number of workers in the pool,
+// integrated over time.
 type Sums struct {
 	Customer string `json:"customer"`
 	Plan     string `json:"plan"`
-	// Promised, Used, Borrowed and Lent are in VM-seconds. Used is at most
-	// Promised plus Borrowed; Borrowed and Lent are never both above zero at
-	// one moment.
+	// Promised is the plan's guaranteed capacity. Borrowed is the use above it,
+	// and Lent is the part of it that the plan did not use. At any moment a plan
+	// either borrows or lends, so Used is at most Promised plus Borrowed.
 	Promised float64 `json:"promised_vm_seconds"`
 	Used     float64 `json:"used_vm_seconds"`
 	Borrowed float64 `json:"borrowed_vm_seconds"`
 	Lent     float64 `json:"lent_vm_seconds"`
-	// Alone is what a pool of its own would need: the plan's peak demand, kept
-	// for the whole time.
+	// Alone is the capacity that the plan would need in a pool of its own: its
+	// peak use, provided for the whole period.
 	Alone float64 `json:"alone_vm_seconds"`
-	// Idle is the plan's part of what nobody used, by its promise.
-	Idle    float64 `json:"idle_vm_seconds"`
-	Started int64   `json:"started"`
-	// Waiting counts starts by waiting time, for each class.
+	// Idle is the plan's part of the pool's unused capacity, which is divided in
+	// proportion to the promised shares.
+	Idle float64 `json:"idle_vm_seconds"`
+	// Started is the number of tasks that started.
+	Started int64 `json:"started"`
+	// Waiting holds the waiting times of the started tasks by class.
 	Waiting map[string]Buckets `json:"waiting"`
 }
 
-// Merge adds the sums of another time or pool.
+// Merge adds the sums of another period or pool.
 func (s *Sums) Merge(o Sums) {
 	s.Promised += o.Promised
 	s.Used += o.Used
@@ -74,72 +79,80 @@
 	}
 }
 
-// Period holds the sums of one pool over a time.
+// Period holds the sums of all plans of one pool between two times.
 type Period struct {
-	// From is an entry VM's name.
+	// From is the name of the entry VM that metered the pool of its workers.
 	From  string    `json:"from"`
 	Begin time.Time `json:"begin"`
 	End   time.Time `json:"end"`
-	// PoolSeconds is the number of workers times the time.
+	// PoolSeconds is the number of workers in the pool integrated over the period,
+	// in VM-seconds.
 	PoolSeconds float64         `json:"pool_vm_seconds"`
 	Plans       map[string]Sums `json:"plans"`
 }
 
-// Meter integrates the accounts of one pool.
+// Meter integrates the usage of one pool over time.
 type Meter struct {
 	period Period
-	last   time.Time
-	peak   map[string]float64
+	// lastAdvance is the time up to which the usage is integrated.
+	lastAdvance time.Time
+	// peakUse is the highest use of each plan in the current period, in VMs.
+	peakUse map[string]float64
 }
 
-// New returns a meter that begins at a time.
+// New returns a meter for the pool of the entry VM from. Its first period begins
+// at now.
 func New(from string, now time.Time) *Meter {
-	m := &Meter{last: now}
+	m := &Meter{lastAdvance: now}
 	m.reset(from, now)
 	return m
 }
 
+// reset begins a new period.
 func (m *Meter) reset(from string, now time.Time) {
 	m.period = Period{From: from, Begin: now, End: now, Plans: map[string]Sums{}}
-	m.peak = map[string]float64{}
+	m.peakUse = map[string]float64{}
 }
 
-// Advance integrates up to now, during which the accounts did not change.
+// Advance adds the time from the last Advance until now to the sums. The accounts
+// and the number of workers must not have changed during that time, so callers
+// call Advance before they change them.
 func (m *Meter) Advance(now time.Time, accounts *share.Accounts, workers int) {
-	elapsed := now.Sub(m.last).Seconds()
-	m.last = now
+	elapsed := now.Sub(m.lastAdvance).Seconds()
+	m.lastAdvance = now
 	if elapsed <= 0 || workers == 0 {
 		return
 	}
-	size := elapsed * float64(workers)
+	vmSeconds := elapsed * float64(workers)
 	m.period.End = now
-	m.period.PoolSeconds += size
-	used, promised := 0.0, 0.0
+	m.period.PoolSeconds += vmSeconds
+	usedShare, promisedShare := 0.0, 0.0
 	accounts.Each(func(a *share.Account) {
-		used += a.Fill() * a.Promised
-		promised += a.Promised
+		usedShare += a.Fill() * a.Promised
+		promisedShare += a.Promised
 	})
-	idle := max(0, 1-used)
+	idleShare := max(0, 1-usedShare)
 	accounts.Each(func(a *share.Account) {
-		fraction := a.Fill() * a.Promised
+		planShare := a.Fill() * a.Promised
 		s := m.period.Plans[a.Plan]
 		s.Customer, s.Plan = a.Customer, a.Plan
-		s.Promised += a.Promised * size
-		s.Used += fraction * size
-		s.Borrowed += max(0, fraction-a.Promised) * size
-		s.Lent += max(0, a.Promised-fraction) * size
-		s.Idle += idle * size * a.Promised / promised
-		m.peak[a.Plan] = max(m.peak[a.Plan], fraction*float64(workers))
-		s.Alone = m.peak[a.Plan] * now.Sub(m.period.Begin).Seconds()
+		s.Promised += a.Promised * vmSeconds
+		s.Used += planShare * vmSeconds
+		s.Borrowed += max(0, planShare-a.Promised) * vmSeconds
+		s.Lent += max(0, a.Promised-planShare) * vmSeconds
+		s.Idle += idleShare * vmSeconds * a.Promised / promisedShare
+		m.peakUse[a.Plan] = max(m.peakUse[a.Plan], planShare*float64(workers))
+		s.Alone = m.peakUse[a.Plan] * now.Sub(m.period.Begin).Seconds()
 		m.period.Plans[a.Plan] = s
-		invariant.Check(s.Used <= s.Promised+s.Borrowed+useSlack*m.period.PoolSeconds, "usage_sums", "plan %s: %+v", a.Plan, s)
+		invariant.Check(s.Used <= s.Promised+s.Borrowed+roundingTolerance*m.period.PoolSeconds, "usage_sums", "plan %s: %+v", a.Plan, s)
 	})
 }
 
-// useSlack absorbs rounding.
-const useSlack = 1e-6
+// roundingTolerance allows for rounding errors in the sums, as a fraction of
+// Period.PoolSeconds.
+const roundingTolerance = 1e-6
 
-// Started counts a start.
+// Started counts a task that started after it waited for some time.
 func (m *Meter) Started(customer, plan, class string, waited time.Duration) {
 	s := m.period.Plans[plan]
 	s.Customer, s.Plan = customer, plan
@@ -153,7 +166,7 @@
 	m.period.Plans[plan] = s
 }
 
-// Current returns a copy of the sums since the last Cut.
+// Current returns a copy of the sums of the current period.
 func (m *Meter) Current() Period {
 	p := m.period
 	p.Plans = make(map[string]Sums, len(m.period.Plans))
@@ -168,7 +181,7 @@
 	return p
 }
 
-// Cut returns the sums since the last Cut and begins anew.
+// Cut ends the current period, returns its sums and begins a new period at now.
 func (m *Meter) Cut(now time.Time) Period {
 	p := m.period
 	m.reset(p.From, now)
