--- a/internal/state/claim/claim.go
+++ b/internal/state/claim/claim.go
@@ -1,6 +1,6 @@
-// Package claim makes sure that work under one idempotency key runs at most
-// once: the key is claimed in the platform's log before the work starts, and
-// log order decides between entry VMs.
+// Package claim ensures that work with an idempotency key runs at most once. A
+// request claims its key in the platform's log before the work starts. If several
+// entry VMs claim the same key, the first record in log order wins.
 package claim
 
 import (
@@ -22,13 +22,16 @@
 
 // The kinds of Error.
 const (
-	// KindUnavailable means that the log gave no answer. The work must not
-	// start.
+	// KindUnavailable means that an append or a read of the log failed, so the
+	// work must not start.
 	KindUnavailable Kind = "log_unavailable"
-	KindMalformed   Kind = "key_malformed"
-	// KindExpired means that an earlier claim of the key may be forgotten.
+	// KindMalformed means that the key is not a ULID.
+	KindMalformed Kind = "key_malformed"
+	// KindExpired means that the key is older than Window, so that an earlier claim
+	// of it may be forgotten already.
 	KindExpired Kind = "key_expired"
-	// KindFuture means that the key's time is ahead of the clock.
+	// KindFuture means that the key's timestamp is ahead of the clock by more than
+	// MaxAhead.
 	KindFuture Kind = "key_in_future"
 )
 
@@ -36,18 +39,21 @@
 type Error = fault.Error[Kind]
 
 const (
-	// Window is how old a key may be. It has to be well below the retention
-	// of the log.
+	// Window is the maximum age of a key. It must be well below the retention of
+	// the log, so that the log still has every earlier claim of a valid key.
 	Window = 12 * time.Hour
-	// MaxAhead is how far ahead of the clock a key may be.
+	// MaxAhead is the maximum time by which a key's timestamp may be ahead of the
+	// clock.
 	MaxAhead = 5 * time.Minute
-	// Streams is the number of log streams that keys are split over.
-	Streams   = 4
-	readLimit = 512
-	// forgetEvery is how many records are read between prunings.
-	forgetEvery = 4096
+	// Streams is the number of log streams over which keys are distributed by hash.
+	Streams           = 4
+	maxRecordsPerRead = 512
+	// pruneEvery is the number of records read from a stream before its expired keys
+	// are pruned again.
+	pruneEvery = 4096
 )
 
+// action is the type of a record.
 type action string
 
 const (
@@ -56,32 +62,34 @@
 	settled  action = "settled"
 )
 
-// record is one line of a claim stream.
+// record is the content of one record of a claim stream.
 type record struct {
 	Action action `json:"action"`
-	Key    string `json:"key"`
-	// ID is the request that acts on the key.
+	// Key is a scopedKey.
+	Key string `json:"key"`
+	// ID is the ID of the request that claims, releases or settles the key.
 	ID string `json:"id"`
-	// Outcome is the whole outcome of a settled key.
+	// Outcome is the outcome of the request, in a record that settles the key.
 	Outcome json.RawMessage `json:"outcome,omitempty"`
 }
 
-// Appender appends one record to a stream of the log.
+// Appender appends one record to a stream of the log and returns its offset.
 type Appender interface {
 	Append(ctx context.Context, stream string, data []byte) (uint64, error)
 }
 
-// Result tells who holds a key.
+// Result is the result of a claim.
 type Result struct {
-	// Won is true when the asking request holds the key.
+	// Won is true if the claiming request holds the key.
 	Won bool
-	// Holder is the request that holds the key.
+	// Holder is the ID of the request that holds the key.
 	Holder string
-	// Outcome is set when the holder has settled the key.
+	// Outcome is the holder's outcome, or empty until the holder settles the key.
 	Outcome json.RawMessage
 }
 
-// Book claims keys on behalf of one entry VM.
+// Book claims keys for one entry VM and tracks who holds them. It is safe for
+// concurrent use.
 type Book struct {
 	appender Appender
 	log      logservice.Log
@@ -89,39 +97,43 @@
 	streams  [Streams]stream
 }
 
-// stream is the state of one claim stream as far as it was read.
+// stream holds the claims of one log stream, as far as it was read.
 type stream struct {
-	name  string
-	mutex sync.Mutex
-	read  uint64
-	keys  map[string]*holding
-	seen  int
+	name       string
+	mutex      sync.Mutex
+	readOffset uint64
+	keys       map[string]*keyClaim
+	sincePrune int
 }
 
-type holding struct {
-	id      string
+// keyClaim is the current claim of a key: the request that holds it, and the
+// outcome once the key is settled.
+type keyClaim struct {
+	holder  string
 	outcome json.RawMessage
 }
 
-// New returns a book that has read nothing yet.
+// New returns a book that has not read the log yet. It appends with a, reads from
+// log and compares keys to the clock now.
 func New(a Appender, log logservice.Log, now func() time.Time) *Book {
 	b := &Book{appender: a, log: log, now: now}
 	for i := range b.streams {
 		b.streams[i].name = fmt.Sprintf("claims-%d", i)
-		b.streams[i].keys = map[string]*holding{}
+		b.streams[i].keys = map[string]*keyClaim{}
 	}
 	return b
 }
 
-// Check refuses keys that are malformed, too old or ahead of the clock.
-func (b *Book) Check(key string) error {
+// CheckKey returns an error of KindMalformed, KindExpired or KindFuture if the key
+// is not a ULID or its timestamp is too old or too far ahead of the clock.
+func (b *Book) CheckKey(key string) error {
 	id, err := ulid.ParseStrict(key)
 	if err != nil {
-		return fault.Newf("claim", KindMalformed, "key %q is no ULID", key)
+		return fault.Newf("claim", KindMalformed, "key %q is not a ULID", key)
 	}
 	age := b.now().Sub(ulid.Time(id.Time()))
 	if age > Window {
-		return fault.Newf("claim", KindExpired, "key is %s old, at most %s is accepted", age.Round(time.Second), Window)
+		return fault.Newf("claim", KindExpired, "key is %s old, the maximum age is %s", age.Round(time.Second), Window)
 	}
 	if age < -MaxAhead {
 		return fault.Newf("claim", KindFuture, "key is %s ahead of the clock", (-age).Round(time.Second))
@@ -129,27 +141,29 @@
 	return nil
 }
 
-func (b *Book) stream(key string) *stream {
+// streamOf returns the stream that contains the claims of a scoped key.
+func (b *Book) streamOf(key string) *stream {
 	return &b.streams[xxhash.Sum64String(key)%Streams]
 }
 
-// scoped joins a plan and a key, since keys are unique within a plan only.
-func scoped(plan, key string) string { return plan + "/" + key }
+// scopedKey prefixes a key with its plan, since keys are unique only within a plan.
+func scopedKey(plan, key string) string { return plan + "/" + key }
 
-// Claim claims a key of a plan for a request. After an error the work must not
-// start; the key may have been claimed all the same, so Release follows.
-func (b *Book) Claim(ctx context.Context, plan, key, id string) (Result, error) {
-	if err := b.Check(key); err != nil {
+// Claim claims a key of a plan for a request and returns who holds the key. After
+// an error the work must not start. After one of KindUnavailable the claim may be
+// in the log, so the caller must call Release.
+func (b *Book) Claim(ctx context.Context, plan, key, requestID string) (Result, error) {
+	if err := b.CheckKey(key); err != nil {
 		return Result{}, err
 	}
-	full := scoped(plan, key)
-	s := b.stream(full)
-	offset, err := b.append(ctx, s, record{Action: claimed, Key: full, ID: id})
+	scoped := scopedKey(plan, key)
+	s := b.streamOf(scoped)
+	offset, err := b.append(ctx, s, record{Action: claimed, Key: scoped, ID: requestID})
 	if err != nil {
 		return Result{}, err
 	}
-	// The key may have grown too old while the append waited.
-	if err := b.Check(key); err != nil {
+	// The key may have expired while the append waited.
+	if err := b.CheckKey(key); err != nil {
 		return Result{}, err
 	}
 	if err := b.catchUp(ctx, s, offset); err != nil {
@@ -157,27 +171,29 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	h := s.keys[full]
-	if h == nil {
+	current := s.keys[scoped]
+	if current == nil {
 		return Result{}, fault.Newf("claim", KindUnavailable, "the claim at offset %d was released", offset)
 	}
-	return Result{Won: h.id == id, Holder: h.id, Outcome: h.outcome}, nil
+	return Result{Won: current.holder == requestID, Holder: current.holder, Outcome: current.outcome}, nil
 }
 
-// Release frees a key whose work did not run and will not.
-func (b *Book) Release(ctx context.Context, plan, key, id string) error {
-	full := scoped(plan, key)
-	_, err := b.append(ctx, b.stream(full), record{Action: released, Key: full, ID: id})
+// Release frees a key whose work did not run and never will, so that another
+// request can claim it.
+func (b *Book) Release(ctx context.Context, plan, key, requestID string) error {
+	scoped := scopedKey(plan, key)
+	_, err := b.append(ctx, b.streamOf(scoped), record{Action: released, Key: scoped, ID: requestID})
 	return err
 }
 
-// Settle records the outcome of a key.
-func (b *Book) Settle(ctx context.Context, plan, key, id string, outcome json.RawMessage) error {
-	full := scoped(plan, key)
-	_, err := b.append(ctx, b.stream(full), record{Action: settled, Key: full, ID: id, Outcome: outcome})
+// Settle records the outcome of the request that holds a key.
+func (b *Book) Settle(ctx context.Context, plan, key, requestID string, outcome json.RawMessage) error {
+	scoped := scopedKey(plan, key)
+	_, err := b.append(ctx, b.streamOf(scoped), record{Action: settled, Key: scoped, ID: requestID, Outcome: outcome})
 	return err
 }
 
+// append appends a record to a stream and returns its offset.
 func (b *Book) append(ctx context.Context, s *stream, r record) (uint64, error) {
 	data, err := json.Marshal(r)
 	if err != nil {
@@ -190,54 +206,57 @@
 	return offset, nil
 }
 
-// catchUp reads a stream up to an offset.
+// catchUp reads a stream until it has applied the record at an offset.
 func (b *Book) catchUp(ctx context.Context, s *stream, until uint64) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for s.read < until {
-		reply, err := b.log.Read(ctx, s.name, s.read, readLimit, 0)
+	for s.readOffset < until {
+		reply, err := b.log.Read(ctx, s.name, s.readOffset, maxRecordsPerRead, 0)
 		if err != nil {
 			return fault.New("read", KindUnavailable, err)
 		}
 		if len(reply.Records) == 0 {
-			return fault.Newf("read", KindUnavailable, "offset %d is not there", until)
+			return fault.Newf("read", KindUnavailable, "the log returned no records before offset %d was reached", until)
 		}
 		for _, r := range reply.Records {
 			s.apply(r)
 		}
-		b.forget(s)
+		b.prune(s)
 	}
 	return nil
 }
 
+// apply updates the claims with a record. The first claim of a key holds it until
+// the same request releases it. Records that cannot be decoded are skipped.
 func (s *stream) apply(r logservice.Record) {
-	s.read = r.Offset
-	s.seen++
-	var c record
-	if json.Unmarshal(r.Data, &c) != nil {
+	s.readOffset = r.Offset
+	s.sincePrune++
+	var decoded record
+	if json.Unmarshal(r.Data, &decoded) != nil {
 		return
 	}
-	h := s.keys[c.Key]
+	current := s.keys[decoded.Key]
 	switch {
-	case c.Action == claimed && h == nil:
-		s.keys[c.Key] = &holding{id: c.ID}
-	case c.Action == released && h != nil && h.id == c.ID:
-		delete(s.keys, c.Key)
-	case c.Action == settled && h != nil && h.id == c.ID:
-		h.outcome = c.Outcome
+	case decoded.Action == claimed && current == nil:
+		s.keys[decoded.Key] = &keyClaim{holder: decoded.ID}
+	case decoded.Action == released && current != nil && current.holder == decoded.ID:
+		delete(s.keys, decoded.Key)
+	case decoded.Action == settled && current != nil && current.holder == decoded.ID:
+		current.outcome = decoded.Outcome
 	}
 }
 
-// forget drops keys that are refused for their age anyway.
-func (b *Book) forget(s *stream) {
-	if s.seen < forgetEvery {
+// prune forgets expired keys, which CheckKey refuses. It does nothing until
+// pruneEvery records were read since the last pruning.
+func (b *Book) prune(s *stream) {
+	if s.sincePrune < pruneEvery {
 		return
 	}
-	s.seen = 0
-	for full := range s.keys {
-		key := full[len(full)-ulid.EncodedSize:]
-		if fault.KindOf[Kind](b.Check(key)) == KindExpired {
-			delete(s.keys, full)
+	s.sincePrune = 0
+	for scoped := range s.keys {
+		key := scoped[len(scoped)-ulid.EncodedSize:]
+		if fault.KindOf[Kind](b.CheckKey(key)) == KindExpired {
+			delete(s.keys, scoped)
 		}
 	}
 }
--- a/internal/state/configuration/codec.go
+++ b/internal/state/configuration/codec.go
@@ -10,14 +10,14 @@
 	"github.com/almondpost/almondpost/internal/state/plan"
 )
 
-// maxRecordBytes bounds a record after decompression.
+// maxRecordBytes is the maximum size of a record after decompression.
 const maxRecordBytes = 16 << 20
 
-// gzipMagic begins every compressed record.
+// gzipMagic is the prefix of gzip data, by which compressed records are recognised.
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// Encode returns the log record of a publication. It is compressed, since every
-// entry VM reads every record and the lists repeat the same words.
+// Encode returns a record as gzip-compressed JSON. Compression pays off, since
+// every entry VM reads every record and the lists contain many repeated words.
 func Encode(r Record) ([]byte, error) {
 	data, err := json.Marshal(r)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return out.Bytes(), nil
 }
 
-// decode reads a record, compressed or plain.
+// decode decodes a record from JSON, with or without gzip compression.
 func decode(data []byte) (r Record, err error) {
 	if bytes.HasPrefix(data, gzipMagic) {
 		if data, err = decompress(data); err != nil {
@@ -44,6 +44,8 @@
 	return r, plan.DecodeStrict(data, &r)
 }
 
+// decompress returns the decompressed data, or an error of KindInvalid if it is
+// larger than maxRecordBytes.
 func decompress(data []byte) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
@@ -54,7 +56,7 @@
 		return nil, err
 	}
 	if len(plain) > maxRecordBytes {
-		return nil, fault.Newf("decompress", KindInvalid, "the record is above %d bytes", maxRecordBytes)
+		return nil, fault.Newf("decompress", KindInvalid, "the decompressed record is larger than %d bytes", maxRecordBytes)
 	}
 	return plain, nil
 }
--- a/internal/state/configuration/follow.go
+++ b/internal/state/configuration/follow.go
@@ -12,15 +12,17 @@
 )
 
 const (
-	readLimit  = 64
-	readWait   = 10 * time.Second
-	retryPause = 500 * time.Millisecond
+	maxRecordsPerRead = 64
+	// longPollWait is how long a read waits for new records.
+	longPollWait = 10 * time.Second
+	retryPause   = 500 * time.Millisecond
 )
 
-// Follow tails the log into the store until ctx ends.
+// Follow applies the records of the log to the store as they are appended, until
+// ctx ends. It retries failed reads.
 func Follow(ctx context.Context, log logservice.Log, s *Store) {
 	for ctx.Err() == nil {
-		if err := CatchUp(ctx, log, s, readWait); err != nil {
+		if err := CatchUp(ctx, log, s, longPollWait); err != nil {
 			select {
 			case <-ctx.Done():
 			case <-time.After(retryPause):
@@ -29,9 +31,10 @@
 	}
 }
 
-// CatchUp reads once what follows the store's offset.
+// CatchUp reads the log once and applies the records after the store's offset, at
+// most maxRecordsPerRead of them. If there are none, the read waits for up to wait.
 func CatchUp(ctx context.Context, log logservice.Log, s *Store, wait time.Duration) error {
-	reply, err := log.Read(ctx, Stream, s.Read(), readLimit, wait)
+	reply, err := log.Read(ctx, Stream, s.ReadOffset(), maxRecordsPerRead, wait)
 	if err != nil {
 		return err
 	}
@@ -41,30 +44,34 @@
 	return nil
 }
 
-// Load reads the whole stream into a new store.
+// Load returns a new store with all records that the log retains.
 func Load(ctx context.Context, log logservice.Log) (*Store, error) {
 	s := New(func(Version) {})
 	return s, readAll(ctx, log, s)
 }
 
+// readAll applies records to the store until the log has no newer ones.
 func readAll(ctx context.Context, log logservice.Log, s *Store) error {
 	for {
-		before := s.Read()
+		before := s.ReadOffset()
 		if err := CatchUp(ctx, log, s, 0); err != nil {
 			return err
 		}
-		if s.Read() == before {
+		if s.ReadOffset() == before {
 			return nil
 		}
 	}
 }
 
-// publishTries bounds how often an append without answer is repeated.
-const publishTries = 5
+// maxAppendAttempts is the maximum number of appends of one publication. An append
+// that fails is repeated, since its outcome is unknown.
+const maxAppendAttempts = 5
 
-// Publish appends a change and returns the accepted version. A lost answer is
-// resolved by reading back; an append that is repeated carries the same ID and
-// counts once. The error is of KindConflict when another change came first.
+// Publish appends new lists that replace the version at offset basedOn, and returns
+// the accepted version. After a failed append it reads the log to find out whether
+// the record is there. Repeated appends are idempotent, since they carry the same
+// ID. The error is of KindInvalid for invalid lists, of KindConflict when another
+// change was accepted first, and of KindUnknown when the outcome is unknown.
 func Publish(ctx context.Context, log logservice.Log, basedOn uint64, operator string, lists plan.Lists) (Version, error) {
 	if _, err := plan.NewIndex(lists); err != nil {
 		return Version{}, fault.New("publish", KindInvalid, err)
@@ -74,21 +81,21 @@
 	if err != nil {
 		return Version{}, fault.New("publish", KindInvalid, err)
 	}
-	var last error
-	for range publishTries {
-		if _, last = log.Append(ctx, Stream, [][]byte{data}); last == nil {
+	var appendErr error
+	for range maxAppendAttempts {
+		if _, appendErr = log.Append(ctx, Stream, [][]byte{data}); appendErr == nil {
 			break
 		}
-		if v, found := published(ctx, log, id); found {
+		if v, found := findPublished(ctx, log, id); found {
 			return v, nil
 		}
 		time.Sleep(retryPause)
 	}
-	if v, found := published(ctx, log, id); found {
+	if v, found := findPublished(ctx, log, id); found {
 		return v, nil
 	}
-	if last != nil {
-		return Version{}, fault.New("publish", KindUnknown, last)
+	if appendErr != nil {
+		return Version{}, fault.New("publish", KindUnknown, appendErr)
 	}
 	s, err := Load(ctx, log)
 	if err != nil {
@@ -98,8 +105,9 @@
 	return v, fault.Newf("publish", KindConflict, "based on offset %d, but %s published offset %d first", basedOn, v.Operator, v.Offset)
 }
 
-// published looks for an accepted record with an ID.
-func published(ctx context.Context, log logservice.Log, id string) (Version, bool) {
+// findPublished reads the whole log and returns the accepted version whose record
+// has an ID, and whether it was found.
+func findPublished(ctx context.Context, log logservice.Log, id string) (Version, bool) {
 	var found Version
 	s := New(func(v Version) {
 		if v.ID == id {
--- a/internal/state/configuration/store.go
+++ b/internal/state/configuration/store.go
@@ -1,7 +1,8 @@
-// Package configuration agrees on the two lists through the platform's log. An
-// operator publishes a change with the offset that it is based on; the first
-// in log order wins. Entry VMs follow the log, and pass the newest accepted
-// configuration on to peers that can not reach it.
+// Package configuration distributes the lists of package plan to all entry VMs
+// through the platform's log. An operator publishes new lists together with the
+// offset of the version that they are based on. If two changes are based on the
+// same version, the first in log order is accepted. Entry VMs follow the log and
+// pass the newest accepted version on to peers that cannot reach it.
 package configuration
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/almondpost/almondpost/internal/state/plan"
 )
 
-// Stream is the log stream of configurations.
+// Stream is the name of the log stream with the configuration records.
 const Stream = "configuration"
 
 // Kind classifies the errors of this package.
@@ -21,77 +22,90 @@
 
 // The kinds of Error.
 const (
+	// KindConflict means that another change was accepted first.
 	KindConflict Kind = "conflict"
-	KindInvalid  Kind = "invalid"
-	KindUnknown  Kind = "unknown_outcome"
+	// KindInvalid means that the lists or the record are invalid.
+	KindInvalid Kind = "invalid"
+	// KindUnknown means that the change may or may not have been accepted.
+	KindUnknown Kind = "unknown_outcome"
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Record is one published change.
+// Record is the content of one log record: a published change, or a snapshot of an
+// accepted version.
 type Record struct {
-	// ID is unique to one publication; a repeated append carries the same.
+	// ID identifies one publication. Repeated appends of it carry the same ID.
 	ID string `json:"id"`
-	// BasedOn is the offset of the configuration that the operator edited, 0
-	// for the first one.
+	// BasedOn is the offset of the version that the operator edited, or 0 for the
+	// first configuration.
 	BasedOn uint64 `json:"based_on"`
-	// Operator says who published, for the loser of a conflict.
+	// Operator is the name of the publisher. It is shown to an operator whose
+	// change conflicts with this one.
 	Operator string `json:"operator"`
-	// SnapshotOf is set when the record repeats the accepted version of that
-	// offset, so that it outlives the retention of the log.
+	// SnapshotOf is the offset of the accepted version that a snapshot repeats, or
+	// 0 for a change. Snapshots keep a version available after the log has dropped
+	// the original record.
 	SnapshotOf uint64 `json:"snapshot_of,omitempty"`
-	// AsOf is the offset up to which the writer of a snapshot knew the log.
+	// AsOf is the offset up to which the writer of a snapshot had read the log.
 	AsOf  uint64     `json:"as_of,omitempty"`
 	Lists plan.Lists `json:"lists"`
 }
 
-// Version is an accepted configuration.
+// Version is an accepted version of the configuration.
 type Version struct {
-	// Offset is the place of the record in the log; it only rises.
+	// Offset is the log offset of the original record. Later versions have higher
+	// offsets.
 	Offset uint64
-	// ID is that of the record; it is empty when a peer passed the version on.
+	// ID is the ID of the record. It is empty for a version from a peer or a
+	// snapshot.
 	ID       string
 	Operator string
 	Lists    plan.Lists
 	Index    *plan.Index
 }
 
-// Verdict is what the rule makes of one record.
-type Verdict struct {
+// Decision is the result of evaluating one record.
+type Decision struct {
 	Accepted bool
-	// Repeated records were appended twice by the same publication.
-	Repeated bool
-	Reason   string
+	// Redundant is true for a record that contains no new change: a repeated
+	// append, a snapshot, or a record that the current version already covers.
+	Redundant bool
+	// Reason states why the record was not accepted.
+	Reason string
 }
 
-// Store holds the newest accepted configuration of one process.
+// Store holds the newest accepted version that a process knows. It is safe for
+// concurrent use.
 type Store struct {
 	mutex   sync.Mutex
 	version Version
-	// read is the offset up to which the log was taken in.
-	read uint64
-	// anchored is true while the version follows from an unbroken row of
-	// records. Without that, records are kept in pending until a snapshot or a
-	// peer tells which version they follow on.
-	anchored bool
-	pending  []logservice.Record
-	// first is the first offset of the unbroken row that was read, or 0.
-	first uint64
-	// snapshotSeen is set when a record that holds the current version was read
-	// and is cleared by SnapshotDue.
+	// readOffset is the offset of the last record that was read.
+	readOffset uint64
+	// baseKnown is true while version is the newest accepted one up to readOffset,
+	// so that the next record can be evaluated. It becomes false when the log has
+	// dropped records that the store has not read. Records are then kept in pending
+	// until a snapshot or a peer supplies the version that they are based on.
+	baseKnown bool
+	pending   []logservice.Record
+	// contiguousFrom is the lowest offset from which all records up to readOffset
+	// were read without a gap, or 0 before the first record.
+	contiguousFrom uint64
+	// snapshotSeen is true if a record with the current version was read since the
+	// last call of SnapshotDue.
 	snapshotSeen bool
-	changed      func(Version)
+	onAccept     func(Version)
 }
 
-// maxPending bounds the records that wait for a snapshot.
+// maxPending is the maximum number of pending records; the oldest are dropped.
 const maxPending = 4096
 
-// New returns a store with empty lists. The function is called with each newly
-// accepted version, in order of their offsets.
-func New(changed func(Version)) *Store {
+// New returns a store with empty lists. It calls onAccept with each newly accepted
+// version, in the order of their offsets. onAccept must not call the store.
+func New(onAccept func(Version)) *Store {
 	empty, _ := plan.NewIndex(plan.Lists{})
-	return &Store{version: Version{Index: empty}, changed: changed}
+	return &Store{version: Version{Index: empty}, onAccept: onAccept}
 }
 
 // Current returns the newest accepted version.
@@ -101,75 +115,81 @@
 	return s.version
 }
 
-// Read returns the offset up to which the log was taken in.
-func (s *Store) Read() uint64 {
+// ReadOffset returns the offset of the last record that was read.
+func (s *Store) ReadOffset() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.read
+	return s.readOffset
 }
 
-// Judge decides on a record after a version. It depends on nothing else, so
-// that every process decides alike.
-func Judge(after Version, data []byte) (Record, *plan.Index, Verdict) {
+// Evaluate decides whether a record is accepted as the successor of the version
+// base. The index is nil unless it is. The decision depends only on the arguments,
+// so all processes make the same one.
+func Evaluate(base Version, data []byte) (Record, *plan.Index, Decision) {
 	r, err := decode(data)
 	if err != nil {
-		return r, nil, Verdict{Reason: err.Error()}
+		return r, nil, Decision{Reason: err.Error()}
 	}
-	if r.ID != "" && r.ID == after.ID {
-		return r, nil, Verdict{Repeated: true, Reason: "already accepted"}
+	if r.ID != "" && r.ID == base.ID {
+		return r, nil, Decision{Redundant: true, Reason: "already accepted"}
 	}
-	if r.BasedOn != after.Offset {
-		return r, nil, Verdict{Reason: "based on another version"}
+	if r.BasedOn != base.Offset {
+		return r, nil, Decision{Reason: "based on another version than the current one"}
 	}
-	x, err := plan.NewIndex(r.Lists)
+	index, err := plan.NewIndex(r.Lists)
 	if err != nil {
-		return r, nil, Verdict{Reason: err.Error()}
+		return r, nil, Decision{Reason: err.Error()}
 	}
-	return r, x, Verdict{Accepted: true}
+	return r, index, Decision{Accepted: true}
 }
 
-// Apply takes in the next record of the log.
-func (s *Store) Apply(r logservice.Record) Verdict {
+// Apply evaluates the next record of the log and updates the current version if the
+// record is accepted.
+func (s *Store) Apply(r logservice.Record) Decision {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if r.Offset <= s.read {
-		return Verdict{Repeated: true, Reason: "already read"}
+	if r.Offset <= s.readOffset {
+		return Decision{Redundant: true, Reason: "already read"}
 	}
-	if r.Offset > s.read+1 || r.Offset == 1 {
-		s.first, s.pending = r.Offset, nil
-		s.anchored = s.follows(s.version.Offset)
+	if r.Offset > s.readOffset+1 || r.Offset == 1 {
+		s.contiguousFrom, s.pending = r.Offset, nil
+		s.baseKnown = s.hasReadAllAfter(s.version.Offset)
 	}
-	s.read = r.Offset
-	if snapshot, x, ok := decodeSnapshot(r.Data); ok {
-		s.applySnapshot(snapshot, x)
-		return Verdict{Repeated: true, Reason: "snapshot"}
+	s.readOffset = r.Offset
+	if snapshot, index, ok := decodeSnapshot(r.Data); ok {
+		s.applySnapshot(snapshot, index)
+		return Decision{Redundant: true, Reason: "snapshot"}
 	}
-	if !s.anchored {
+	if !s.baseKnown {
 		s.pending = append(s.pending, r)
 		if len(s.pending) > maxPending {
 			s.pending = s.pending[1:]
 		}
-		return Verdict{Reason: "the version before is not known yet"}
+		return Decision{Reason: "the preceding version is not known yet"}
 	}
-	return s.judge(r)
+	return s.evaluate(r)
 }
 
-// follows reports whether every record after an offset is in the unbroken row
-// that was read.
-func (s *Store) follows(offset uint64) bool { return s.first > 0 && offset+1 >= s.first }
+// hasReadAllAfter reports whether all records from an offset, exclusive, to
+// readOffset were read without a gap.
+func (s *Store) hasReadAllAfter(offset uint64) bool {
+	return s.contiguousFrom > 0 && offset+1 >= s.contiguousFrom
+}
 
-func (s *Store) judge(r logservice.Record) Verdict {
+// evaluate decides on a record whose base version is known.
+func (s *Store) evaluate(r logservice.Record) Decision {
 	if r.Offset <= s.version.Offset {
-		return Verdict{Repeated: true, Reason: "a peer passed it on"}
+		return Decision{Redundant: true, Reason: "not newer than the current version"}
 	}
-	record, x, verdict := Judge(s.version, r.Data)
-	if verdict.Accepted {
+	record, index, decision := Evaluate(s.version, r.Data)
+	if decision.Accepted {
 		s.snapshotSeen = true
-		s.set(Version{Offset: r.Offset, ID: record.ID, Operator: record.Operator, Lists: record.Lists, Index: x})
+		s.accept(Version{Offset: r.Offset, ID: record.ID, Operator: record.Operator, Lists: record.Lists, Index: index})
 	}
-	return verdict
+	return decision
 }
 
+// decodeSnapshot decodes a record and reports whether it is a valid snapshot.
 func decodeSnapshot(data []byte) (Record, *plan.Index, bool) {
 	r, err := decode(data)
 	if err != nil || r.SnapshotOf == 0 {
@@ -179,46 +199,51 @@
 	return r, x, err == nil
 }
 
-// applySnapshot takes a snapshot as the version that later records follow on.
-func (s *Store) applySnapshot(r Record, x *plan.Index) {
+// applySnapshot supplies the base version of the pending records if it is not known.
+// The snapshot must cover all records that the store missed: its writer had read the
+// log up to AsOf, and the store must have read everything after that.
+func (s *Store) applySnapshot(r Record, index *plan.Index) {
 	if r.SnapshotOf == s.version.Offset {
 		s.snapshotSeen = true
 	}
-	if s.anchored || !s.follows(r.AsOf) {
+	if s.baseKnown || !s.hasReadAllAfter(r.AsOf) {
 		return
 	}
 	if r.SnapshotOf > s.version.Offset {
-		s.set(Version{Offset: r.SnapshotOf, Operator: r.Operator, Lists: r.Lists, Index: x})
+		s.accept(Version{Offset: r.SnapshotOf, Operator: r.Operator, Lists: r.Lists, Index: index})
 	}
-	s.anchor()
+	s.evaluatePending()
 }
 
-// anchor judges the records that waited for the version.
-func (s *Store) anchor() {
-	s.anchored = true
-	waiting := s.pending
+// evaluatePending evaluates the records that were kept until their base version was
+// known.
+func (s *Store) evaluatePending() {
+	s.baseKnown = true
+	pending := s.pending
 	s.pending = nil
-	for _, r := range waiting {
-		s.judge(r)
+	for _, r := range pending {
+		s.evaluate(r)
 	}
 }
 
-// SnapshotDue returns the record that repeats the current version, if none
-// that holds it was read since the last call.
+// SnapshotDue returns a snapshot record of the current version and whether it is
+// due, which is the case if no record with that version was read since the last
+// call. Processes that call it periodically thus rarely append the same snapshot.
 func (s *Store) SnapshotDue(operator string) ([]byte, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.snapshotSeen || !s.anchored || s.version.Offset == 0 {
+	if s.snapshotSeen || !s.baseKnown || s.version.Offset == 0 {
 		s.snapshotSeen = false
 		return nil, false
 	}
-	data, err := Encode(Record{Operator: operator, SnapshotOf: s.version.Offset, AsOf: max(s.read, s.version.Offset), Lists: s.version.Lists})
+	data, err := Encode(Record{Operator: operator, SnapshotOf: s.version.Offset, AsOf: max(s.readOffset, s.version.Offset), Lists: s.version.Lists})
 	return data, err == nil
 }
 
-// Learn takes over an accepted version from a peer if it is newer.
+// Learn replaces the current version by an accepted version from a peer if that is
+// newer. It returns an error of KindInvalid for invalid lists.
 func (s *Store) Learn(offset uint64, lists plan.Lists) error {
-	x, err := plan.NewIndex(lists)
+	index, err := plan.NewIndex(lists)
 	if err != nil {
 		return fault.New("learn", KindInvalid, err)
 	}
@@ -227,15 +252,16 @@
 	if offset <= s.version.Offset {
 		return nil
 	}
-	s.set(Version{Offset: offset, Lists: lists, Index: x})
-	if !s.anchored && s.follows(offset) {
-		s.anchor()
+	s.accept(Version{Offset: offset, Lists: lists, Index: index})
+	if !s.baseKnown && s.hasReadAllAfter(offset) {
+		s.evaluatePending()
 	}
 	return nil
 }
 
-func (s *Store) set(v Version) {
-	invariant.Check(v.Offset > s.version.Offset, "configuration_reverted", "offset %d after %d", v.Offset, s.version.Offset)
+// accept makes v the current version and calls onAccept.
+func (s *Store) accept(v Version) {
+	invariant.Check(v.Offset > s.version.Offset, "configuration_reverted", "the new offset is %d, the current one %d", v.Offset, s.version.Offset)
 	s.version = v
-	s.changed(v)
+	s.onAccept(v)
 }
--- a/internal/state/configuration/store_test.go
+++ b/internal/state/configuration/store_test.go
@@ -19,12 +19,13 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 400) }
 
-// fakeLog is a log with retention, outages and lost answers.
+// fakeLog is an in-memory log that can drop old records, fail all calls and lose the
+// reply of an append.
 type fakeLog struct {
-	records  []logservice.Record
-	dropped  int
-	loseNext bool
-	outage   bool
+	records       []logservice.Record
+	droppedCount  int
+	loseNextReply bool
+	outage        bool
 }
 
 var errOutage = errors.New("outage")
@@ -37,8 +38,8 @@
 	for _, r := range records {
 		l.records = append(l.records, logservice.Record{Offset: uint64(len(l.records) + 1), Data: r})
 	}
-	if l.loseNext {
-		l.loseNext = false
+	if l.loseNextReply {
+		l.loseNextReply = false
 		return 0, errOutage
 	}
 	return first, nil
@@ -48,15 +49,16 @@
 	if l.outage {
 		return logservice.ReadReply{}, errOutage
 	}
-	begin := max(int(after), l.dropped)
+	begin := max(int(after), l.droppedCount)
 	end := min(len(l.records), begin+limit)
 	if begin > end {
 		begin = end
 	}
-	return logservice.ReadReply{Records: l.records[begin:end], Oldest: uint64(l.dropped + 1)}, nil
+	return logservice.ReadReply{Records: l.records[begin:end], Oldest: uint64(l.droppedCount + 1)}, nil
 }
 
-func lists(price float64) plan.Lists {
+// newLists returns valid lists with one plan of a price.
+func newLists(price float64) plan.Lists {
 	return plan.Lists{
 		Customers: plan.Customers{Customers: []plan.Customer{{Name: "c", Plans: []string{"p"}}}},
 		Entitlements: plan.Entitlements{Plans: []plan.Entitlement{{
@@ -69,22 +71,24 @@
 	is := is.New(t)
 	ctx := context.Background()
 	l := &fakeLog{}
-	first, err := configuration.Publish(ctx, l, 0, "a", lists(1))
+	first, err := configuration.Publish(ctx, l, 0, "a", newLists(1))
 	is.NoErr(err)
-	won, err := configuration.Publish(ctx, l, first.Offset, "a", lists(2))
+	second, err := configuration.Publish(ctx, l, first.Offset, "a", newLists(2))
 	is.NoErr(err)
-	_, err = configuration.Publish(ctx, l, first.Offset, "b", lists(3))
+	_, err = configuration.Publish(ctx, l, first.Offset, "b", newLists(3))
 	is.Equal(fault.KindOf[configuration.Kind](err), configuration.KindConflict)
 	s, err := configuration.Load(ctx, l)
 	is.NoErr(err)
-	is.Equal(s.Current().Offset, won.Offset)
+	is.Equal(s.Current().Offset, second.Offset)
 	is.Equal(s.Current().Lists.Entitlements.Plans[0].Price, 2.0)
 }
 
+// TestLostAnswerOfAnAppendIsResolvedByReadingBack guards against a second append of
+// a publication whose first append took effect although its reply was lost.
 func TestLostAnswerOfAnAppendIsResolvedByReadingBack(t *testing.T) {
 	is := is.New(t)
-	l := &fakeLog{loseNext: true}
-	v, err := configuration.Publish(context.Background(), l, 0, "a", lists(1))
+	l := &fakeLog{loseNextReply: true}
+	v, err := configuration.Publish(context.Background(), l, 0, "a", newLists(1))
 	is.NoErr(err)
 	is.Equal(v.Offset, uint64(1))
 	is.Equal(len(l.records), 1)
@@ -93,14 +97,15 @@
 func TestInvalidListsAreNotPublished(t *testing.T) {
 	is := is.New(t)
 	l := &fakeLog{}
-	bad := lists(1)
-	bad.Entitlements.Plans[0].PromisedShare = 2
-	_, err := configuration.Publish(context.Background(), l, 0, "a", bad)
+	invalid := newLists(1)
+	invalid.Entitlements.Plans[0].PromisedShare = 2
+	_, err := configuration.Publish(context.Background(), l, 0, "a", invalid)
 	is.Equal(fault.KindOf[configuration.Kind](err), configuration.KindInvalid)
 	is.Equal(len(l.records), 0)
 }
 
-// reader is one entry VM that follows the log.
+// reader is an entry VM that follows the log, with the offsets of all versions that
+// it has accepted.
 type reader struct {
 	store    *configuration.Store
 	versions []uint64
@@ -112,14 +117,15 @@
 	return r
 }
 
-// TestReadersAgreeAndNeverRevert lets operators race, readers lag, restart, and
-// learn from each other, and the log drop old records. No reader reverts, and
-// in the end all hold what a reader of the whole log holds.
+// TestReadersAgreeAndNeverRevert publishes conflicting changes while readers lag,
+// restart and learn versions from each other, and the log drops old records. It
+// fails if a reader accepts an older version after a newer one, or if it ends with
+// another version than a reader that has read the whole log.
 func TestReadersAgreeAndNeverRevert(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ctx := context.Background()
 		l := &fakeLog{}
-		truth := newReader()
+		reference := newReader()
 		readers := []*reader{newReader(), newReader(), newReader()}
 		price := 1.0
 		for range rapid.IntRange(5, 80).Draw(rt, "steps") {
@@ -128,68 +134,70 @@
 			switch rapid.IntRange(0, 7).Draw(rt, "step") {
 			case 0, 1:
 				price++
-				base := r.store.Current().Offset
+				basedOn := r.store.Current().Offset
 				if rapid.Bool().Draw(rt, "newest") {
-					base = truth.store.Current().Offset
+					basedOn = reference.store.Current().Offset
 				}
-				data, _ := configuration.Encode(configuration.Record{ID: fmt.Sprint(price), BasedOn: base, Operator: "o", Lists: lists(price)})
+				data, _ := configuration.Encode(configuration.Record{ID: fmt.Sprint(price), BasedOn: basedOn, Operator: "o", Lists: newLists(price)})
 				_, _ = l.Append(ctx, configuration.Stream, [][]byte{data})
 				if rapid.Bool().Draw(rt, "repeated") {
 					_, _ = l.Append(ctx, configuration.Stream, [][]byte{data})
 				}
-				catchUp(rt, l, truth)
+				catchUp(rt, l, reference)
 			case 2, 3:
 				catchUp(rt, l, r)
 			case 4:
 				readers[i] = newReader()
 			case 5:
-				from := readers[rapid.IntRange(0, len(readers)-1).Draw(rt, "peer")].store.Current()
-				if err := r.store.Learn(from.Offset, from.Lists); err != nil {
+				learned := readers[rapid.IntRange(0, len(readers)-1).Draw(rt, "peer")].store.Current()
+				if err := r.store.Learn(learned.Offset, learned.Lists); err != nil {
 					rt.Fatal(err)
 				}
 			case 6:
 				if data, due := r.store.SnapshotDue("r"); due {
 					_, _ = l.Append(ctx, configuration.Stream, [][]byte{data})
-					catchUp(rt, l, truth)
+					catchUp(rt, l, reference)
 				}
 			case 7:
-				// The log drops only what a snapshot has outlived.
-				truth.store.SnapshotDue("t")
-				if data, due := truth.store.SnapshotDue("t"); due {
+				// The log drops records only after a snapshot of the current version
+				// was appended. The first call clears the flag that delays it.
+				reference.store.SnapshotDue("t")
+				if data, due := reference.store.SnapshotDue("t"); due {
 					_, _ = l.Append(ctx, configuration.Stream, [][]byte{data})
-					catchUp(rt, l, truth)
-					l.dropped = rapid.IntRange(l.dropped, len(l.records)-1).Draw(rt, "dropped")
+					catchUp(rt, l, reference)
+					l.droppedCount = rapid.IntRange(l.droppedCount, len(l.records)-1).Draw(rt, "dropped")
 				}
 			}
 		}
 		for _, r := range readers {
 			catchUp(rt, l, r)
-			if got, want := r.store.Current(), truth.store.Current(); got.Offset != want.Offset {
-				rt.Fatalf("a reader holds offset %d, the log's is %d", got.Offset, want.Offset)
+			if got, want := r.store.Current(), reference.store.Current(); got.Offset != want.Offset {
+				rt.Fatalf("a reader has the version at offset %d, the reference reader %d", got.Offset, want.Offset)
 			}
 			for i := 1; i < len(r.versions); i++ {
 				if r.versions[i] <= r.versions[i-1] {
-					rt.Fatalf("reverted: %v", r.versions)
+					rt.Fatalf("a reader accepted an older version after a newer one: %v", r.versions)
 				}
 			}
 		}
 	})
 }
 
+// catchUp applies records until the log has no newer ones.
 func catchUp(rt *rapid.T, l *fakeLog, r *reader) {
 	for {
-		before := r.store.Read()
+		before := r.store.ReadOffset()
 		if err := configuration.CatchUp(context.Background(), l, r.store, 0); err != nil {
 			rt.Fatal(err)
 		}
-		if r.store.Read() == before {
+		if r.store.ReadOffset() == before {
 			return
 		}
 	}
 }
 
 func TestMalformedRecordsChangeNothing(t *testing.T) {
-	good, err := configuration.Encode(configuration.Record{ID: "x", Lists: lists(1)})
+	encoded, err := configuration.Encode(configuration.Record{ID: "x", Lists: newLists(1)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -200,22 +208,22 @@
 		{"empty", nil},
 		{"plain text", []byte("hello")},
 		{"unknown field", []byte(`{"colour":"red"}`)},
-		{"cut while compressed", good[:len(good)-9]},
-		{"compressed rubbish", append([]byte{0x1f, 0x8b}, good[3:]...)},
+		{"truncated gzip data", encoded[:len(encoded)-9]},
+		{"corrupt gzip data", append([]byte{0x1f, 0x8b}, encoded[3:]...)},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			is := is.New(t)
-			store := configuration.New(func(configuration.Version) { t.Fatal("accepted") })
+			store := configuration.New(func(configuration.Version) { t.Fatal("a malformed record was accepted") })
 			v := store.Apply(logservice.Record{Offset: 1, Data: s.data})
 			is.True(!v.Accepted)
 			is.True(v.Reason != "")
-			is.Equal(store.Read(), uint64(1))
+			is.Equal(store.ReadOffset(), uint64(1))
 		})
 	}
 }
 
-// BenchmarkRecord reports the size of a publication of 350 plans.
+// BenchmarkRecord reports the encoded size of a record with 350 plans.
 func BenchmarkRecord(b *testing.B) {
 	var l plan.Lists
 	for i := range 350 {
