--- a/internal/state/claim/claim.go
+++ b/internal/state/claim/claim.go
@@ -102,8 +102,10 @@
 	name       string
 	mutex      sync.Mutex
 	readOffset uint64
-	keys       map[string]*keyClaim
-	sincePrune int
+	// keys holds the claims by scoped key.
+	keys map[string]*keyClaim
+	// readSincePrune is the number of records read since the last pruning.
+	readSincePrune int
 }
 
 // keyClaim is the current claim of a key: the request that holds it, and the
@@ -230,7 +232,7 @@
 // the same request releases it. Records that cannot be decoded are skipped.
 func (s *stream) apply(r logservice.Record) {
 	s.readOffset = r.Offset
-	s.sincePrune++
+	s.readSincePrune++
 	var decoded record
 	if json.Unmarshal(r.Data, &decoded) != nil {
 		return
@@ -246,13 +248,13 @@
 	}
 }
 
-// prune forgets expired keys, which CheckKey refuses. It does nothing until
-// pruneEvery records were read since the last pruning.
+// prune forgets expired keys, whose claims are refused by CheckKey, once for every
+// pruneEvery records that were read.
 func (b *Book) prune(s *stream) {
-	if s.sincePrune < pruneEvery {
+	if s.readSincePrune < pruneEvery {
 		return
 	}
-	s.sincePrune = 0
+	s.readSincePrune = 0
 	for scoped := range s.keys {
 		key := scoped[len(scoped)-ulid.EncodedSize:]
 		if fault.KindOf[Kind](b.CheckKey(key)) == KindExpired {
--- a/internal/state/configuration/store.go
+++ b/internal/state/configuration/store.go
@@ -123,8 +123,8 @@
 }
 
 // Evaluate decides whether a record is accepted as the successor of the version
-// base. The index is nil unless it is. The decision depends only on the arguments,
-// so all processes make the same one.
+// base, and returns the decoded record and, if it is accepted, the index of its
+// lists. The decision depends only on the arguments, so all processes agree on it.
 func Evaluate(base Version, data []byte) (Record, *plan.Index, Decision) {
 	r, err := decode(data)
 	if err != nil {
@@ -167,7 +167,7 @@
 		}
 		return Decision{Reason: "the preceding version is not known yet"}
 	}
-	return s.evaluate(r)
+	return s.applyChange(r)
 }
 
 // hasReadAllAfter reports whether all records from an offset, exclusive, to
@@ -176,8 +176,9 @@
 	return s.contiguousFrom > 0 && offset+1 >= s.contiguousFrom
 }
 
-// evaluate decides on a record whose base version is known.
-func (s *Store) evaluate(r logservice.Record) Decision {
+// applyChange evaluates a change whose base version is known and accepts the new
+// version if the evaluation does.
+func (s *Store) applyChange(r logservice.Record) Decision {
 	if r.Offset <= s.version.Offset {
 		return Decision{Redundant: true, Reason: "not newer than the current version"}
 	}
@@ -195,13 +196,13 @@
 	if err != nil || r.SnapshotOf == 0 {
 		return r, nil, false
 	}
-	x, err := plan.NewIndex(r.Lists)
-	return r, x, err == nil
+	index, err := plan.NewIndex(r.Lists)
+	return r, index, err == nil
 }
 
-// applySnapshot supplies the base version of the pending records if it is not known.
-// The snapshot must cover all records that the store missed: its writer had read the
-// log up to AsOf, and the store must have read everything after that.
+// applySnapshot uses a snapshot as the base version of the pending records if that
+// is not known. The snapshot must cover every record that the store missed: its
+// writer had read the log up to AsOf, so the store must have read all later records.
 func (s *Store) applySnapshot(r Record, index *plan.Index) {
 	if r.SnapshotOf == s.version.Offset {
 		s.snapshotSeen = true
@@ -212,17 +213,16 @@
 	if r.SnapshotOf > s.version.Offset {
 		s.accept(Version{Offset: r.SnapshotOf, Operator: r.Operator, Lists: r.Lists, Index: index})
 	}
-	s.evaluatePending()
+	s.applyPending()
 }
 
-// evaluatePending evaluates the records that were kept until their base version was
-// known.
-func (s *Store) evaluatePending() {
+// applyPending applies the changes that were kept until their base version was known.
+func (s *Store) applyPending() {
 	s.baseKnown = true
 	pending := s.pending
 	s.pending = nil
 	for _, r := range pending {
-		s.evaluate(r)
+		s.applyChange(r)
 	}
 }
 
@@ -254,7 +254,7 @@
 	}
 	s.accept(Version{Offset: offset, Lists: lists, Index: index})
 	if !s.baseKnown && s.hasReadAllAfter(offset) {
-		s.evaluatePending()
+		s.applyPending()
 	}
 	return nil
 }
--- a/internal/state/job/table.go
+++ b/internal/state/job/table.go
@@ -26,8 +26,8 @@
 // Stream returns the name of the log stream with a failure domain's jobs.
 func Stream(domain string) string { return "jobs-" + domain }
 
-// Holder identifies the entry VM process that runs a job. Incarnation tells the
-// processes apart that one VM has started over time.
+// Holder identifies the entry VM process that runs a job. Incarnation distinguishes
+// the successive processes of one VM.
 type Holder struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
@@ -50,9 +50,8 @@
 const (
 	// Accepted adds a job.
 	Accepted Action = "accepted"
-	// TaskStarted is written before a non-repeatable task is offered for the first
-	// time to an entry VM that owns workers. A later holder then knows that the
-	// task may have run.
+	// TaskStarted is written before the first attempt to run a non-repeatable task,
+	// so that a later holder knows that the task may have run.
 	TaskStarted Action = "task_started"
 	// TaskEnded stores the outcome of a task.
 	TaskEnded Action = "task_ended"
@@ -68,7 +67,7 @@
 // Record is the content of one log record. Each action uses some of the fields.
 type Record struct {
 	Action Action `json:"action"`
-	// By is the process that wrote the record.
+	// By is the process that wrote the record or, in a takeover, the new holder.
 	By   Holder `json:"by"`
 	Job  string `json:"job,omitempty"`
 	Spec *Spec  `json:"spec,omitempty"`
@@ -258,7 +257,7 @@
 	return out
 }
 
-// takeOver assigns the unfinished jobs of one holder to the writer of the record.
+// takeOver assigns the unfinished jobs of the holder From to the holder By.
 func (t *Table) takeOver(r Record) {
 	if r.From == nil {
 		return
--- a/internal/state/membership/view.go
+++ b/internal/state/membership/view.go
@@ -42,8 +42,8 @@
 	Workers int `json:"w,omitempty"`
 }
 
-// Heartbeat is the message that members send each other. The JSON names are
-// short, since every heartbeat goes to every peer each second.
+// Heartbeat is the message that members send each other. The JSON names are short,
+// since each second a heartbeat goes to all peers in the failure domain.
 type Heartbeat struct {
 	Name string `json:"n"`
 	// Incarnation is the start time of the process, so it rises with each restart.
--- a/internal/state/plan/lists.go
+++ b/internal/state/plan/lists.go
@@ -176,7 +176,7 @@
 // plan in customerOf has exactly one entitlement.
 func (e Entitlements) validate(customerOf map[string]string) error {
 	seen := map[string]bool{}
-	promised := 0.0
+	promisedSum := 0.0
 	for i, p := range e.Plans {
 		field := func(name string) string { return fmt.Sprintf("plans[%d].%s", i, name) }
 		if _, ok := customerOf[p.Plan]; !ok {
@@ -189,8 +189,8 @@
 		if err := p.validate(field); err != nil {
 			return err
 		}
-		promised += p.PromisedShare
-		if promised > 1+shareTolerance {
+		promisedSum += p.PromisedShare
+		if promisedSum > 1+shareTolerance {
 			return invalid(field("promised_share"), p.PromisedShare, "brings the sum of promises above 1")
 		}
 	}
--- a/internal/state/usage/usage.go
+++ b/internal/state/usage/usage.go
@@ -114,9 +114,9 @@
 	m.peakUse = map[string]float64{}
 }
 
-// Advance adds the time from the last Advance until now to the sums. The accounts
-// and the number of workers must not have changed during that time, so callers
-// call Advance before they change them.
+// Advance adds the usage from the last call until now to the sums. It assumes that
+// the accounts and the number of workers were constant since then, so callers must
+// call Advance before they change either.
 func (m *Meter) Advance(now time.Time, accounts *share.Accounts, workers int) {
 	elapsed := now.Sub(m.lastAdvance).Seconds()
 	m.lastAdvance = now
@@ -152,7 +152,7 @@
 // Period.PoolSeconds.
 const roundingTolerance = 1e-6
 
-// Started counts a task that started after it waited for some time.
+// Started counts a task of a plan that started, by its class and waiting time.
 func (m *Meter) Started(customer, plan, class string, waited time.Duration) {
 	s := m.period.Plans[plan]
 	s.Customer, s.Plan = customer, plan
