--- a/internal/state/claim/claim.go
+++ b/internal/state/claim/claim.go
@@ -27,8 +27,8 @@
 	KindUnavailable Kind = "log_unavailable"
 	// KindMalformed means that the key is not a ULID.
 	KindMalformed Kind = "key_malformed"
-	// KindExpired means that the key is older than Window, so that an earlier claim
-	// of it may be forgotten already.
+	// KindExpired means that the key is above its maximum age, so that an earlier
+	// claim of it may be forgotten already.
 	KindExpired Kind = "key_expired"
 	// KindFuture means that the key's timestamp is ahead of the clock by more than
 	// MaxAhead.
@@ -115,8 +115,8 @@
 	outcome json.RawMessage
 }
 
-// New returns a book that has not read the log yet. It appends with a, reads from
-// log and compares keys to the clock now.
+// New returns a Book that has not read the log yet. It appends with a, reads from
+// log and compares the timestamps of keys to the clock now.
 func New(a Appender, log logservice.Log, now func() time.Time) *Book {
 	b := &Book{appender: a, log: log, now: now}
 	for i := range b.streams {
--- a/internal/state/claim/claim_test.go
+++ b/internal/state/claim/claim_test.go
@@ -117,19 +117,19 @@
 		ctx := context.Background()
 		l := &fakeLog{streams: map[string][]logservice.Record{}}
 		now := func() time.Time { return baseTime }
-		books := []*claim.Book{newBook(l, now), newBook(l, now), newBook(l, now)}
+		entryVMs := []*claim.Book{newBook(l, now), newBook(l, now), newBook(l, now)}
 		keys := []string{keyAt(baseTime), keyAt(baseTime.Add(time.Second))}
 		holders := map[string]string{}
 		settled := map[string]bool{}
 		for i := range rapid.IntRange(1, 60).Draw(rt, "steps") {
-			book := rapid.SampledFrom(books).Draw(rt, "book")
+			entryVM := rapid.SampledFrom(entryVMs).Draw(rt, "book")
 			key := rapid.SampledFrom(keys).Draw(rt, "key")
 			l.failBeforeAppend = rapid.IntRange(0, 9).Draw(rt, "outage") == 0
 			l.failAfterAppend = rapid.IntRange(0, 9).Draw(rt, "lost") == 0
 			switch rapid.IntRange(0, 3).Draw(rt, "step") {
 			case 0, 1:
 				id := fmt.Sprintf("r%d", i)
-				r, err := book.Claim(ctx, "p", key, id)
+				r, err := entryVM.Claim(ctx, "p", key, id)
 				if err != nil {
 					continue
 				}
@@ -143,20 +143,20 @@
 					holders[key] = id
 				}
 			case 2:
-				if id := holders[key]; id != "" && !settled[key] && book.Release(ctx, "p", key, id) == nil {
+				if id := holders[key]; id != "" && !settled[key] && entryVM.Release(ctx, "p", key, id) == nil {
 					holders[key] = ""
 				}
 			case 3:
-				if id := holders[key]; id != "" && book.Settle(ctx, "p", key, id, []byte(`{}`)) == nil {
+				if id := holders[key]; id != "" && entryVM.Settle(ctx, "p", key, id, []byte(`{}`)) == nil {
 					settled[key] = true
 				}
 			}
 			if l.failAfterAppend {
-				// The append of a claim or a release may have taken effect although it
-				// returned an error, so the model asks who holds the key.
+				// A release that returned an error may have freed the key, so the model
+				// claims the key to find out who holds it.
 				l.failAfterAppend = false
-				if r, err := book.Claim(ctx, "p", key, "probe"); err == nil && r.Won {
-					_ = book.Release(ctx, "p", key, "probe")
+				if r, err := entryVM.Claim(ctx, "p", key, "probe"); err == nil && r.Won {
+					_ = entryVM.Release(ctx, "p", key, "probe")
 					holders[key] = ""
 				} else if err == nil {
 					holders[key] = r.Holder
--- a/internal/state/job/table_test.go
+++ b/internal/state/job/table_test.go
@@ -18,6 +18,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 300) }
 
+// newSpec returns a job spec with a number of tasks.
 func newSpec(taskCount int) *job.Spec {
 	s := &job.Spec{}
 	for range taskCount {
@@ -26,6 +27,8 @@
 	return s
 }
 
+// newHolder returns the process n. Some of the processes share an entry VM's name
+// and differ only in their incarnation.
 func newHolder(n int) job.Holder {
 	return job.Holder{Name: fmt.Sprintf("e%d", n%3), Incarnation: uint64(n)}
 }
