--- a/internal/state/claim/claim.go
+++ b/internal/state/claim/claim.go
@@ -248,8 +248,8 @@
 	}
 }
 
-// prune forgets expired keys, whose claims are refused by CheckKey, once for every
-// pruneEvery records that were read.
+// prune forgets expired keys, whose claims CheckKey refuses. It does so only after
+// pruneEvery records were read from the stream.
 func (b *Book) prune(s *stream) {
 	if s.readSincePrune < pruneEvery {
 		return
--- a/internal/state/claim/claim_test.go
+++ b/internal/state/claim/claim_test.go
@@ -21,7 +21,7 @@
 
 var baseTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// keyAt returns a key with a timestamp.
+// keyAt returns a new idempotency key whose timestamp is t.
 func keyAt(t time.Time) string {
 	return ulid.MustNew(ulid.Timestamp(t), ulid.DefaultEntropy()).String()
 }
--- a/internal/state/recorder/recorder.go
+++ b/internal/state/recorder/recorder.go
@@ -1,6 +1,6 @@
 // Package recorder appends records to the platform's log with group commit: one
-// append is in flight at a time, and the next one carries all queued records of
-// its stream. Each entry VM gets a part of the total append rate.
+// append is in flight at a time, and each append carries the queued records of one
+// stream. The entry VMs share a total rate of appends.
 package recorder
 
 import (
