--- a/internal/cell/queue/table.go
+++ b/internal/cell/queue/table.go
@@ -1,5 +1,5 @@
-// Package queue holds the configuration that operators publish: the queues that
-// take jobs, and the services whose workers run them.
+// Package queue holds the configuration that operators publish: the queues to
+// which callers submit jobs, and the services whose workers run the tasks.
 package queue
 
 import (
@@ -8,78 +8,90 @@
 	"time"
 )
 
-// Queue takes the jobs of one kind.
+// Queue accepts jobs and determines how their tasks are scheduled.
 type Queue struct {
 	Name string
-	// Host and Prefix select the requests for this queue; the longest prefix
-	// wins.
+	// Host and Prefix select the requests for this queue by host name and URL
+	// path. If several prefixes match, the longest applies.
 	Host   string
 	Prefix string
-	// Service names the workers that run the tasks.
+	// Service is the name of the service whose workers run the tasks.
 	Service string
-	// Priority 0 comes first.
+	// Priority orders queues; 0 is the most urgent.
 	Priority int
-	// MaxAttempts is how often a task may fail; 0 means without limit.
+	// MaxAttempts is the number of failures of a task after which its job
+	// fails; 0 means no limit.
 	MaxAttempts int
-	// Stretch times the longest chain of work, plus Objective, is the time in
-	// which callers want a job completed.
+	// Stretch and Objective define how soon a job should complete: Stretch
+	// times the declared run time of its critical path, plus Objective.
 	Stretch   float64
 	Objective time.Duration
-	// Timeout bounds the answer to a caller; 0 means no bound.
+	// Timeout is the time within which a caller gets an answer; 0 means no
+	// limit.
 	Timeout time.Duration
-	// Advice is nil where every worker of the service may be used.
+	// Advice is nil if tasks may run on any worker of the service. Otherwise an
+	// adviser must be asked which workers a step may use.
 	Advice *AdviceCost
 }
 
-// AdviceCost is how long an adviser takes, and how long its tickets are good.
+// AdviceCost describes the requests to an adviser: a service that returns which
+// of the given workers may run a step, with a ticket for each of them. A
+// request is expected to take Fixed, plus PerWorker for each worker in it.
+// Tickets expire after Validity.
 type AdviceCost struct {
 	Fixed     time.Duration
 	PerWorker time.Duration
 	Validity  time.Duration
 }
 
-// Of returns the time that one question takes.
+// Of returns the expected duration of a request to the adviser about a number
+// of workers.
 func (c *AdviceCost) Of(workers int) time.Duration {
 	return c.Fixed + time.Duration(workers)*c.PerWorker
 }
 
-// LateFactor times the objective is when a result has lost its worth.
+// LateFactor is the multiple of Allowance after which the result of a job has
+// no more value to its caller.
 const LateFactor = 3
 
-// Allowance returns in which time a job with a chain of work should complete.
-func (q *Queue) Allowance(chain time.Duration) time.Duration {
-	return time.Duration(q.Stretch*float64(chain)) + q.Objective
+// Allowance returns the time within which a job should complete, given the
+// declared run time of its critical path.
+func (q *Queue) Allowance(criticalPath time.Duration) time.Duration {
+	return time.Duration(q.Stretch*float64(criticalPath)) + q.Objective
 }
 
 // Service is a pool of workers.
 type Service struct {
 	Name string
-	// ChecksRoom tells that workers refuse what does not fit.
+	// ChecksRoom is set when workers refuse tasks that do not fit their free
+	// capacity.
 	ChecksRoom bool
-	// Standby services have no workers switched on.
+	// Standby is set when no workers of the service are switched on.
 	Standby bool
 }
 
 // Table is one version of the configuration.
 type Table struct {
-	// Version rises with each change.
+	// Version increases with each change.
 	Version  int64
 	Queues   []Queue
 	Services map[string]Service
-	// MaxBody bounds the bodies of requests, in bytes; 0 means no bound.
+	// MaxBody is the largest size of a request body in bytes; 0 means no limit.
 	MaxBody int64
-	// Text is the configuration as published, for handing on to other VMs.
+	// Text is the configuration as it was published. Entry VMs pass it on to
+	// each other.
 	Text []byte
 
-	// indexed guards byName and byHost, which are made of Queues on first use; Queues
-	// must not change then.
-	indexed sync.Once
-	byName  map[string]*Queue
-	byHost  map[string][]*Queue
+	// indexOnce guards byName and byHost, which are built from Queues on first
+	// use. Queues must not change after that.
+	indexOnce sync.Once
+	byName    map[string]*Queue
+	byHost    map[string][]*Queue
 }
 
-// index sorts the queues by name and host: a configuration may have thousands.
-func (t *Table) index() {
+// buildIndex indexes the queues by name and host, since a configuration may
+// have thousands of queues.
+func (t *Table) buildIndex() {
 	t.byName, t.byHost = make(map[string]*Queue, len(t.Queues)), map[string][]*Queue{}
 	for i := range t.Queues {
 		q := &t.Queues[i]
@@ -90,10 +102,12 @@
 	}
 }
 
-// Match returns the queue for a request and the rest of its path, or nil.
+// Match returns the queue for a request with this host and path, and the part
+// of the path after the prefix of the queue. It returns nil when no queue
+// matches.
 func (t *Table) Match(host, path string) (*Queue, string) {
 	var best *Queue
-	t.indexed.Do(t.index)
+	t.indexOnce.Do(t.buildIndex)
 	for _, q := range t.byHost[host] {
 		if !strings.HasPrefix(path, q.Prefix) {
 			continue
@@ -108,8 +122,8 @@
 	return best, path[len(best.Prefix):]
 }
 
-// Queue returns a queue by name, or nil.
+// Queue returns a queue by name, or nil when there is none.
 func (t *Table) Queue(name string) *Queue {
-	t.indexed.Do(t.index)
+	t.indexOnce.Do(t.buildIndex)
 	return t.byName[name]
 }
--- a/internal/cell/work/job.go
+++ b/internal/cell/work/job.go
@@ -1,5 +1,5 @@
-// Package work describes jobs: what callers submit, how its tasks are named, and
-// what is recorded of their progress.
+// Package work defines jobs as callers submit them, the IDs of their steps and
+// tasks, and the stored records of their progress.
 package work
 
 import (
@@ -16,9 +16,9 @@
 
 // The kinds of Error.
 const (
-	// KindInvalid means that a job can not be accepted as it is.
+	// KindInvalid means that a job has a field with an invalid value.
 	KindInvalid Kind = "invalid"
-	// KindMalformed means that a record can not be read.
+	// KindMalformed means that a stored record cannot be decoded.
 	KindMalformed Kind = "malformed"
 )
 
@@ -27,120 +27,133 @@
 
 // Limits of one job.
 const (
-	// MaxSteps bounds the steps of a job.
+	// MaxSteps is the largest number of steps of a job.
 	MaxSteps = 64
-	// MaxTasks bounds the tasks of one occurrence of a job.
+	// MaxTasks is the largest number of tasks in all steps of a job together.
 	MaxTasks = 4096
 )
 
-// Job is what a caller submits.
+// Job is a set of steps that a caller submits. The steps run once or, with
+// Repeat, several times; each time is called an occurrence.
 type Job struct {
 	// ID is chosen by the caller and unique.
 	ID string `json:"id"`
-	// Queue is the name of the queue that took the job.
+	// Queue is the name of the queue to which the job was submitted.
 	Queue string `json:"queue"`
-	// Payload is handed to every task as it came.
+	// Payload is passed unchanged to every task.
 	Payload string `json:"payload,omitempty"`
-	// Steps run in the order that After gives.
+	// Steps run in the order given by their After fields.
 	Steps []Step `json:"steps"`
-	// Repeat is nil for a job that runs once, at once.
+	// Repeat is nil for a job that runs once, as soon as possible.
 	Repeat *Repeat `json:"repeat,omitempty"`
-	// Accepted is when an entry VM received the job, by the time of day.
+	// Accepted is the wall-clock time at which an entry VM received the job.
 	Accepted time.Time `json:"accepted"`
 }
 
-// Repeat makes a job run several times, each occurrence at a due time.
+// Repeat makes a job run several times, at regular due times.
 type Repeat struct {
-	// Count is at least 1.
+	// Count is the number of occurrences, at least 1.
 	Count int `json:"count"`
-	// Start is when occurrence 0 is due, by the time of day.
+	// Start is the wall-clock time at which occurrence 0 is due.
 	Start time.Time `json:"start"`
-	// Interval is the time between due times.
+	// Interval is the time between the due times of consecutive occurrences.
 	Interval time.Duration `json:"interval"`
 }
 
-// Step is a set of equal tasks.
+// Step is a set of identical tasks.
 type Step struct {
-	// Count is at least 1.
+	// Count is the number of tasks, at least 1.
 	Count int `json:"count"`
-	// Size is what each task asks for.
+	// Size is the amount of resources that each task needs.
 	Size resource.Vector `json:"size"`
-	// Estimate is the declared run time of a task; it is often wrong.
+	// Estimate is the run time of a task that the caller declared. It is often
+	// wrong.
 	Estimate time.Duration `json:"estimate,omitempty"`
-	// After lists earlier steps of which every task must have completed.
+	// After lists the indexes of earlier steps. All their tasks must have
+	// completed before this step starts.
 	After []int `json:"after,omitempty"`
-	// Gang tasks work only while all of them run, and end together.
+	// Gang tasks make progress only while all tasks of the step run, and they
+	// end together.
 	Gang bool `json:"gang,omitempty"`
 	// SameRack tasks are slow when they run on more than one rack.
 	SameRack bool `json:"same_rack,omitempty"`
-	// Label must be among the labels of the worker, unless empty.
+	// Label is a label that the worker must have. Empty means that any worker
+	// is suitable.
 	Label string `json:"label,omitempty"`
-	// Rack is where the data is; work elsewhere is slow. Empty means anywhere.
+	// Rack is where the input data is; tasks are slow on other racks. Empty
+	// means that all racks are equally fast.
 	Rack string `json:"rack,omitempty"`
-	// MostPerWorker bounds the tasks on one worker; 0 means no bound.
+	// MostPerWorker is the largest number of tasks of the step on one worker; 0
+	// means no limit.
 	MostPerWorker int `json:"most_per_worker,omitempty"`
-	// Speculative tasks may run in several copies at once.
+	// Speculative tasks may run in several copies at the same time.
 	Speculative bool `json:"speculative,omitempty"`
-	// Lasting tasks run until the job is cancelled.
+	// Lasting tasks have no end: they run until the job is cancelled.
 	Lasting bool `json:"lasting,omitempty"`
-	// Checkpoints tells that tasks save their progress.
+	// Checkpoints is set when tasks save checkpoints from which they can
+	// resume.
 	Checkpoints bool `json:"checkpoints,omitempty"`
-	// Image names what the tasks run; tasks of one image behave alike.
+	// Image is the name of the program that the tasks run. Tasks with the same
+	// image are expected to behave alike.
 	Image string `json:"image,omitempty"`
-	// Target is the bound on the tail latency of a serving task; 0 means none.
+	// Target is the upper bound for the tail latency of a serving task; 0 means
+	// none.
 	Target time.Duration `json:"target,omitempty"`
-	// Fills tells that the tasks use processor time that others leave over.
+	// Fills is set when tasks reserve no processor time and use only what other
+	// tasks on the worker leave idle.
 	Fills bool `json:"fills,omitempty"`
-	// DisruptionBudget is how many lasting tasks may be away by our doing.
+	// DisruptionBudget is the number of lasting tasks that the scheduler may
+	// have stopped at the same time. Only Validate reads it.
 	DisruptionBudget int `json:"disruption_budget,omitempty"`
 }
 
-// Room returns what a task of the step takes of a worker's capacity.
+// Room returns the capacity that a task of the step reserves on a worker.
 func (s *Step) Room() resource.Vector {
-	room := s.Size
+	reserved := s.Size
 	if s.Fills {
-		room.Milliprocessors = 0
+		reserved.Milliprocessors = 0
 	}
-	return room
+	return reserved
 }
 
-// Validate checks a job before it is accepted.
+// Validate returns an error of kind KindInvalid when the job must not be
+// accepted.
 func (j *Job) Validate() error {
-	bad := func(format string, args ...any) error {
+	invalid := func(format string, args ...any) error {
 		return fault.Newf("validate", KindInvalid, format, args...)
 	}
 	if len(j.Steps) == 0 || len(j.Steps) > MaxSteps {
-		return bad("a job has 1 to %d steps, not %d", MaxSteps, len(j.Steps))
+		return invalid("a job must have 1 to %d steps, not %d", MaxSteps, len(j.Steps))
 	}
 	tasks := 0
 	for i := range j.Steps {
 		s := &j.Steps[i]
 		if s.Count < 1 {
-			return bad("step %d has %d tasks", i, s.Count)
+			return invalid("step %d has %d tasks, must have at least 1", i, s.Count)
 		}
 		tasks += s.Count
 		if tasks > MaxTasks {
-			return bad("a job has at most %d tasks", MaxTasks)
+			return invalid("a job must have at most %d tasks", MaxTasks)
 		}
-		if text := s.Size.Validate(); text != "" {
-			return bad("step %d: %s", i, text)
+		if problem := s.Size.Validate(); problem != "" {
+			return invalid("step %d: %s", i, problem)
 		}
 		if s.Estimate < 0 || s.MostPerWorker < 0 || s.DisruptionBudget < 0 || s.Target < 0 {
-			return bad("step %d has a negative number", i)
+			return invalid("step %d: estimate, limit of tasks per worker, disruption budget and target must not be negative", i)
 		}
 		for _, a := range s.After {
 			if a < 0 || a >= i {
-				return bad("step %d comes after step %d, which is not an earlier one", i, a)
+				return invalid("step %d depends on step %d, which is not an earlier one", i, a)
 			}
 		}
 	}
 	if j.Repeat != nil && (j.Repeat.Count < 1 || j.Repeat.Interval < 0) {
-		return bad("a repeated job needs a count of at least 1 and an interval that is not negative")
+		return invalid("a repeated job must have a count of at least 1 and an interval that is not negative")
 	}
 	return nil
 }
 
-// Occurrences returns how often the steps run.
+// Occurrences returns how many times the steps run.
 func (j *Job) Occurrences() int {
 	if j.Repeat == nil {
 		return 1
@@ -148,7 +161,7 @@
 	return j.Repeat.Count
 }
 
-// Due returns when an occurrence may start, by the time of day.
+// Due returns the wall-clock time at which an occurrence is due to start.
 func (j *Job) Due(occurrence int) time.Time {
 	if j.Repeat == nil {
 		return j.Accepted
@@ -156,43 +169,43 @@
 	return j.Repeat.Start.Add(time.Duration(occurrence) * j.Repeat.Interval)
 }
 
-// Chain returns the declared run time of the longest chain of steps that ends
-// with each step.
+// Chain returns, for each step, the declared run time of its critical path: the
+// longest chain of dependent steps that ends with it.
 func (j *Job) Chain() []time.Duration {
-	chain := make([]time.Duration, len(j.Steps))
+	paths := make([]time.Duration, len(j.Steps))
 	for i := range j.Steps {
 		for _, a := range j.Steps[i].After {
-			chain[i] = max(chain[i], chain[a])
+			paths[i] = max(paths[i], paths[a])
 		}
-		chain[i] += j.Steps[i].Estimate
+		paths[i] += j.Steps[i].Estimate
 	}
-	return chain
+	return paths
 }
 
-// StepID names a step of one occurrence.
+// StepID identifies a step of one occurrence of a job.
 type StepID struct {
 	Job        string
 	Occurrence int
 	Step       int
 }
 
-// TaskID names a task.
+// TaskID identifies a task of a step. Index is below Step.Count.
 type TaskID struct {
 	StepID
 	Index int
 }
 
-// String formats the ID for logs.
+// String formats the ID as job.occurrence.step.index, for logs.
 func (t TaskID) String() string {
 	return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Occurrence, t.Step, t.Index)
 }
 
-// Compare orders tasks by name.
+// Compare orders tasks by job, occurrence, step and index.
 func (t TaskID) Compare(o TaskID) int {
 	return cmp.Or(cmp.Compare(t.Job, o.Job), cmp.Compare(t.Occurrence, o.Occurrence), cmp.Compare(t.Step, o.Step), cmp.Compare(t.Index, o.Index))
 }
 
-// State is what callers are told of a job.
+// State is the state of a job that callers see.
 type State string
 
 // The states of a job.
--- a/internal/cell/work/progress.go
+++ b/internal/cell/work/progress.go
@@ -6,15 +6,17 @@
 	"github.com/almondpost/almondpost/internal/node/fault"
 )
 
-// Progress is what is recorded of a job while it runs. A later record replaces
-// an earlier one.
+// Progress is the stored record of the progress of a job. A later record
+// replaces an earlier one.
 type Progress struct {
 	State State `json:"state"`
-	// Started tells that a task was ordered at least once.
+	// Started is set once the start of a task has been ordered.
 	Started bool `json:"started,omitempty"`
-	// Ended is when the job ended, in Unix milliseconds; 0 while it has not.
+	// Ended is when the job ended, in Unix milliseconds; 0 means that it has
+	// not ended.
 	Ended int64 `json:"ended,omitempty"`
-	// Steps holds the steps with progress, of all occurrences.
+	// Steps holds the steps, of all occurrences, in which the start of a task
+	// has been ordered.
 	Steps []StepProgress `json:"steps,omitempty"`
 }
 
@@ -22,9 +24,10 @@
 type StepProgress struct {
 	Occurrence int `json:"occurrence,omitempty"`
 	Step       int `json:"step,omitempty"`
-	// Done tells that every task has completed; Tasks is then empty.
+	// Done is set when all tasks have completed. Tasks is then empty.
 	Done bool `json:"done,omitempty"`
-	// Tasks holds the tasks that were ordered at least once.
+	// Tasks holds the tasks whose start has been ordered. Once the job has
+	// ended, it holds only those that may still be running.
 	Tasks []TaskProgress `json:"tasks,omitempty"`
 }
 
@@ -32,27 +35,30 @@
 type TaskProgress struct {
 	Index int  `json:"i,omitempty"`
 	Done  bool `json:"done,omitempty"`
-	// Run is the highest run that was ordered.
+	// Run is the highest run number that was ordered. Each start of a task has
+	// a higher number than the one before.
 	Run int64 `json:"run,omitempty"`
-	// Failed lists the runs that failed.
+	// Failed lists the numbers of the runs that failed.
 	Failed []int64 `json:"failed,omitempty"`
-	// Worker and Born name the worker on which the run may be running; Worker
-	// is empty when it is known not to run.
+	// Worker and Born identify the worker process on which the task may be
+	// running: its ID and its start in Unix milliseconds. Worker is empty when
+	// the task is known not to be running.
 	Worker     string `json:"worker,omitempty"`
 	Born       int64  `json:"born,omitempty"`
 	Checkpoint string `json:"checkpoint,omitempty"`
 }
 
-// Encode returns the record of a value.
+// Encode returns the JSON record of a job or its progress.
 func Encode[T Job | Progress](v *T) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // Job and Progress hold nothing that can not be encoded.
+		panic(err) // All fields of Job and Progress can be encoded as JSON.
 	}
 	return data
 }
 
-// Decode reads a record.
+// Decode reads a record that Encode returned. It returns an error of kind
+// KindMalformed when the data is not such a record.
 func Decode[T Job | Progress](data []byte) (*T, error) {
 	v := new(T)
 	if err := json.Unmarshal(data, v); err != nil {
