--- a/internal/decide/ejection/ejection.go
+++ b/internal/decide/ejection/ejection.go
@@ -1,64 +1,75 @@
-// Package ejection takes workers that fail what others complete out of use, and
-// probes them again. It does no I/O; its owner serialises access.
+// Package ejection stops giving tasks to a worker on which tasks fail that
+// succeed on other workers. Each worker has a circuit breaker: after a backoff
+// the worker gets one task as a probe. The package does no I/O and is not safe
+// for concurrent use.
 package ejection
 
 import "time"
 
 const (
-	// consecutiveFailures ejects a worker.
-	consecutiveFailures = 4
-	// maxFraction bounds how much of the fleet may be out at once.
-	maxFraction = 0.34
-	// The pause before a probe doubles with each failed probe.
-	firstPause = 5 * time.Second
-	maxPause   = 2 * time.Minute
-	// healthyRatio is the success of a kind of work on the other workers above
-	// which a failure counts against the worker and not against the work.
-	healthyRatio = 0.5
-	// decay weighs the newest outcome of a kind of work.
-	decay = 0.1
+	// failuresToEject is the number of consecutive failures after which a
+	// worker is ejected.
+	failuresToEject = 4
+	// maxEjectedFraction bounds the fraction of workers that are ejected at a
+	// time.
+	maxEjectedFraction = 0.34
+	// The backoff before a probe doubles with each failed probe, up to
+	// maxBackoff.
+	initialBackoff = 5 * time.Second
+	maxBackoff     = 2 * time.Minute
+	// healthySuccessRate is the success rate of a kind of task on the other
+	// workers above which a failure counts against the worker. At or below it
+	// the task itself is assumed to be faulty.
+	healthySuccessRate = 0.5
+	// smoothingFactor is the weight of the newest outcome in the moving average
+	// of a success rate.
+	smoothingFactor = 0.1
 )
 
-// State is the state of one worker.
+// State is the state of the circuit breaker of a worker.
 type State int
 
 // The states of a worker.
 const (
+	// Closed workers get tasks.
 	Closed State = iota
-	// Open workers get no work.
+	// Open workers are ejected and get no tasks.
 	Open
-	// HalfOpen workers get one task as a probe.
+	// HalfOpen workers get one task as a probe; its outcome closes or reopens
+	// the circuit breaker.
 	HalfOpen
 )
 
 type worker struct {
-	state    State
-	failures int
-	until    time.Time
-	pause    time.Duration
-	probing  bool
-	// kinds holds the success of each kind of work on this worker alone.
-	kinds map[string]*ratio
+	state               State
+	consecutiveFailures int
+	openUntil           time.Time
+	backoff             time.Duration
+	probeInFlight       bool
+	// successByKind holds the success rate of each kind of task on this worker.
+	successByKind map[string]*successRate
 }
 
-type ratio struct {
-	success float64
-	seen    bool
+// successRate is an exponential moving average of outcomes, from 0 to 1.
+type successRate struct {
+	average     float64
+	initialised bool
 }
 
-func (r *ratio) add(ok bool) {
-	value := 0.0
+func (r *successRate) observe(ok bool) {
+	outcome := 0.0
 	if ok {
-		value = 1
+		outcome = 1
 	}
-	if !r.seen {
-		r.success, r.seen = value, true
+	if !r.initialised {
+		r.average, r.initialised = outcome, true
 		return
 	}
-	r.success += decay * (value - r.success)
+	r.average += smoothingFactor * (outcome - r.average)
 }
 
-// Tracker follows the outcomes of a fleet.
+// Tracker records the outcomes of tasks on workers and decides which workers
+// are ejected.
 type Tracker struct {
 	workers map[string]*worker
 }
@@ -66,93 +77,99 @@
 // New returns a tracker without workers.
 func New() *Tracker { return &Tracker{workers: map[string]*worker{}} }
 
-// Add adds a worker; a known one keeps its state.
+// Add adds a worker. A worker that is known already keeps its state.
 func (t *Tracker) Add(name string) {
 	if t.workers[name] == nil {
-		t.workers[name] = &worker{pause: firstPause, kinds: map[string]*ratio{}}
+		t.workers[name] = &worker{backoff: initialBackoff, successByKind: map[string]*successRate{}}
 	}
 }
 
-// Remove forgets a worker.
+// Remove removes a worker and its state.
 func (t *Tracker) Remove(name string) { delete(t.workers, name) }
 
-// Outcome takes in how an attempt of a kind of work ended on a worker.
+// Outcome records whether a task of a kind succeeded on a worker, and updates
+// the state of the worker. Unknown workers are ignored.
 func (t *Tracker) Outcome(now time.Time, name, kind string, ok bool) {
 	w := t.workers[name]
 	if w == nil {
 		return
 	}
-	k := w.kinds[kind]
+	k := w.successByKind[kind]
 	if k == nil {
-		k = &ratio{}
-		w.kinds[kind] = k
+		k = &successRate{}
+		w.successByKind[kind] = k
 	}
-	k.add(ok)
-	w.probing = false
+	k.observe(ok)
+	w.probeInFlight = false
 	if ok {
-		w.failures = 0
+		w.consecutiveFailures = 0
 		if w.state == HalfOpen {
-			w.state, w.pause = Closed, firstPause
+			w.state, w.backoff = Closed, initialBackoff
 		}
 		return
 	}
-	if !t.healthyElsewhere(name, kind) {
+	if !t.succeedsElsewhere(name, kind) {
 		return
 	}
-	w.failures++
+	w.consecutiveFailures++
 	switch {
 	case w.state == HalfOpen:
-		w.pause = min(2*w.pause, maxPause)
-		w.state, w.until = Open, now.Add(w.pause)
-	case w.state == Closed && w.failures >= consecutiveFailures && t.mayEject():
-		w.state, w.until = Open, now.Add(w.pause)
+		w.backoff = min(2*w.backoff, maxBackoff)
+		w.state, w.openUntil = Open, now.Add(w.backoff)
+	case w.state == Closed && w.consecutiveFailures >= failuresToEject && t.mayEject():
+		w.state, w.openUntil = Open, now.Add(w.backoff)
 	}
 }
 
-// healthyElsewhere reports whether a kind of work succeeds on the other
-// workers; when it fails everywhere, the work is at fault.
-func (t *Tracker) healthyElsewhere(name, kind string) bool {
+// succeedsElsewhere reports whether a kind of task usually succeeds on the
+// other workers. If it fails there too, the task is at fault and not the
+// worker.
+func (t *Tracker) succeedsElsewhere(name, kind string) bool {
 	sum, n := 0.0, 0
 	for other, w := range t.workers {
-		if k := w.kinds[kind]; other != name && k != nil {
-			sum += k.success
+		if k := w.successByKind[kind]; other != name && k != nil {
+			sum += k.average
 			n++
 		}
 	}
-	return n > 0 && sum/float64(n) > healthyRatio
+	return n > 0 && sum/float64(n) > healthySuccessRate
 }
 
+// mayEject reports whether one more worker may be ejected. maxEjectedFraction
+// does not prevent the ejection of one worker, but the only worker is never
+// ejected.
 func (t *Tracker) mayEject() bool {
-	out := 1
+	ejected := 1
 	for _, w := range t.workers {
 		if w.state != Closed {
-			out++
+			ejected++
 		}
 	}
-	return float64(out) <= max(1, maxFraction*float64(len(t.workers))) && len(t.workers) > 1
+	return float64(ejected) <= max(1, maxEjectedFraction*float64(len(t.workers))) && len(t.workers) > 1
 }
 
-// Allows reports whether a worker may get work now.
+// Allows reports whether a worker may get a task now. An open worker becomes
+// half-open when its backoff is over. Unknown workers are allowed.
 func (t *Tracker) Allows(now time.Time, name string) bool {
 	w := t.workers[name]
 	if w == nil {
 		return true
 	}
-	if w.state == Open && !now.Before(w.until) {
-		w.state, w.probing = HalfOpen, false
+	if w.state == Open && !now.Before(w.openUntil) {
+		w.state, w.probeInFlight = HalfOpen, false
 	}
-	return w.state == Closed || w.state == HalfOpen && !w.probing
+	return w.state == Closed || w.state == HalfOpen && !w.probeInFlight
 }
 
-// Started notes that a worker got work. A half-open worker gets no more until
-// the outcome is known.
+// Started records that a task was started on a worker. A half-open worker is
+// not allowed another task until the outcome of this one is recorded.
 func (t *Tracker) Started(name string) {
 	if w := t.workers[name]; w != nil && w.state == HalfOpen {
-		w.probing = true
+		w.probeInFlight = true
 	}
 }
 
-// StateOf returns the state of a worker.
+// StateOf returns the state of a worker. Unknown workers are closed.
 func (t *Tracker) StateOf(name string) State {
 	if w := t.workers[name]; w != nil {
 		return w.state
--- a/internal/decide/ejection/ejection_test.go
+++ b/internal/decide/ejection/ejection_test.go
@@ -12,7 +12,9 @@
 
 var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func fleet(n int) *ejection.Tracker {
+// healthyFleet returns a tracker of n workers on which a task of kind "sort"
+// has succeeded.
+func healthyFleet(n int) *ejection.Tracker {
 	t := ejection.New()
 	for i := range n {
 		t.Add(fmt.Sprintf("w%d", i))
@@ -21,7 +23,7 @@
 	return t
 }
 
-func fail(t *ejection.Tracker, name string, times int) {
+func recordFailures(t *ejection.Tracker, name string, times int) {
 	for range times {
 		t.Outcome(begin, name, "sort", false)
 	}
@@ -29,8 +31,8 @@
 
 func TestFailingWorkerIsEjectedAndProbed(t *testing.T) {
 	is := is.New(t)
-	f := fleet(5)
-	fail(f, "w0", 4)
+	f := healthyFleet(5)
+	recordFailures(f, "w0", 4)
 	is.True(!f.Allows(begin, "w0"))
 	later := begin.Add(5 * time.Second)
 	is.True(f.Allows(later, "w0"))
@@ -40,10 +42,10 @@
 	is.Equal(f.StateOf("w0"), ejection.Closed)
 }
 
-func TestFailedProbeDoublesThePause(t *testing.T) {
+func TestFailedProbeDoublesTheBackoff(t *testing.T) {
 	is := is.New(t)
-	f := fleet(5)
-	fail(f, "w0", 4)
+	f := healthyFleet(5)
+	recordFailures(f, "w0", 4)
 	probe := begin.Add(5 * time.Second)
 	is.True(f.Allows(probe, "w0"))
 	f.Started("w0")
@@ -52,7 +54,7 @@
 	is.True(f.Allows(probe.Add(10*time.Second), "w0"))
 }
 
-func TestWorkThatFailsEverywhereEjectsNobody(t *testing.T) {
+func TestTaskKindThatFailsEverywhereEjectsNoWorker(t *testing.T) {
 	is := is.New(t)
 	f := ejection.New()
 	for i := range 5 {
@@ -68,17 +70,17 @@
 	}
 }
 
-func TestEjectedFractionIsCapped(t *testing.T) {
+func TestEjectedFractionIsBounded(t *testing.T) {
 	is := is.New(t)
-	f := fleet(6)
+	f := healthyFleet(6)
 	for i := range 3 {
-		fail(f, fmt.Sprintf("w%d", i), 10)
+		recordFailures(f, fmt.Sprintf("w%d", i), 10)
 	}
-	out := 0
+	ejected := 0
 	for i := range 6 {
 		if !f.Allows(begin, fmt.Sprintf("w%d", i)) {
-			out++
+			ejected++
 		}
 	}
-	is.Equal(out, 2)
+	is.Equal(ejected, 2)
 }
--- a/internal/decide/retry/budget.go
+++ b/internal/decide/retry/budget.go
@@ -1,33 +1,35 @@
-// Package retry bounds retries to a fraction of first attempts, so that retries
-// can not multiply a flood.
+// Package retry limits retries to a fraction of first attempts, so that retries
+// cannot multiply an overload.
 package retry
 
 import "sync"
 
-// Budget is a token bucket that every first attempt fills a little and every
-// retry empties by one.
+// Budget is a token bucket: each first attempt adds a fraction of a token, and
+// each retry takes one token. It is safe for concurrent use.
 type Budget struct {
 	mutex sync.Mutex
 	// tokens is between 0 and capacity.
 	tokens   float64
 	capacity float64
-	ratio    float64
+	// refillPerAttempt is the number of tokens that a first attempt adds.
+	refillPerAttempt float64
 }
 
-// New returns a full budget that allows ratio retries per first attempt in the
-// long run and capacity of them at once.
+// New returns a full budget. It allows ratio retries per first attempt in the
+// long run, and a burst of at most capacity retries.
 func New(ratio, capacity float64) *Budget {
-	return &Budget{tokens: capacity, capacity: capacity, ratio: ratio}
+	return &Budget{tokens: capacity, capacity: capacity, refillPerAttempt: ratio}
 }
 
-// First notes a first attempt.
+// First records a first attempt, which adds to the budget.
 func (b *Budget) First() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.tokens = min(b.capacity, b.tokens+b.ratio)
+	b.tokens = min(b.capacity, b.tokens+b.refillPerAttempt)
 }
 
-// Take reports whether a retry is within the budget, and spends it.
+// Take takes one token for a retry. It returns false when the budget does not
+// allow a retry.
 func (b *Budget) Take() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
