--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -1,4 +1,6 @@
-// Package admission holds bounded waiting queues per plan and class.
+// Package admission provides the first-in first-out queues in which tasks wait
+// for a worker. The allocator keeps one queue per plan and class and bounds its
+// length.
 package admission
 
 import (
@@ -7,43 +9,47 @@
 	"github.com/almondpost/almondpost/internal/operate/invariant"
 )
 
-// Item is one waiting element of a Queue.
+// Item is one entry of a Queue.
 type Item[T any] struct {
 	Value T
-	// Deadline is when waiting becomes hopeless; zero means never.
+	// Deadline is when RemoveExpired removes the item; zero means never.
 	Deadline time.Time
-	// Since is when the item began to wait.
-	Since   time.Time
+	// EnqueuedAt is when the item began to wait. The caller sets it.
+	EnqueuedAt time.Time
+	// removed is set once the item has been removed. It may remain in
+	// Queue.items after that.
 	removed bool
 }
 
-// Queue is a first-in first-out queue with constant-time removal.
+// Queue is a first-in first-out queue. Removal takes constant time because
+// Remove only marks an item; other methods skip marked items.
 type Queue[T any] struct {
 	items []*Item[T]
-	head  int
-	// live is the number of items that are not removed.
-	live int
+	// head is the index of the first item; the entries before it are nil.
+	head int
+	// length is the number of items that are not removed.
+	length int
 }
 
-// Len returns the number of waiting items.
-func (q *Queue[T]) Len() int { return q.live }
+// Len returns the number of items that are not removed.
+func (q *Queue[T]) Len() int { return q.length }
 
-// Push appends an item.
+// Push adds an item at the end.
 func (q *Queue[T]) Push(i *Item[T]) {
 	q.items = append(q.items, i)
-	q.live++
+	q.length++
 }
 
-// Head returns the first item, or nil.
+// Head returns the first item, or nil when the queue is empty.
 func (q *Queue[T]) Head() *Item[T] {
-	q.skip()
+	q.dropRemovedHead()
 	if q.head >= len(q.items) {
 		return nil
 	}
 	return q.items[q.head]
 }
 
-// Tail returns the last item, or nil.
+// Tail returns the last item, or nil when the queue is empty.
 func (q *Queue[T]) Tail() *Item[T] {
 	for i := len(q.items) - 1; i >= q.head; i-- {
 		if !q.items[i].removed {
@@ -54,25 +60,31 @@
 	return nil
 }
 
-// Remove takes an item out in constant time, wherever it stands.
+// Remove removes an item from any position in amortised constant time. Removing
+// an item twice has no effect.
 func (q *Queue[T]) Remove(i *Item[T]) {
 	if i.removed {
 		return
 	}
 	i.removed = true
-	q.live--
-	invariant.Check(q.live >= 0, "negative_queue", "length %d", q.live)
-	q.skip()
+	q.length--
+	invariant.Check(q.length >= 0, "negative_queue", "length %d", q.length)
+	q.dropRemovedHead()
 }
 
-const compactAt = 1024
+// minCompactHead is the number of unused entries before head that must be
+// exceeded for items to be compacted. It prevents frequent copying of short
+// queues.
+const minCompactHead = 1024
 
-func (q *Queue[T]) skip() {
+// dropRemovedHead moves head past removed items and frees the entries before
+// it.
+func (q *Queue[T]) dropRemovedHead() {
 	for q.head < len(q.items) && q.items[q.head].removed {
 		q.items[q.head] = nil
 		q.head++
 	}
-	if q.head > compactAt && q.head*2 > len(q.items) {
+	if q.head > minCompactHead && q.head*2 > len(q.items) {
 		q.items = append(q.items[:0], q.items[q.head:]...)
 		q.head = 0
 	}
@@ -81,16 +93,16 @@
 	}
 }
 
-// Expired calls f for every item whose deadline is not after now and removes
-// it.
-func (q *Queue[T]) Expired(now time.Time, f func(i *Item[T])) {
+// RemoveExpired removes every item whose deadline is not after now, and calls f
+// for each of them.
+func (q *Queue[T]) RemoveExpired(now time.Time, f func(i *Item[T])) {
 	for _, i := range q.items[q.head:] {
 		if i.removed || i.Deadline.IsZero() || i.Deadline.After(now) {
 			continue
 		}
 		i.removed = true
-		q.live--
+		q.length--
 		f(i)
 	}
-	q.skip()
+	q.dropRemovedHead()
 }
--- a/internal/decide/allocator/allocator.go
+++ b/internal/decide/allocator/allocator.go
@@ -1,7 +1,7 @@
-// Package allocator decides which waiting task runs next and on which worker.
-// It combines the ledger of a set of workers, the fair shares of the plans and
-// their waiting queues. It does no I/O, holds no goroutine and takes the time
-// as an argument; its owner serialises access.
+// Package allocator decides which waiting task starts next and on which worker.
+// It combines the ledger of a set of workers, the shares of the plans and their
+// waiting queues. It does no I/O, starts no goroutines and gets the time as an
+// argument. It is not safe for concurrent use.
 package allocator
 
 import (
@@ -20,7 +20,7 @@
 // Kind classifies the errors of this package.
 type Kind string
 
-// The kinds of Error. Each is a reason for "not run".
+// The kinds of Error. Callers get them as the reason why a task was not run.
 const (
 	KindUnknownPlan  Kind = "unknown_plan"
 	KindClass        Kind = "class_not_allowed"
@@ -38,28 +38,32 @@
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Task is one attempt that waits for a worker or runs on one.
+// Task is one attempt to run a task. It waits for a worker or runs on one.
 type Task struct {
-	// Attempt is unique over all attempts.
+	// Attempt is the ID of the attempt, unique over all attempts.
 	Attempt string
 	Plan    string
 	Class   plan.Class
 	Size    resource.Vector
-	// Spread groups tasks that should be on different racks; it may be empty.
+	// Spread names a group of tasks that should run on different racks; it may
+	// be empty.
 	Spread string
-	// Repeatable tasks may be taken off their worker and run again.
+	// Repeatable tasks may be preempted and run again later.
 	Repeatable bool
-	RunTime    time.Duration
-	// Deadline is when the answer is of no more use; zero means never.
+	// RunTime is the declared run time of the task.
+	RunTime time.Duration
+	// Deadline is when the result is of no more use to the caller; zero means
+	// never.
 	Deadline time.Time
-	// Resumed tasks ran before and were stopped; they wait without the bound on
-	// urgent waiting, since "not run" would no longer be true.
+	// Resumed is set when an earlier attempt of the task ran and was stopped.
+	// Limits.UrgentWait does not apply then, because the caller would be told
+	// that the task was not run.
 	Resumed bool
 	// Payload is opaque to the allocator.
 	Payload any
 }
 
-// Decision says that a task starts on a worker. Room is already reserved.
+// Decision is a task to start on a worker. The capacity is already reserved.
 type Decision struct {
 	Task   *Task
 	Worker string
@@ -67,66 +71,79 @@
 	Waited time.Duration
 }
 
-// Refusal says that a waiting task was dropped without having run.
+// Refusal is a waiting task that was dropped before it ran.
 type Refusal struct {
 	Task   *Task
 	Reason Kind
 }
 
-// Preemption asks to take an attempt off its worker for another plan.
+// Preemption is a running attempt that the caller has to stop, so that a
+// waiting task gets its capacity.
 type Preemption struct {
 	Attempt string
 	Worker  string
-	// For is the plan that waits for the room.
+	// For is the plan of the waiting task. It may be the plan of the attempt.
 	For string
 }
 
-// Limits bound the memory of an allocator.
+// Limits bounds the waiting queues of an allocator.
 type Limits struct {
-	// Waiting bounds the waiting tasks of all plans together.
+	// Waiting bounds the number of waiting tasks of all plans together.
 	Waiting int
-	// UrgentWait bounds how long an urgent task waits; past it the task is
-	// dropped as not run, since a late start is of little use. Zero means no
-	// bound.
+	// UrgentWait bounds how long an urgent task waits. After that it is dropped
+	// as not run, since a late start is of little use to its caller. Zero means
+	// no bound.
 	UrgentWait time.Duration
 }
 
-// Allocator is the decision state of one owner.
+// Allocator holds the workers, plans and waiting tasks of one entry VM.
 type Allocator struct {
-	ledger  *ledger.Ledger
-	shares  *share.Accounts
-	policy  placement.Policy
-	limits  Limits
-	plans   *plan.Index
-	queues  map[string]*planQueues
-	active  []*planQueues
-	scratch []candidate
-	waiting map[string]*admission.Item[*Task]
-	// reclaiming counts the preemptions under way for each plan.
-	reclaiming map[string]int
-	preemptFor map[string]string
-	drained    bool
+	ledger *ledger.Ledger
+	shares *share.Accounts
+	policy placement.Policy
+	limits Limits
+	plans  *plan.Index
+	// queuesByPlan is keyed by plan name.
+	queuesByPlan map[string]*planQueues
+	// activeQueues holds all queues with waiting tasks. It may hold empty ones
+	// until the next call of candidateHeap.
+	activeQueues []*planQueues
+	// heapBuffer is reused by candidateHeap to avoid allocations.
+	heapBuffer []candidate
+	// waitingItems is keyed by attempt.
+	waitingItems map[string]*admission.Item[*Task]
+	// preemptionsInFlight counts, by waiting plan, the preempted attempts that
+	// have not ended yet.
+	preemptionsInFlight map[string]int
+	// preemptedFor maps preempted attempts to the waiting plan.
+	preemptedFor map[string]string
+	// draining allocators refuse new tasks.
+	draining bool
 }
 
+// planQueues holds the waiting tasks of one plan. Its arrays are indexed by the
+// rank of the class.
 type planQueues struct {
-	name    string
-	account *share.Account
-	entry   plan.Entitlement
-	classes [len(plan.Classes)]admission.Queue[*Task]
-	// blocked[c] is set while the head of class c fits no worker; since[c] is
-	// the ledger's gain counter at that time.
-	blocked [len(plan.Classes)]*admission.Item[*Task]
-	since   [len(plan.Classes)]uint64
-	// limited[c] is set while the head of class c is held back by the plan's
-	// limit.
-	limited [len(plan.Classes)]bool
-	active  bool
+	name        string
+	account     *share.Account
+	entitlement plan.Entitlement
+	byClass     [len(plan.Classes)]admission.Queue[*Task]
+	// blockedHead is the last head of a class that could not start, because it
+	// fitted no worker or the plan was at its limit. blockedSince is the value
+	// of Ledger.FreedCount at that time.
+	blockedHead  [len(plan.Classes)]*admission.Item[*Task]
+	blockedSince [len(plan.Classes)]uint64
+	// atLimit is set while the plan's limit keeps the head of a class from
+	// starting.
+	atLimit [len(plan.Classes)]bool
+	// active is set while the queues are in Allocator.activeQueues.
+	active bool
 }
 
 func (p *planQueues) len() int {
 	n := 0
-	for i := range p.classes {
-		n += p.classes[i].Len()
+	for i := range p.byClass {
+		n += p.byClass[i].Len()
 	}
 	return n
 }
@@ -136,32 +153,34 @@
 	empty, _ := plan.NewIndex(plan.Lists{})
 	return &Allocator{
 		ledger: ledger.New(), shares: share.New(), policy: policy, limits: limits, plans: empty,
-		queues: map[string]*planQueues{}, waiting: map[string]*admission.Item[*Task]{},
-		reclaiming: map[string]int{}, preemptFor: map[string]string{},
+		queuesByPlan: map[string]*planQueues{}, waitingItems: map[string]*admission.Item[*Task]{},
+		preemptionsInFlight: map[string]int{}, preemptedFor: map[string]string{},
 	}
 }
 
-// Ledger gives read access to the ledger.
+// Ledger returns the ledger, which the caller must not change.
 func (a *Allocator) Ledger() *ledger.Ledger { return a.ledger }
 
-// Shares gives read access to the accounts.
+// Shares returns the accounts of the plans, which the caller must not change.
 func (a *Allocator) Shares() *share.Accounts { return a.shares }
 
 // Waiting returns the number of waiting tasks.
-func (a *Allocator) Waiting() int { return len(a.waiting) }
-
-// SetPlans takes over a configuration.
-func (a *Allocator) SetPlans(x *plan.Index) {
-	a.plans = x
-	a.shares.SetPlans(x)
-	for name, q := range a.queues {
+func (a *Allocator) Waiting() int { return len(a.waitingItems) }
+
+// SetPlans replaces the plans and their limits. Waiting and running tasks are
+// kept.
+func (a *Allocator) SetPlans(plans *plan.Index) {
+	a.plans = plans
+	a.shares.SetPlans(plans)
+	for name, q := range a.queuesByPlan {
 		q.account = a.shares.Account(name)
-		q.entry, _ = x.Entitlement(name)
-		q.blocked = [len(plan.Classes)]*admission.Item[*Task]{}
+		q.entitlement, _ = plans.Entitlement(name)
+		q.blockedHead = [len(plan.Classes)]*admission.Item[*Task]{}
 	}
 }
 
-// Running is an attempt that a worker reports at adoption.
+// Running is an attempt that already runs on a worker when the entry VM adopts
+// the worker, that is, starts to schedule tasks on it.
 type Running struct {
 	Attempt    string
 	Plan       string
@@ -170,7 +189,9 @@
 	Repeatable bool
 }
 
-// AddWorker adds a worker with what it already runs.
+// AddWorker adds a worker with the attempts that already run on it. It removes
+// these attempts from the waiting queues. It returns an error when a worker of
+// that name is known.
 func (a *Allocator) AddWorker(name, rack string, capacity resource.Vector, running []Running) error {
 	if err := a.ledger.AddWorker(name, rack, capacity); err != nil {
 		return err
@@ -178,9 +199,9 @@
 	for _, r := range running {
 		a.dropWaiting(r.Attempt)
 		err := a.ledger.Restore(name, ledger.Reservation{
-			Attempt: r.Attempt, Size: r.Size, Plan: r.Plan, Class: r.Class.Rank(), Preemptible: r.Repeatable,
+			Attempt: r.Attempt, Size: r.Size, Plan: r.Plan, ClassRank: r.Class.Rank(), Preemptible: r.Repeatable,
 		})
-		invariant.Check(err == nil, "attempt_on_two_workers", "attempt %s, worker %s: %v", r.Attempt, name, err)
+		invariant.Check(err == nil, "attempt_on_two_workers", "restore attempt %s on worker %s: %v", r.Attempt, name, err)
 		if err == nil {
 			a.shares.Charge(r.Plan, r.Size)
 		}
@@ -189,11 +210,12 @@
 	return nil
 }
 
-// RemoveWorker removes a worker and returns the attempts that it held.
+// RemoveWorker removes a worker and returns the attempts that had a reservation
+// on it.
 func (a *Allocator) RemoveWorker(name string) []string {
-	held := a.ledger.RemoveWorker(name)
-	attempts := make([]string, 0, len(held))
-	for _, r := range held {
+	reservations := a.ledger.RemoveWorker(name)
+	attempts := make([]string, 0, len(reservations))
+	for _, r := range reservations {
 		a.shares.Refund(r.Plan, r.Size)
 		a.endPreemption(r.Attempt)
 		attempts = append(attempts, r.Attempt)
@@ -202,12 +224,13 @@
 	return attempts
 }
 
-// Unplaceable drops the waiting tasks that no worker could hold even when
-// empty, as happens when the workers that they were admitted for are gone.
+// Unplaceable drops and returns the waiting tasks that would not fit any worker
+// even if it were empty. This happens when the workers that they would have
+// fitted are removed.
 func (a *Allocator) Unplaceable() []Refusal {
 	var out []Refusal
-	for _, i := range a.waiting {
-		if !a.ledger.FitsSome(i.Value.Size) {
+	for _, i := range a.waitingItems {
+		if !a.ledger.FitsAnyWorker(i.Value.Size) {
 			out = append(out, Refusal{Task: i.Value, Reason: KindNoWorkers})
 		}
 	}
@@ -217,16 +240,17 @@
 	return out
 }
 
-// SetAccepting says whether a worker may get new work.
+// SetAccepting sets whether a worker gets new tasks.
 func (a *Allocator) SetAccepting(worker string, accepting bool) {
 	a.ledger.SetAccepting(worker, accepting)
 }
 
-// Drain makes the allocator refuse new tasks and returns all that wait.
+// Drain drops and returns all waiting tasks. The allocator refuses new tasks
+// from then on.
 func (a *Allocator) Drain() []Refusal {
-	a.drained = true
+	a.draining = true
 	var out []Refusal
-	for _, i := range a.waiting {
+	for _, i := range a.waitingItems {
 		out = append(out, Refusal{Task: i.Value, Reason: KindDraining})
 	}
 	for _, r := range out {
@@ -235,80 +259,85 @@
 	return out
 }
 
-// Enqueue admits a task or refuses it with the reason. When the queues are
-// full as a whole, a less urgent task may be shed instead; it is returned.
+// Enqueue adds a task to the queue of its plan and class, or returns an error
+// with the reason for refusing it. When Limits.Waiting tasks are waiting
+// already, a less urgent one is dropped and returned; if there is none, the new
+// task is refused.
 func (a *Allocator) Enqueue(now time.Time, t *Task) (shed *Refusal, err error) {
 	q, err := a.admit(now, t)
 	if err != nil {
 		return nil, err
 	}
-	if len(a.waiting) >= a.limits.Waiting {
+	if len(a.waitingItems) >= a.limits.Waiting {
 		if shed = a.shed(t.Class.Rank()); shed == nil {
-			return nil, fault.Newf("enqueue", KindQueueFull, "%d tasks wait", len(a.waiting))
+			return nil, fault.Newf("enqueue", KindQueueFull, "%d tasks are waiting", len(a.waitingItems))
 		}
 	}
-	i := &admission.Item[*Task]{Value: t, Since: now}
+	i := &admission.Item[*Task]{Value: t, EnqueuedAt: now}
 	if !t.Deadline.IsZero() {
 		i.Deadline = t.Deadline.Add(-t.RunTime)
 	}
 	if limit := now.Add(a.limits.UrgentWait); a.limits.UrgentWait > 0 && t.Class == plan.Urgent && !t.Resumed && (i.Deadline.IsZero() || limit.Before(i.Deadline)) {
 		i.Deadline = limit
 	}
-	a.waiting[t.Attempt] = i
-	q.classes[t.Class.Rank()].Push(i)
+	a.waitingItems[t.Attempt] = i
+	q.byClass[t.Class.Rank()].Push(i)
 	if !q.active {
 		q.active = true
-		a.active = append(a.active, q)
+		a.activeQueues = append(a.activeQueues, q)
 	}
 	return shed, nil
 }
 
+// admit returns the queues of the plan of a task, or an error with the reason
+// for refusing the task.
 func (a *Allocator) admit(now time.Time, t *Task) (*planQueues, error) {
 	refuse := func(k Kind, format string, args ...any) (*planQueues, error) {
 		return nil, fault.Newf("enqueue", k, format, args...)
 	}
 	e, ok := a.plans.Entitlement(t.Plan)
 	switch {
-	case a.drained:
-		return refuse(KindDraining, "this VM is leaving")
+	case a.draining:
+		return refuse(KindDraining, "this entry VM is draining")
 	case !ok:
-		return refuse(KindUnknownPlan, "plan %q", t.Plan)
+		return refuse(KindUnknownPlan, "plan %q is not in the configuration", t.Plan)
 	case t.Class.Rank() < 0 || !e.Allows(t.Class):
-		return refuse(KindClass, "plan %s, class %q", t.Plan, t.Class)
-	case a.waiting[t.Attempt] != nil || a.ledger.Reservation(t.Attempt) != nil:
-		return refuse(KindDuplicate, "attempt %s", t.Attempt)
+		return refuse(KindClass, "plan %s does not allow class %q", t.Plan, t.Class)
+	case a.waitingItems[t.Attempt] != nil || a.ledger.Reservation(t.Attempt) != nil:
+		return refuse(KindDuplicate, "attempt %s is already waiting or running", t.Attempt)
 	case a.ledger.Len() == 0:
-		return refuse(KindNoWorkers, "no worker is adopted")
-	case !a.ledger.FitsSome(t.Size):
-		return refuse(KindTooLarge, "size %v, largest worker %v", t.Size, a.ledger.Largest())
+		return refuse(KindNoWorkers, "this entry VM has no workers")
+	case !a.ledger.FitsAnyWorker(t.Size):
+		return refuse(KindTooLarge, "size %v fits no worker, largest capacity of each resource: %v", t.Size, a.ledger.Largest())
 	case !e.MaxTask.IsZero() && !t.Size.Fits(e.MaxTask):
-		return refuse(KindPlanLimit, "size %v, plan limit %v", t.Size, e.MaxTask)
+		return refuse(KindPlanLimit, "size %v exceeds the limit for one task of the plan, %v", t.Size, e.MaxTask)
 	case !t.Deadline.IsZero() && now.Add(t.RunTime).After(t.Deadline):
-		return refuse(KindHopeless, "deadline %s", t.Deadline.Format(time.RFC3339))
+		return refuse(KindHopeless, "task cannot complete by its deadline %s", t.Deadline.Format(time.RFC3339))
 	}
-	q := a.queues[t.Plan]
+	q := a.queuesByPlan[t.Plan]
 	if q == nil {
-		q = &planQueues{name: t.Plan, account: a.shares.Account(t.Plan), entry: e}
-		a.queues[t.Plan] = q
+		q = &planQueues{name: t.Plan, account: a.shares.Account(t.Plan), entitlement: e}
+		a.queuesByPlan[t.Plan] = q
 	}
-	if n := q.classes[t.Class.Rank()].Len(); n >= e.QueueLimit {
-		return refuse(KindQueueFull, "plan %s has %d waiting", t.Plan, n)
+	if n := q.byClass[t.Class.Rank()].Len(); n >= e.QueueLimit {
+		return refuse(KindQueueFull, "plan %s already has %d waiting tasks of the class", t.Plan, n)
 	}
 	return q, nil
 }
 
-// shed drops the newest waiting task of the least urgent class that is less
-// urgent than rank, from the plan with the most of them.
+// shed drops and returns a waiting task that is less urgent than rank, or
+// returns nil when there is none. It chooses the least urgent class, the plan
+// with the most waiting tasks of that class, and the newest of these tasks.
 func (a *Allocator) shed(rank int) *Refusal {
 	for c := len(plan.Classes) - 1; c > rank; c-- {
 		var longest *planQueues
-		for _, q := range a.active {
-			if q.classes[c].Len() > 0 && (longest == nil || q.classes[c].Len() > longest.classes[c].Len()) {
+		for _, q := range a.activeQueues {
+			if q.byClass[c].Len() > 0 && (longest == nil || q.byClass[c].Len() > longest.byClass[c].Len()) {
 				longest = q
 			}
 		}
 		if longest != nil {
-			t := longest.classes[c].Tail().Value
+			t := longest.byClass[c].Tail().Value
 			a.dropWaiting(t.Attempt)
 			return &Refusal{Task: t, Reason: KindShed}
 		}
@@ -316,30 +345,33 @@
 	return nil
 }
 
+// dropWaiting removes an attempt from its queue and returns its task, or nil
+// when the attempt is not waiting.
 func (a *Allocator) dropWaiting(attempt string) *Task {
-	i := a.waiting[attempt]
+	i := a.waitingItems[attempt]
 	if i == nil {
 		return nil
 	}
-	delete(a.waiting, attempt)
-	a.queues[i.Value.Plan].classes[i.Value.Class.Rank()].Remove(i)
+	delete(a.waitingItems, attempt)
+	a.queuesByPlan[i.Value.Plan].byClass[i.Value.Class.Rank()].Remove(i)
 	return i.Value
 }
 
-// Cancel drops a waiting task in constant time. It returns nil when the task
-// does not wait.
+// Cancel drops a waiting task in constant time and returns it, or nil when the
+// attempt is not waiting.
 func (a *Allocator) Cancel(attempt string) *Task { return a.dropWaiting(attempt) }
 
-// IsWaiting reports whether an attempt waits.
-func (a *Allocator) IsWaiting(attempt string) bool { return a.waiting[attempt] != nil }
+// IsWaiting reports whether an attempt is in a waiting queue.
+func (a *Allocator) IsWaiting(attempt string) bool { return a.waitingItems[attempt] != nil }
 
-// Expire drops the waiting tasks whose deadline can not be met any more.
+// Expire drops and returns the waiting tasks that can no longer complete by
+// their deadline, and the urgent ones that have waited for Limits.UrgentWait.
 func (a *Allocator) Expire(now time.Time) []Refusal {
 	var out []Refusal
-	for _, q := range a.active {
-		for c := range q.classes {
-			q.classes[c].Expired(now, func(i *admission.Item[*Task]) {
-				delete(a.waiting, i.Value.Attempt)
+	for _, q := range a.activeQueues {
+		for c := range q.byClass {
+			q.byClass[c].RemoveExpired(now, func(i *admission.Item[*Task]) {
+				delete(a.waitingItems, i.Value.Attempt)
 				out = append(out, Refusal{Task: i.Value, Reason: KindDeadlineOver})
 			})
 		}
@@ -347,8 +379,8 @@
 	return out
 }
 
-// Release gives the room of an ended attempt back. It reports whether the
-// attempt held any.
+// Release frees the capacity that is reserved for an attempt. It returns false
+// when the attempt has no reservation.
 func (a *Allocator) Release(attempt string) bool {
 	r, ok := a.ledger.Release(attempt)
 	if ok {
--- a/internal/decide/allocator/allocator_test.go
+++ b/internal/decide/allocator/allocator_test.go
@@ -21,14 +21,16 @@
 var (
 	begin    = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	capacity = resource.Vector{Milliprocessors: 8000, MemoryMebibytes: 8192, Slots: 8, Connections: 64}
-	unit     = resource.Vector{Milliprocessors: 1000, MemoryMebibytes: 1024, Slots: 1, Connections: 1}
+	unitSize = resource.Vector{Milliprocessors: 1000, MemoryMebibytes: 1024, Slots: 1, Connections: 1}
 )
 
 func entitlement(name string, promised float64) plan.Entitlement {
 	return plan.Entitlement{Plan: name, PromisedShare: promised, LimitShare: 1, QueueLimit: 1000, Classes: plan.Classes[:]}
 }
 
-func index(t testing.TB, entitlements ...plan.Entitlement) *plan.Index {
+// planIndex returns a configuration in which each plan belongs to a customer of
+// its own.
+func planIndex(t testing.TB, entitlements ...plan.Entitlement) *plan.Index {
 	t.Helper()
 	var l plan.Lists
 	for _, e := range entitlements {
@@ -42,10 +44,11 @@
 	return x
 }
 
-func pool(t testing.TB, workers int, entitlements ...plan.Entitlement) *allocator.Allocator {
+// newAllocator returns an allocator with empty workers, four to a rack.
+func newAllocator(t testing.TB, workers int, entitlements ...plan.Entitlement) *allocator.Allocator {
 	t.Helper()
 	a := allocator.New(placement.Balanced{}, allocator.Limits{Waiting: 10_000})
-	a.SetPlans(index(t, entitlements...))
+	a.SetPlans(planIndex(t, entitlements...))
 	for i := range workers {
 		if err := a.AddWorker(fmt.Sprintf("w%d", i), fmt.Sprintf("r%d", i/4), capacity, nil); err != nil {
 			t.Fatal(err)
@@ -55,7 +58,7 @@
 }
 
 func task(id, plan string, class plan.Class) *allocator.Task {
-	return &allocator.Task{Attempt: id, Plan: plan, Class: class, Size: unit, Repeatable: true, RunTime: time.Second}
+	return &allocator.Task{Attempt: id, Plan: plan, Class: class, Size: unitSize, Repeatable: true, RunTime: time.Second}
 }
 
 func enqueue(t testing.TB, a *allocator.Allocator, now time.Time, tasks ...*allocator.Task) {
@@ -67,6 +70,7 @@
 	}
 }
 
+// startAll starts waiting tasks until no more fit.
 func startAll(a *allocator.Allocator, now time.Time) []allocator.Decision {
 	var out []allocator.Decision
 	for {
@@ -92,16 +96,16 @@
 		{"class not allowed", func(k *allocator.Task) { k.Class = plan.Urgent }, allocator.KindClass},
 		{"unknown class", func(k *allocator.Task) { k.Class = "soon" }, allocator.KindClass},
 		{"larger than every worker", func(k *allocator.Task) { k.Size.Milliprocessors = 9000 }, allocator.KindTooLarge},
-		{"accelerator that nobody has", func(k *allocator.Task) { k.Size.Accelerators = 1 }, allocator.KindTooLarge},
-		{"above the plan's limit", func(k *allocator.Task) { k.Size = unit }, allocator.KindPlanLimit},
-		{"hopeless deadline", func(k *allocator.Task) { k.Deadline = begin.Add(time.Millisecond) }, allocator.KindHopeless},
+		{"accelerator that no worker has", func(k *allocator.Task) { k.Size.Accelerators = 1 }, allocator.KindTooLarge},
+		{"above the plan's limit", func(k *allocator.Task) { k.Size = unitSize }, allocator.KindPlanLimit},
+		{"deadline before the task can complete", func(k *allocator.Task) { k.Deadline = begin.Add(time.Millisecond) }, allocator.KindHopeless},
 		{"duplicate attempt", func(k *allocator.Task) { k.Attempt = "first" }, allocator.KindDuplicate},
 		{"full queue", func(*allocator.Task) {}, allocator.KindQueueFull},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			is := is.New(t)
-			a := pool(t, 1, limited)
+			a := newAllocator(t, 1, limited)
 			first := task("first", "limited", plan.Normal)
 			first.Size = limited.MaxTask
 			enqueue(t, a, begin, first)
@@ -117,7 +121,7 @@
 
 func TestPromiseIsTakenBackFromABorrower(t *testing.T) {
 	is := is.New(t)
-	a := pool(t, 2, entitlement("lender", 0.5), entitlement("borrower", 0.25))
+	a := newAllocator(t, 2, entitlement("lender", 0.5), entitlement("borrower", 0.25))
 	for i := range 40 {
 		enqueue(t, a, begin, task(fmt.Sprintf("b%d", i), "borrower", plan.Overnight))
 	}
@@ -138,7 +142,7 @@
 
 func TestUrgentFloodLeavesThePromisesOfOthers(t *testing.T) {
 	is := is.New(t)
-	a := pool(t, 4, entitlement("calm", 0.25), entitlement("flood", 0.25))
+	a := newAllocator(t, 4, entitlement("calm", 0.25), entitlement("flood", 0.25))
 	for i := range 500 {
 		enqueue(t, a, begin, task(fmt.Sprintf("f%d", i), "flood", plan.Urgent))
 	}
@@ -155,9 +159,9 @@
 	is.Equal(a.Shares().Account("calm").Used.Slots, int64(8))
 }
 
-func TestUrgentWorkPassesOvernightWorkOfItsOwnPlan(t *testing.T) {
+func TestUrgentTaskPreemptsOvernightTaskOfTheSamePlan(t *testing.T) {
 	is := is.New(t)
-	a := pool(t, 1, entitlement("only", 1))
+	a := newAllocator(t, 1, entitlement("only", 1))
 	for i := range 20 {
 		enqueue(t, a, begin, task(fmt.Sprintf("o%d", i), "only", plan.Overnight))
 	}
@@ -173,10 +177,10 @@
 	is.Equal(started[0].Task.Attempt, "u")
 }
 
-func TestSheddingDropsTheLeastUrgent(t *testing.T) {
+func TestSheddingDropsTheLeastUrgentTask(t *testing.T) {
 	is := is.New(t)
 	a := allocator.New(placement.Balanced{}, allocator.Limits{Waiting: 2})
-	a.SetPlans(index(t, entitlement("p", 1)))
+	a.SetPlans(planIndex(t, entitlement("p", 1)))
 	is.NoErr(a.AddWorker("w", "r", capacity, nil))
 	enqueue(t, a, begin, task("n", "p", plan.Normal), task("o", "p", plan.Overnight))
 	shed, err := a.Enqueue(begin, task("u", "p", plan.Urgent))
@@ -188,7 +192,7 @@
 
 func TestLeavingWorkerGetsNoWork(t *testing.T) {
 	is := is.New(t)
-	a := pool(t, 1, entitlement("p", 1))
+	a := newAllocator(t, 1, entitlement("p", 1))
 	a.SetAccepting("w0", false)
 	enqueue(t, a, begin, task("a", "p", plan.Urgent))
 	is.Equal(len(startAll(a, begin)), 0)
@@ -196,22 +200,23 @@
 	is.Equal(len(startAll(a, begin)), 1)
 }
 
-// TestRandomHistory runs random histories against a plain model of what runs
-// where. The ledger's invariants are fatal.
+// TestRandomHistory runs random operations and compares the allocator with a
+// simple model of the waiting and the running attempts. Violated invariants
+// panic.
 func TestRandomHistory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		a := pool(t, 4, entitlement("a", 0.5), entitlement("b", 0.3), entitlement("c", 0.1))
+		a := newAllocator(t, 4, entitlement("a", 0.5), entitlement("b", 0.3), entitlement("c", 0.1))
 		running := map[string]string{}
 		waiting := map[string]bool{}
 		names := []string{"a", "b", "c"}
 		now := begin
-		serial := 0
+		lastAttempt := 0
 		for range rapid.IntRange(10, 150).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(rt, "pause")) * time.Millisecond)
 			switch rapid.IntRange(0, 7).Draw(rt, "step") {
 			case 0, 1, 2:
-				serial++
-				k := task(fmt.Sprint(serial), rapid.SampledFrom(names).Draw(rt, "plan"), rapid.SampledFrom(plan.Classes[:]).Draw(rt, "class"))
+				lastAttempt++
+				k := task(fmt.Sprint(lastAttempt), rapid.SampledFrom(names).Draw(rt, "plan"), rapid.SampledFrom(plan.Classes[:]).Draw(rt, "class"))
 				k.Size = resource.Vector{
 					Milliprocessors: rapid.Int64Range(1, 9000).Draw(rt, "cpu"), MemoryMebibytes: rapid.Int64Range(1, 8192).Draw(rt, "memory"),
 					Slots: rapid.Int64Range(0, 2).Draw(rt, "slots"),
@@ -226,28 +231,28 @@
 			case 3:
 				for _, d := range startAll(a, now) {
 					if !waiting[d.Task.Attempt] || running[d.Task.Attempt] != "" {
-						rt.Fatalf("attempt %s started twice or unasked", d.Task.Attempt)
+						rt.Fatalf("attempt %s started twice or was not waiting", d.Task.Attempt)
 					}
 					delete(waiting, d.Task.Attempt)
 					running[d.Task.Attempt] = d.Worker
 				}
 			case 4:
-				if id, ok := anyKey(running); ok {
+				if id, ok := smallestKey(running); ok {
 					if !a.Release(id) {
-						rt.Fatalf("attempt %s held nothing", id)
+						rt.Fatalf("attempt %s is running but has no reservation", id)
 					}
 					delete(running, id)
 				}
 			case 5:
 				for _, p := range a.Reclaim() {
 					if running[p.Attempt] != p.Worker {
-						rt.Fatalf("preemption of %s on %s, which runs on %q", p.Attempt, p.Worker, running[p.Attempt])
+						rt.Fatalf("preemption of attempt %s on worker %s, but it runs on %q", p.Attempt, p.Worker, running[p.Attempt])
 					}
 				}
 			case 6:
 				for _, r := range a.Expire(now) {
 					if !waiting[r.Task.Attempt] {
-						rt.Fatalf("attempt %s expired but did not wait", r.Task.Attempt)
+						rt.Fatalf("attempt %s expired but was not waiting", r.Task.Attempt)
 					}
 					delete(waiting, r.Task.Attempt)
 				}
@@ -255,7 +260,7 @@
 				name := fmt.Sprintf("w%d", rapid.IntRange(0, 3).Draw(rt, "worker"))
 				for _, id := range a.RemoveWorker(name) {
 					if running[id] != name {
-						rt.Fatalf("worker %s held %s, which ran on %q", name, id, running[id])
+						rt.Fatalf("removed worker %s had attempt %s, which ran on %q", name, id, running[id])
 					}
 					delete(running, id)
 				}
@@ -264,13 +269,15 @@
 				}
 			}
 			if a.Waiting() != len(waiting) {
-				rt.Fatalf("%d tasks wait, the model has %d", a.Waiting(), len(waiting))
+				rt.Fatalf("%d tasks are waiting, expected %d", a.Waiting(), len(waiting))
 			}
 		}
 	})
 }
 
-func anyKey(m map[string]string) (string, bool) {
+// smallestKey returns the smallest key of a map, so that a run with the same
+// seed always chooses the same one.
+func smallestKey(m map[string]string) (string, bool) {
 	if len(m) == 0 {
 		return "", false
 	}
@@ -283,9 +290,9 @@
 	return smallest, true
 }
 
-func TestTasksAreRefusedWhenTheirLastWorkerGoes(t *testing.T) {
+func TestWaitingTasksAreDroppedWithTheLastWorkerTheyFit(t *testing.T) {
 	is := is.New(t)
-	a := pool(t, 1, entitlement("p", 1))
+	a := newAllocator(t, 1, entitlement("p", 1))
 	accelerated := capacity
 	accelerated.Accelerators = 1
 	is.NoErr(a.AddWorker("gpu", "r", accelerated, nil))
@@ -300,11 +307,11 @@
 	is.Equal(a.Waiting(), 0)
 }
 
-func TestPlanAtItsLimitGoesOnWhenItsOwnWorkEnds(t *testing.T) {
+func TestPlanAtItsLimitResumesWhenItsOwnTaskEnds(t *testing.T) {
 	is := is.New(t)
 	limited := entitlement("limited", 0.25)
 	limited.LimitShare = 0.25
-	a := pool(t, 2, limited, entitlement("other", 0.5))
+	a := newAllocator(t, 2, limited, entitlement("other", 0.5))
 	small := task("small", "limited", plan.Normal)
 	small.Size = resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 1, Slots: 1}
 	filler := task("filler", "other", plan.Normal)
--- a/internal/decide/allocator/bench_test.go
+++ b/internal/decide/allocator/bench_test.go
@@ -13,9 +13,9 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// BenchmarkDecision measures one decision with one release and one admission
-// around it, on a fleet that is nearly full. The largest size is that of the
-// capacity page: 950 workers, 16,000 running tasks, 350 plans.
+// BenchmarkDecision measures one call of Next on nearly full workers, each
+// after one release and one admission. The largest case is the documented
+// capacity: 950 workers, 16,000 running tasks and 350 plans.
 func BenchmarkDecision(b *testing.B) {
 	for _, workers := range []int{50, 250, 950} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) { benchmarkDecision(b, workers) })
@@ -24,7 +24,7 @@
 
 func benchmarkDecision(b *testing.B, workers int) {
 	const plans = 350
-	running := workers * 16000 / 950
+	targetRunning := workers * 16000 / 950
 	random := rand.New(rand.NewPCG(1, 2))
 	var entitlements []plan.Entitlement
 	for i := range plans {
@@ -33,46 +33,46 @@
 		entitlements = append(entitlements, e)
 	}
 	a := allocator.New(placement.Balanced{}, allocator.Limits{Waiting: 1 << 30})
-	a.SetPlans(index(b, entitlements...))
-	large := resource.Vector{Milliprocessors: 64000, MemoryMebibytes: 262144, Slots: 24, Connections: 64}
+	a.SetPlans(planIndex(b, entitlements...))
+	workerCapacity := resource.Vector{Milliprocessors: 64000, MemoryMebibytes: 262144, Slots: 24, Connections: 64}
 	for i := range workers {
-		if err := a.AddWorker(fmt.Sprintf("w%d", i), fmt.Sprintf("r%d", i/5), large, nil); err != nil {
+		if err := a.AddWorker(fmt.Sprintf("w%d", i), fmt.Sprintf("r%d", i/5), workerCapacity, nil); err != nil {
 			b.Fatal(err)
 		}
 	}
-	serial := 0
-	next := func() *allocator.Task {
-		serial++
-		k := task(fmt.Sprint(serial), fmt.Sprintf("p%d", random.IntN(plans)), plan.Classes[random.IntN(3)])
+	lastAttempt := 0
+	newTask := func() *allocator.Task {
+		lastAttempt++
+		k := task(fmt.Sprint(lastAttempt), fmt.Sprintf("p%d", random.IntN(plans)), plan.Classes[random.IntN(3)])
 		k.Size = resource.Vector{Milliprocessors: 500 + random.Int64N(5000), MemoryMebibytes: 500 + random.Int64N(20000), Slots: 1, Connections: 1}
 		return k
 	}
-	var held []string
-	for len(held) < running {
-		enqueue(b, a, begin, next())
+	var running []string
+	for len(running) < targetRunning {
+		enqueue(b, a, begin, newTask())
 		if d, ok := a.Next(begin); ok {
-			held = append(held, d.Task.Attempt)
+			running = append(running, d.Task.Attempt)
 		} else {
 			break
 		}
 	}
 	for range 1000 {
-		enqueue(b, a, begin, next())
+		enqueue(b, a, begin, newTask())
 	}
 	var times []time.Duration
 	b.ReportAllocs()
 	for b.Loop() {
-		i := random.IntN(len(held))
-		a.Release(held[i])
-		enqueue(b, a, begin, next())
-		began := time.Now()
+		i := random.IntN(len(running))
+		a.Release(running[i])
+		enqueue(b, a, begin, newTask())
+		started := time.Now()
 		d, ok := a.Next(begin)
-		times = append(times, time.Since(began))
+		times = append(times, time.Since(started))
 		if ok {
-			held[i] = d.Task.Attempt
+			running[i] = d.Task.Attempt
 		} else {
-			held[i] = held[len(held)-1]
-			held = held[:len(held)-1]
+			running[i] = running[len(running)-1]
+			running = running[:len(running)-1]
 		}
 	}
 	total := time.Duration(0)
--- a/internal/decide/allocator/next.go
+++ b/internal/decide/allocator/next.go
@@ -9,41 +9,50 @@
 	"github.com/almondpost/almondpost/internal/state/plan"
 )
 
-// turn is the order in which plans get room: plans below their promise come
-// first, then the more urgent class, then the emptier customer and plan.
-type turn struct {
-	borrowing    bool
-	rank         int
-	customerFill float64
-	fill         float64
+// priority is the order in which plans get capacity: plans below their promised
+// share first, then the more urgent class. Of plans that borrow, the one whose
+// customer has the smaller weighted share comes first; then the plan with the
+// smaller weighted share.
+type priority struct {
+	// borrowing is set when the plan uses its promised share or more.
+	borrowing bool
+	// classRank is the rank of the class whose head competes for capacity.
+	classRank int
+	// customerShare and planShare are weighted shares, as in package share.
+	// customerShare is only set for plans that borrow.
+	customerShare float64
+	planShare     float64
 }
 
-func (t turn) before(o turn) bool {
+// precedes reports whether p comes before o.
+func (p priority) precedes(o priority) bool {
 	switch {
-	case t.borrowing != o.borrowing:
-		return !t.borrowing
-	case t.rank != o.rank:
-		return t.rank < o.rank
-	case t.customerFill != o.customerFill && t.borrowing:
-		return t.customerFill < o.customerFill
-	}
-	return t.fill < o.fill
+	case p.borrowing != o.borrowing:
+		return !p.borrowing
+	case p.classRank != o.classRank:
+		return p.classRank < o.classRank
+	case p.customerShare != o.customerShare && p.borrowing:
+		return p.customerShare < o.customerShare
+	}
+	return p.planShare < o.planShare
 }
 
-// candidate is a plan whose head of a class may be placed.
+// candidate is a plan with a queue whose head may fit a worker.
 type candidate struct {
-	turn  turn
-	queue *planQueues
+	priority priority
+	queues   *planQueues
 }
 
-// candidates is a heap by turn.
+// candidates is a binary heap; the candidate that comes first is at index 0.
 type candidates []candidate
 
-func (c candidates) down(i int) {
+// siftDown moves the candidate at index i down until none of its children comes
+// before it.
+func (c candidates) siftDown(i int) {
 	for {
 		first := i
 		for child := 2*i + 1; child <= 2*i+2 && child < len(c); child++ {
-			if c[child].turn.before(c[first].turn) {
+			if c[child].priority.precedes(c[first].priority) {
 				first = child
 			}
 		}
@@ -55,111 +64,122 @@
 	}
 }
 
-// Next decides the next start, or reports false when nothing that waits fits.
+// Next chooses the waiting task that starts next, reserves capacity for it and
+// removes it from its queue. It returns false when no waiting task can start.
 func (a *Allocator) Next(now time.Time) (Decision, bool) {
-	heap := a.candidates()
+	heap := a.candidateHeap()
 	for len(heap) > 0 {
 		c := heap[0]
-		if d, ok := a.place(now, c.queue, c.turn.rank); ok {
+		if d, ok := a.placeHead(now, c.queues, c.priority.classRank); ok {
 			return d, true
 		}
-		if rank := a.openRank(c.queue, c.turn.rank+1); rank >= 0 {
-			heap[0].turn.rank = rank
+		if rank := a.placeableRank(c.queues, c.priority.classRank+1); rank >= 0 {
+			heap[0].priority.classRank = rank
 		} else {
 			heap[0] = heap[len(heap)-1]
 			heap = heap[:len(heap)-1]
 		}
-		heap.down(0)
+		heap.siftDown(0)
 	}
 	return Decision{}, false
 }
 
-// candidates returns a heap of the plans with a head that may fit, and drops
-// plans without waiting tasks from the active list.
-func (a *Allocator) candidates() candidates {
-	heap := candidates(a.scratch[:0])
-	for i := 0; i < len(a.active); i++ {
-		q := a.active[i]
-		if rank := a.openRank(q, 0); rank >= 0 {
-			heap = append(heap, candidate{turnOf(q, rank), q})
+// candidateHeap returns a heap of the plans with a head that may fit a worker.
+// It also removes plans without waiting tasks from activeQueues.
+func (a *Allocator) candidateHeap() candidates {
+	heap := candidates(a.heapBuffer[:0])
+	for i := 0; i < len(a.activeQueues); i++ {
+		q := a.activeQueues[i]
+		if rank := a.placeableRank(q, 0); rank >= 0 {
+			heap = append(heap, candidate{priorityOf(q, rank), q})
 			continue
 		}
 		if q.len() > 0 {
 			continue
 		}
 		q.active = false
-		last := len(a.active) - 1
-		a.active[i] = a.active[last]
-		a.active = a.active[:last]
+		last := len(a.activeQueues) - 1
+		a.activeQueues[i] = a.activeQueues[last]
+		a.activeQueues = a.activeQueues[:last]
 		i--
 	}
-	a.scratch = heap
+	a.heapBuffer = heap
 	for i := len(heap)/2 - 1; i >= 0; i-- {
-		heap.down(i)
+		heap.siftDown(i)
 	}
 	return heap
 }
 
-func turnOf(q *planQueues, rank int) turn {
-	t := turn{rank: rank, fill: q.account.Fill()}
-	if t.borrowing = t.fill >= 1; t.borrowing {
-		t.customerFill = q.account.CustomerFill()
+// priorityOf returns the priority of a plan for the head of the class of this
+// rank.
+func priorityOf(q *planQueues, rank int) priority {
+	p := priority{classRank: rank, planShare: q.account.Fill()}
+	if p.borrowing = p.planShare >= 1; p.borrowing {
+		p.customerShare = q.account.CustomerWeightedShare()
 	}
-	return t
+	return p
 }
 
-// openRank returns the most urgent class from a rank on with a head that may
-// fit, or -1.
-func (a *Allocator) openRank(q *planQueues, from int) int {
-	for c := from; c < len(q.classes); c++ {
-		head := q.classes[c].Head()
+// placeableRank returns the rank of the most urgent class, starting at rank
+// from, whose head may fit a worker. It returns -1 when there is none. It skips
+// heads that fitted no worker until enough capacity has been freed.
+func (a *Allocator) placeableRank(q *planQueues, from int) int {
+	for c := from; c < len(q.byClass); c++ {
+		head := q.byClass[c].Head()
 		if head == nil {
 			continue
 		}
-		if q.blocked[c] != head || q.limited[c] && q.account.Permits(head.Value.Size) {
+		if q.blockedHead[c] != head || q.atLimit[c] && q.account.Permits(head.Value.Size) {
 			return c
 		}
-		if q.since[c] == a.ledger.Gains() {
+		if q.blockedSince[c] == a.ledger.FreedCount() {
 			continue
 		}
-		if a.ledger.GainedFits(q.since[c], head.Value.Size) {
+		if a.ledger.FitsFreed(q.blockedSince[c], head.Value.Size) {
 			return c
 		}
-		q.since[c] = a.ledger.Gains()
+		q.blockedSince[c] = a.ledger.FreedCount()
 	}
 	return -1
 }
 
-func (a *Allocator) place(now time.Time, q *planQueues, rank int) (Decision, bool) {
-	head := q.classes[rank].Head()
+// placeHead reserves capacity for the head of a class and removes it from its
+// queue. It marks the class as blocked and returns false when no worker fits or
+// the plan is at its limit.
+func (a *Allocator) placeHead(now time.Time, q *planQueues, rank int) (Decision, bool) {
+	head := q.byClass[rank].Head()
 	t := head.Value
-	w := a.choose(q, rank, head)
+	w := a.chooseWorker(q, rank, head)
 	if w == nil {
-		q.blocked[rank], q.since[rank] = head, a.ledger.Gains()
+		q.blockedHead[rank], q.blockedSince[rank] = head, a.ledger.FreedCount()
 		return Decision{}, false
 	}
 	err := a.ledger.Reserve(w.Name, ledger.Reservation{
-		Attempt: t.Attempt, Size: t.Size, Plan: t.Plan, Class: rank, Spread: t.Spread, Preemptible: t.Repeatable,
+		Attempt: t.Attempt, Size: t.Size, Plan: t.Plan, ClassRank: rank, Spread: t.Spread, Preemptible: t.Repeatable,
 	})
-	invariant.Check(err == nil, "reservation_refused", "attempt %s: %v", t.Attempt, err)
+	invariant.Check(err == nil, "reservation_refused", "reserve capacity for attempt %s: %v", t.Attempt, err)
 	if err != nil {
-		q.blocked[rank], q.since[rank] = head, a.ledger.Gains()
+		q.blockedHead[rank], q.blockedSince[rank] = head, a.ledger.FreedCount()
 		return Decision{}, false
 	}
 	a.shares.Charge(t.Plan, t.Size)
-	q.classes[rank].Remove(head)
-	delete(a.waiting, t.Attempt)
-	return Decision{Task: t, Worker: w.Name, Waited: now.Sub(head.Since)}, true
+	q.byClass[rank].Remove(head)
+	delete(a.waitingItems, t.Attempt)
+	return Decision{Task: t, Worker: w.Name, Waited: now.Sub(head.EnqueuedAt)}, true
 }
 
-func (a *Allocator) choose(q *planQueues, rank int, head *admission.Item[*Task]) *ledger.Worker {
+// chooseWorker returns a worker for the head of a class, or nil when none fits
+// or the plan is at its limit. If the head fitted no worker before, only
+// workers with capacity freed since then are searched, provided that the ledger
+// remembers all of them.
+func (a *Allocator) chooseWorker(q *planQueues, rank int, head *admission.Item[*Task]) *ledger.Worker {
 	t := head.Value
-	wasLimited := q.limited[rank]
-	if q.limited[rank] = !q.account.Permits(t.Size); q.limited[rank] {
+	wasAtLimit := q.atLimit[rank]
+	if q.atLimit[rank] = !q.account.Permits(t.Size); q.atLimit[rank] {
 		return nil
 	}
-	if q.blocked[rank] == head && !wasLimited {
-		w, complete := a.policy.ChooseGained(a.ledger, q.since[rank], t.Size, t.Spread)
+	if q.blockedHead[rank] == head && !wasAtLimit {
+		w, complete := a.policy.ChooseFreed(a.ledger, q.blockedSince[rank], t.Size, t.Spread)
 		if complete {
 			return w
 		}
@@ -167,12 +187,15 @@
 	return a.policy.Choose(a.ledger, t.Size, t.Spread)
 }
 
-// Advertisement is what an owner tells others of its workers and queues.
+// Advertisement is the load of an entry VM, from which other entry VMs choose
+// where to send tasks.
 type Advertisement struct {
-	// FreeFraction is the scarcest free fraction of the pool, at most 1.
+	// FreeFraction is the free fraction, from 0 to 1, of the most used resource
+	// of the pool.
 	FreeFraction float64
 	Workers      int
-	// Waiting is the number of waiting tasks by class.
+	// Waiting is the number of waiting tasks, indexed by the rank of their
+	// class.
 	Waiting [len(plan.Classes)]int
 }
 
@@ -185,25 +208,27 @@
 	return n
 }
 
-// Advertise summarises the allocator.
+// Advertise returns the current load.
 func (a *Allocator) Advertise() Advertisement {
 	out := Advertisement{Workers: a.ledger.Len()}
 	if out.Workers > 0 {
 		out.FreeFraction = max(0, 1-a.ledger.Used().DominantFraction(a.ledger.Total()))
 	}
-	for _, q := range a.active {
-		for c := range q.classes {
-			out.Waiting[c] += q.classes[c].Len()
+	for _, q := range a.activeQueues {
+		for c := range q.byClass {
+			out.Waiting[c] += q.byClass[c].Len()
 		}
 	}
 	return out
 }
 
-// Hold reserves room for a task at once, without queueing it, as gangs need.
-// It reports false when nothing fits or the plan is at its limit.
+// Hold reserves capacity for a task immediately, without queueing it. Gangs
+// need this to reserve capacity for each member before any of them starts. Hold
+// returns false when no worker fits, the plan is at its limit, the attempt
+// already has a reservation, or the allocator is draining.
 func (a *Allocator) Hold(t *Task) (worker string, ok bool) {
 	account := a.shares.Account(t.Plan)
-	if a.drained || !account.Permits(t.Size) || a.ledger.Reservation(t.Attempt) != nil {
+	if a.draining || !account.Permits(t.Size) || a.ledger.Reservation(t.Attempt) != nil {
 		return "", false
 	}
 	w := a.policy.Choose(a.ledger, t.Size, t.Spread)
@@ -211,7 +236,7 @@
 		return "", false
 	}
 	err := a.ledger.Reserve(w.Name, ledger.Reservation{
-		Attempt: t.Attempt, Size: t.Size, Plan: t.Plan, Class: t.Class.Rank(), Spread: t.Spread,
+		Attempt: t.Attempt, Size: t.Size, Plan: t.Plan, ClassRank: t.Class.Rank(), Spread: t.Spread,
 	})
 	if err != nil {
 		return "", false
--- a/internal/decide/allocator/reclaim.go
+++ b/internal/decide/allocator/reclaim.go
@@ -9,121 +9,143 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// maxReclaims bounds the preemptions under way for one plan.
-const maxReclaims = 16
+// maxPreemptionsPerPlan bounds the preempted attempts that one waiting plan
+// waits for at a time.
+const maxPreemptionsPerPlan = 16
 
-// Reclaim returns the preemptions that make room for blocked heads: a plan
-// below its promise takes back what others borrow, and urgent work takes room
-// from less urgent work of its own plan or of plans that borrow more.
+// Reclaim returns the preemptions that free capacity for queue heads that could
+// not start. A plan below its promised share takes capacity from plans above
+// theirs. Urgent tasks also take it from less urgent tasks, of their own plan
+// or of plans above their promised share that have a larger weighted share.
 func (a *Allocator) Reclaim() []Preemption {
 	var out []Preemption
-	for _, q := range a.active {
-		for c := range q.classes {
-			head := q.classes[c].Head()
-			if head == nil || q.blocked[c] != head {
+	for _, q := range a.activeQueues {
+		for c := range q.byClass {
+			head := q.byClass[c].Head()
+			if head == nil || q.blockedHead[c] != head {
 				continue
 			}
-			out = append(out, a.reclaimFor(q, c, head)...)
+			out = append(out, a.preemptForHead(q, c, head)...)
 		}
 	}
 	return out
 }
 
-func (a *Allocator) reclaimFor(q *planQueues, rank int, head *admission.Item[*Task]) []Preemption {
-	if a.reclaiming[q.name] >= min(maxReclaims, q.classes[rank].Len()) {
+// preemptForHead returns the preemptions that free capacity for the head of a
+// class, and marks the attempts as preempted.
+func (a *Allocator) preemptForHead(q *planQueues, rank int, head *admission.Item[*Task]) []Preemption {
+	if a.preemptionsInFlight[q.name] >= min(maxPreemptionsPerPlan, q.byClass[rank].Len()) {
 		return nil
 	}
 	var out []Preemption
-	for _, r := range a.victims(q, rank, head.Value.Size) {
+	for _, r := range a.chooseVictims(q, rank, head.Value.Size) {
 		r.Preempting = true
-		a.reclaiming[q.name]++
-		a.preemptFor[r.Attempt] = q.name
+		a.preemptionsInFlight[q.name]++
+		a.preemptedFor[r.Attempt] = q.name
 		out = append(out, Preemption{Attempt: r.Attempt, Worker: r.Worker.Name, For: q.name})
 	}
 	return out
 }
 
-// victims returns the smallest set of reservations on one worker that makes
-// room for a size, or nil.
-func (a *Allocator) victims(q *planQueues, rank int, size resource.Vector) []*ledger.Reservation {
+// chooseVictims returns the reservations, all on one worker, to preempt for a
+// task of this size. Of the workers where this is possible, it chooses the one
+// that isCheaper prefers. It returns nil when there is none.
+func (a *Allocator) chooseVictims(q *planQueues, rank int, size resource.Vector) []*ledger.Reservation {
 	var best []*ledger.Reservation
-	permitted := q.account.Permits(size)
-	if !permitted && rank != plan.Urgent.Rank() {
+	withinLimit := q.account.Permits(size)
+	if !withinLimit && rank != plan.Urgent.Rank() {
 		return nil
 	}
 	a.ledger.Workers(func(w *ledger.Worker) {
 		if !w.Accepting || !size.Fits(w.Capacity) {
 			return
 		}
-		set := a.victimsOn(w, q, rank, size, permitted)
-		if set != nil && (best == nil || cheaper(set, best)) {
-			best = set
+		onWorker := a.victimsOnWorker(w, q, rank, size, withinLimit)
+		if onWorker != nil && (best == nil || isCheaper(onWorker, best)) {
+			best = onWorker
 		}
 	})
 	return best
 }
 
-// cheaper prefers fewer victims, then the newer ones, which lose less work.
-func cheaper(a, b []*ledger.Reservation) bool {
+// isCheaper reports whether preempting a is expected to lose less work than
+// preempting b: a has fewer reservations or, if there are equally many, its
+// first one is newer.
+func isCheaper(a, b []*ledger.Reservation) bool {
 	if len(a) != len(b) {
 		return len(a) < len(b)
 	}
 	return a[0].Order > b[0].Order
 }
 
-func (a *Allocator) victimsOn(w *ledger.Worker, q *planQueues, rank int, size resource.Vector, permitted bool) []*ledger.Reservation {
-	var able []*ledger.Reservation
+// victimsOnWorker returns the reservations on a worker to preempt for a task of
+// this size: the least urgent and newest first, until the task fits. It returns
+// nil when the task would still not fit after all permitted preemptions. A plan
+// at its limit may only preempt its own attempts.
+func (a *Allocator) victimsOnWorker(w *ledger.Worker, q *planQueues, rank int, size resource.Vector, withinLimit bool) []*ledger.Reservation {
+	var preemptible []*ledger.Reservation
 	free := w.Free()
 	for _, r := range w.Reservations {
 		if r.Preempting {
 			continue
 		}
-		if (permitted || r.Plan == q.name) && a.mayTake(q, rank, r) {
-			able = append(able, r)
+		if (withinLimit || r.Plan == q.name) && a.mayPreempt(q, rank, r) {
+			preemptible = append(preemptible, r)
 		}
 	}
-	sort.Slice(able, func(i, j int) bool {
-		if able[i].Class != able[j].Class {
-			return able[i].Class > able[j].Class
+	sort.Slice(preemptible, func(i, j int) bool {
+		if preemptible[i].ClassRank != preemptible[j].ClassRank {
+			return preemptible[i].ClassRank > preemptible[j].ClassRank
 		}
-		return able[i].Order > able[j].Order
+		return preemptible[i].Order > preemptible[j].Order
 	})
-	for i, r := range able {
+	for i, r := range preemptible {
 		free = free.Add(r.Size)
 		if size.Fits(free) {
-			return able[:i+1]
+			return preemptible[:i+1]
 		}
 	}
 	return nil
 }
 
-func (a *Allocator) mayTake(q *planQueues, rank int, r *ledger.Reservation) bool {
+// mayPreempt reports whether a task of plan q with a class of this rank may
+// preempt a reservation.
+//
+// Within one plan, only urgent tasks may preempt less urgent ones. Other plans
+// lose attempts only while they are above their promised share. A plan below
+// its promised share may preempt any attempt whose plan keeps its own promised
+// share without it, and any less urgent attempt. A plan at or above its
+// promised share may preempt only for an urgent task, and only less urgent
+// attempts of a plan with a larger weighted share.
+func (a *Allocator) mayPreempt(q *planQueues, rank int, r *ledger.Reservation) bool {
 	if !r.Preemptible {
 		return false
 	}
 	if r.Plan == q.name {
-		return rank == plan.Urgent.Rank() && r.Class > rank
+		return rank == plan.Urgent.Rank() && r.ClassRank > rank
 	}
 	victim := a.shares.Account(r.Plan)
 	if victim.Fill() <= 1 {
 		return false
 	}
 	if q.account.Fill() < 1 {
-		return victim.Used.Sub(r.Size).DominantFraction(a.ledger.Total()) >= victim.Promised-reclaimSlack || r.Class > rank
+		return victim.Used.Sub(r.Size).DominantFraction(a.ledger.Total()) >= victim.Promised-shareTolerance || r.ClassRank > rank
 	}
-	return rank == plan.Urgent.Rank() && r.Class > rank && victim.Fill() > q.account.Fill()
+	return rank == plan.Urgent.Rank() && r.ClassRank > rank && victim.Fill() > q.account.Fill()
 }
 
-// reclaimSlack absorbs rounding.
-const reclaimSlack = 1e-9
+// shareTolerance absorbs rounding errors in the comparison of shares.
+const shareTolerance = 1e-9
 
+// endPreemption updates preemptionsInFlight when an attempt has ended. It does
+// nothing if the attempt was not preempted.
 func (a *Allocator) endPreemption(attempt string) {
-	name, ok := a.preemptFor[attempt]
+	name, ok := a.preemptedFor[attempt]
 	if !ok {
 		return
 	}
-	delete(a.preemptFor, attempt)
-	if a.reclaiming[name]--; a.reclaiming[name] <= 0 {
-		delete(a.reclaiming, name)
+	delete(a.preemptedFor, attempt)
+	if a.preemptionsInFlight[name]--; a.preemptionsInFlight[name] <= 0 {
+		delete(a.preemptionsInFlight, name)
 	}
 }
--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/ledger/ledger.go
@@ -1,6 +1,7 @@
-// Package ledger keeps the exact account of a set of workers: capacity, what is
-// reserved on each, and an index that finds room without looking at every
-// worker. It does no I/O and takes no lock; its owner serialises access.
+// Package ledger tracks the capacity of a set of workers and what is reserved
+// on each of them. An index by free capacity finds a worker for a task without
+// looking at all workers. The package does no I/O and is not safe for
+// concurrent use.
 package ledger
 
 import (
@@ -16,99 +17,118 @@
 const (
 	KindUnknownWorker Kind = "unknown_worker"
 	KindDuplicate     Kind = "duplicate_reservation"
-	KindFull          Kind = "does_not_fit"
+	KindDoesNotFit    Kind = "does_not_fit"
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Worker is the account of one worker.
+// Worker is a worker with its capacity and reservations.
 type Worker struct {
 	Name string
 	Rack string
-	// Capacity is what the worker can hold.
+	// Capacity is the amount of each resource that the worker has in total.
 	Capacity resource.Vector
 	// Used is the sum of the sizes of Reservations. Reserve never raises it
-	// above Capacity.
+	// above Capacity, but Restore may.
 	Used resource.Vector
-	// Accepting is false while the worker is leaving or ejected.
+	// Accepting is false while the worker gets no new tasks because it is
+	// draining or ejected.
 	Accepting bool
-	// Reservations are keyed by attempt. An attempt is in at most one worker
-	// of the ledger.
+	// Reservations is keyed by attempt. An attempt has a reservation on at most
+	// one worker.
 	Reservations map[string]*Reservation
 
+	// group, bucket and position locate the worker in Ledger.index.
 	group, bucket, position int
 }
 
-// Free returns what is left of the worker.
+// Free returns the capacity that is not reserved.
 func (w *Worker) Free() resource.Vector { return w.Capacity.Sub(w.Used) }
 
-// Reservation is room taken on a worker by one attempt.
+// Reservation is the capacity of a worker that is reserved for one attempt.
 type Reservation struct {
 	Attempt string
 	Worker  *Worker
 	Size    resource.Vector
 	Plan    string
-	Class   int
-	// Spread groups attempts that should be on different racks; it may be
-	// empty.
+	// ClassRank is the rank of the class of the attempt; lower ranks are more
+	// urgent.
+	ClassRank int
+	// Spread names a group of attempts that should run on different racks; it
+	// may be empty.
 	Spread string
-	// Preemptible attempts may be taken off the worker for another plan.
+	// Preemptible attempts may be stopped to free capacity for another task.
 	Preemptible bool
-	// Preempting is set once the attempt was asked to stop.
+	// Preempting is set once the attempt has been chosen for preemption.
 	Preempting bool
-	// Order rises with each reservation.
+	// Order is higher for newer reservations. The ledger sets it.
 	Order uint64
 }
 
 const (
-	buckets = 17
-	// groups separate workers without accelerators from those with.
-	groups           = 2
-	plainGroup       = 0
+	// bucketCount is the number of ranges into which the index divides workers
+	// by their free fraction.
+	bucketCount = 17
+	// The index separates workers without accelerators from those with
+	// accelerators.
+	groupCount       = 2
+	generalGroup     = 0
 	acceleratorGroup = 1
-	// gainedLength is how many recent gains of free room are remembered.
-	gainedLength = 64
+	// freedRingSize is the number of recent increases of free capacity that are
+	// remembered.
+	freedRingSize = 64
 )
 
-// Ledger is the account of a set of workers.
+// Ledger tracks the workers and their reservations.
 type Ledger struct {
 	workers      map[string]*Worker
 	reservations map[string]*Reservation
-	index        [groups][buckets][]slot
-	shapes       map[resource.Vector]int
-	spread       map[spreadKey]int
-	total, used  resource.Vector
-	largest      resource.Vector
-	order        uint64
-	gainedCount  uint64
-	gained       [gainedLength]*Worker
-	misses       [missLength]miss
-	missCount    int
-	// spare holds released reservations for reuse, so that a decision makes no
-	// garbage.
-	spare []*Reservation
+	// index lists the workers by accelerator group and free fraction.
+	index [groupCount][bucketCount][]indexEntry
+	// workersByCapacity counts the workers of each capacity.
+	workersByCapacity map[resource.Vector]int
+	// spreadCounts counts the attempts of each spread group on each rack.
+	spreadCounts map[spreadKey]int
+	// total and used are sums over all workers; largest is the maximum of each
+	// resource.
+	total, used resource.Vector
+	largest     resource.Vector
+	lastOrder   uint64
+	// freedCount counts the increases of free capacity. freedRing holds the
+	// workers of the latest increases; number n is at index n % freedRingSize.
+	freedCount uint64
+	freedRing  [freedRingSize]*Worker
+	// missRing holds the latest searches that found no worker. missCount counts
+	// all such searches.
+	missRing  [missRingSize]miss
+	missCount int
+	// freeReservations holds released reservations for reuse, to avoid
+	// allocations.
+	freeReservations []*Reservation
 }
 
 type spreadKey struct{ group, rack string }
 
 // New returns an empty ledger.
 func New() *Ledger {
-	return &Ledger{workers: map[string]*Worker{}, reservations: map[string]*Reservation{}, spread: map[spreadKey]int{}, shapes: map[resource.Vector]int{}}
+	return &Ledger{workers: map[string]*Worker{}, reservations: map[string]*Reservation{}, spreadCounts: map[spreadKey]int{}, workersByCapacity: map[resource.Vector]int{}}
 }
 
-// Total returns the capacity of all workers.
+// Total returns the sum of the capacities of all workers.
 func (l *Ledger) Total() resource.Vector { return l.total }
 
-// Used returns what is reserved on all workers.
+// Used returns the sum of the reservations on all workers.
 func (l *Ledger) Used() resource.Vector { return l.used }
 
-// Largest returns, for each kind, the largest capacity of one worker.
+// Largest returns, for each resource, the largest capacity of any worker. The
+// amounts may come from different workers.
 func (l *Ledger) Largest() resource.Vector { return l.largest }
 
-// FitsSome reports whether an empty worker could hold a size.
-func (l *Ledger) FitsSome(size resource.Vector) bool {
-	for shape := range l.shapes {
+// FitsAnyWorker reports whether a size would fit at least one worker if it were
+// empty.
+func (l *Ledger) FitsAnyWorker(size resource.Vector) bool {
+	for shape := range l.workersByCapacity {
 		if size.Fits(shape) {
 			return true
 		}
@@ -132,11 +152,11 @@
 // Reservation returns the reservation of an attempt, or nil.
 func (l *Ledger) Reservation(attempt string) *Reservation { return l.reservations[attempt] }
 
-// AddWorker adds an empty worker. An older worker of the same name must have
-// been removed.
+// AddWorker adds a worker without reservations. It returns an error when a
+// worker of that name is in the ledger.
 func (l *Ledger) AddWorker(name, rack string, capacity resource.Vector) error {
 	if l.workers[name] != nil {
-		return fault.Newf("add_worker", KindDuplicate, "worker %s", name)
+		return fault.Newf("add_worker", KindDuplicate, "worker %s is already in the ledger", name)
 	}
 	w := &Worker{Name: name, Rack: rack, Capacity: capacity, Accepting: true, Reservations: map[string]*Reservation{}}
 	if capacity.Accelerators > 0 {
@@ -145,113 +165,119 @@
 	l.workers[name] = w
 	l.total = l.total.Add(capacity)
 	l.largest = l.largest.Max(capacity)
-	l.shapes[capacity]++
+	l.workersByCapacity[capacity]++
 	w.bucket = bucketOf(w)
-	l.insert(w)
-	l.noteGain(w)
+	l.insertIntoIndex(w)
+	l.recordFreed(w)
 	return nil
 }
 
-// RemoveWorker removes a worker and returns the reservations that it held.
+// RemoveWorker removes a worker and returns the reservations that were on it.
 func (l *Ledger) RemoveWorker(name string) []Reservation {
 	w := l.workers[name]
 	if w == nil {
 		return nil
 	}
-	var held []Reservation
+	var reservations []Reservation
 	for _, r := range w.Reservations {
-		held = append(held, *r)
+		reservations = append(reservations, *r)
 	}
-	for _, r := range held {
+	for _, r := range reservations {
 		l.Release(r.Attempt)
 	}
 	l.removeFromIndex(w)
 	delete(l.workers, name)
-	if l.shapes[w.Capacity]--; l.shapes[w.Capacity] == 0 {
-		delete(l.shapes, w.Capacity)
+	if l.workersByCapacity[w.Capacity]--; l.workersByCapacity[w.Capacity] == 0 {
+		delete(l.workersByCapacity, w.Capacity)
 	}
 	l.total = l.total.Sub(w.Capacity)
 	l.largest = resource.Vector{}
 	for _, o := range l.workers {
 		l.largest = l.largest.Max(o.Capacity)
 	}
-	for i, g := range l.gained {
+	for i, g := range l.freedRing {
 		if g == w {
-			l.gained[i] = nil
+			l.freedRing[i] = nil
 		}
 	}
-	return held
+	return reservations
 }
 
-// SetAccepting says whether a worker may get new work.
+// SetAccepting sets whether a worker gets new tasks.
 func (l *Ledger) SetAccepting(name string, accepting bool) {
 	w := l.workers[name]
 	if w == nil || w.Accepting == accepting {
 		return
 	}
 	w.Accepting = accepting
-	l.move(w)
+	l.updateIndex(w)
 	if accepting {
-		l.noteGain(w)
+		l.recordFreed(w)
 	}
 }
 
-// Reserve takes room on a worker. It refuses what does not fit.
+// Reserve adds a reservation on a worker. It returns an error when the worker
+// is unknown, the attempt already has a reservation, or the size exceeds the
+// free capacity.
 func (l *Ledger) Reserve(worker string, r Reservation) error {
 	w := l.workers[worker]
 	if w == nil {
-		return fault.Newf("reserve", KindUnknownWorker, "worker %s", worker)
+		return fault.Newf("reserve", KindUnknownWorker, "worker %s is not in the ledger", worker)
 	}
 	if l.reservations[r.Attempt] != nil {
-		return fault.Newf("reserve", KindDuplicate, "attempt %s", r.Attempt)
+		return fault.Newf("reserve", KindDuplicate, "attempt %s already has a reservation", r.Attempt)
 	}
 	if !w.Used.Add(r.Size).Fits(w.Capacity) {
-		return fault.Newf("reserve", KindFull, "attempt %s on worker %s", r.Attempt, worker)
+		return fault.Newf("reserve", KindDoesNotFit, "attempt %s exceeds the free capacity of worker %s", r.Attempt, worker)
 	}
-	l.put(w, r)
+	l.addReservation(w, r)
 	invariant.Check(w.Used.Fits(w.Capacity), "worker_over_capacity", "worker %s: used %v of %v", w.Name, w.Used, w.Capacity)
 	return nil
 }
 
-// Restore records an attempt that a worker reports as running. It is kept even
-// when the worker is already full, since it runs in fact.
+// Restore adds the reservation of an attempt that a worker reports as running.
+// Unlike Reserve, it accepts a size that exceeds the free capacity, since the
+// attempt is running there anyway.
 func (l *Ledger) Restore(worker string, r Reservation) error {
 	w := l.workers[worker]
 	if w == nil {
-		return fault.Newf("restore", KindUnknownWorker, "worker %s", worker)
+		return fault.Newf("restore", KindUnknownWorker, "worker %s is not in the ledger", worker)
 	}
 	if l.reservations[r.Attempt] != nil {
-		return fault.Newf("restore", KindDuplicate, "attempt %s", r.Attempt)
+		return fault.Newf("restore", KindDuplicate, "attempt %s already has a reservation", r.Attempt)
 	}
-	l.put(w, r)
+	l.addReservation(w, r)
 	return nil
 }
 
-func (l *Ledger) put(w *Worker, r Reservation) {
-	l.order++
-	r.Order, r.Worker = l.order, w
-	held := l.newReservation()
-	*held = r
-	l.reservations[r.Attempt] = held
-	w.Reservations[r.Attempt] = held
+func (l *Ledger) addReservation(w *Worker, r Reservation) {
+	l.lastOrder++
+	r.Order, r.Worker = l.lastOrder, w
+	stored := l.newReservation()
+	*stored = r
+	l.reservations[r.Attempt] = stored
+	w.Reservations[r.Attempt] = stored
 	w.Used = w.Used.Add(r.Size)
 	l.used = l.used.Add(r.Size)
 	if r.Spread != "" {
-		l.spread[spreadKey{r.Spread, w.Rack}]++
+		l.spreadCounts[spreadKey{r.Spread, w.Rack}]++
 	}
-	l.move(w)
+	l.updateIndex(w)
 }
 
+// newReservation returns an empty reservation. It reuses a released one if
+// possible.
 func (l *Ledger) newReservation() *Reservation {
-	if n := len(l.spare); n > 0 {
-		r := l.spare[n-1]
-		l.spare = l.spare[:n-1]
+	if n := len(l.freeReservations); n > 0 {
+		r := l.freeReservations[n-1]
+		l.freeReservations = l.freeReservations[:n-1]
 		return r
 	}
 	return &Reservation{}
 }
 
-// Release gives the room of an attempt back and returns what it held.
+// Release removes the reservation of an attempt and returns it. It returns
+// false when there is none.
 func (l *Ledger) Release(attempt string) (Reservation, bool) {
 	r := l.reservations[attempt]
 	if r == nil {
@@ -264,31 +290,33 @@
 	l.used = l.used.Sub(r.Size)
 	if r.Spread != "" {
 		key := spreadKey{r.Spread, w.Rack}
-		if l.spread[key]--; l.spread[key] <= 0 {
-			delete(l.spread, key)
+		if l.spreadCounts[key]--; l.spreadCounts[key] <= 0 {
+			delete(l.spreadCounts, key)
 		}
 	}
-	invariant.Check(!w.Used.IsNegative(), "negative_use", "worker %s: %v", w.Name, w.Used)
-	l.move(w)
-	l.noteGain(w)
-	held := *r
+	invariant.Check(!w.Used.IsNegative(), "negative_use", "worker %s: used %v", w.Name, w.Used)
+	l.updateIndex(w)
+	l.recordFreed(w)
+	released := *r
 	*r = Reservation{}
-	l.spare = append(l.spare, r)
-	return held, true
+	l.freeReservations = append(l.freeReservations, r)
+	return released, true
 }
 
-// Gains returns a counter that rises whenever a worker gains free room.
-func (l *Ledger) Gains() uint64 { return l.gainedCount }
+// FreedCount returns how many times the free capacity of a worker has
+// increased: because it was added, accepted tasks again, or lost a reservation.
+func (l *Ledger) FreedCount() uint64 { return l.freedCount }
 
-func (l *Ledger) noteGain(w *Worker) {
-	l.gained[l.gainedCount%gainedLength] = w
-	l.gainedCount++
+func (l *Ledger) recordFreed(w *Worker) {
+	l.freedRing[l.freedCount%freedRingSize] = w
+	l.freedCount++
 }
 
-// SpreadCount returns how many attempts of a spread group are on a rack.
+// SpreadCount returns how many attempts of a spread group are on a rack. It is
+// 0 for the empty group.
 func (l *Ledger) SpreadCount(group, rack string) int {
 	if group == "" {
 		return 0
 	}
-	return l.spread[spreadKey{group, rack}]
+	return l.spreadCounts[spreadKey{group, rack}]
 }
--- a/internal/decide/ledger/ledger_test.go
+++ b/internal/decide/ledger/ledger_test.go
@@ -19,10 +19,10 @@
 		attempt  string
 		expected ledger.Kind
 	}{
-		{"what does not fit", "w", "second", ledger.KindFull},
-		{"an attempt twice", "other", "first", ledger.KindDuplicate},
-		{"an unknown worker", "nobody", "second", ledger.KindUnknownWorker},
-		{"nothing else", "other", "second", ""},
+		{"size exceeds the free capacity", "w", "second", ledger.KindDoesNotFit},
+		{"attempt has a reservation", "other", "first", ledger.KindDuplicate},
+		{"unknown worker", "nobody", "second", ledger.KindUnknownWorker},
+		{"valid reservation", "other", "second", ""},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
--- a/internal/decide/ledger/search.go
+++ b/internal/decide/ledger/search.go
@@ -5,51 +5,54 @@
 // maxCandidates bounds how many fitting workers one search scores.
 const maxCandidates = 24
 
-// Scorer rates workers that fit; lower is better.
+// Scorer rates a worker that has enough free capacity. The lowest score is
+// best.
 type Scorer interface{ Score(w *Worker) float64 }
 
-// bucketOf places a worker by the scarcest of its free processors, memory and
-// slots, so that a search can begin at the tightest workers that may fit.
+// bucketOf returns the bucket of a worker by its smallest free fraction, so
+// that a search can begin with the fullest workers.
 func bucketOf(w *Worker) int {
-	return int(scarcest(w.Free(), w.Capacity) * (buckets - 1))
+	return int(smallestFreeFraction(w.Free(), w.Capacity) * (bucketCount - 1))
 }
 
-func scarcest(free, capacity resource.Vector) float64 {
-	f := 1.0
+// smallestFreeFraction returns the smallest free fraction of processors, memory
+// and slots, from 0 to 1. It ignores resources of which the capacity is 0.
+func smallestFreeFraction(free, capacity resource.Vector) float64 {
+	smallest := 1.0
 	if capacity.Milliprocessors > 0 {
-		f = min(f, float64(free.Milliprocessors)/float64(capacity.Milliprocessors))
+		smallest = min(smallest, float64(free.Milliprocessors)/float64(capacity.Milliprocessors))
 	}
 	if capacity.MemoryMebibytes > 0 {
-		f = min(f, float64(free.MemoryMebibytes)/float64(capacity.MemoryMebibytes))
+		smallest = min(smallest, float64(free.MemoryMebibytes)/float64(capacity.MemoryMebibytes))
 	}
 	if capacity.Slots > 0 {
-		f = min(f, float64(free.Slots)/float64(capacity.Slots))
+		smallest = min(smallest, float64(free.Slots)/float64(capacity.Slots))
 	}
-	return max(0, f)
+	return max(0, smallest)
 }
 
-// slot is a place in the index. The free room stands beside the worker so that
-// a search reads memory in order.
-type slot struct {
-	// free is what the worker can take; it fits nothing while the worker
-	// accepts no work.
+// indexEntry is a worker in the index. It holds a copy of the free capacity
+// next to the worker, so that a search reads memory sequentially.
+type indexEntry struct {
+	// free is noCapacity while the worker is not accepting tasks.
 	free   resource.Vector
 	worker *Worker
 }
 
-var nothing = resource.Vector{Milliprocessors: -1, MemoryMebibytes: -1, Accelerators: -1, Slots: -1, Connections: -1}
+// noCapacity is a free capacity that no size fits.
+var noCapacity = resource.Vector{Milliprocessors: -1, MemoryMebibytes: -1, Accelerators: -1, Slots: -1, Connections: -1}
 
-func slotOf(w *Worker) slot {
+func indexEntryOf(w *Worker) indexEntry {
 	if !w.Accepting {
-		return slot{nothing, w}
+		return indexEntry{noCapacity, w}
 	}
-	return slot{w.Free(), w}
+	return indexEntry{w.Free(), w}
 }
 
-func (l *Ledger) insert(w *Worker) {
+func (l *Ledger) insertIntoIndex(w *Worker) {
 	list := &l.index[w.group][w.bucket]
 	w.position = len(*list)
-	*list = append(*list, slotOf(w))
+	*list = append(*list, indexEntryOf(w))
 }
 
 func (l *Ledger) removeFromIndex(w *Worker) {
@@ -61,72 +64,75 @@
 	*list = (*list)[:last]
 }
 
-func (l *Ledger) move(w *Worker) {
+func (l *Ledger) updateIndex(w *Worker) {
 	b := bucketOf(w)
 	if b == w.bucket {
-		l.index[w.group][b][w.position] = slotOf(w)
+		l.index[w.group][b][w.position] = indexEntryOf(w)
 		return
 	}
 	l.removeFromIndex(w)
 	w.bucket = b
-	l.insert(w)
+	l.insertIntoIndex(w)
 }
 
-// Find returns the best-scored of the tightest workers that can hold a size,
-// or nil when none can. Workers with accelerators are the last resort for
-// work that needs none.
+// Find returns the worker with the lowest score among the first maxCandidates
+// with enough free capacity for a size, searching the fullest workers first. It
+// returns nil when the size fits no worker. Workers with accelerators are used
+// for a size without accelerators only if no other worker has enough free
+// capacity.
 func Find[S Scorer](l *Ledger, size resource.Vector, scorer S) *Worker {
-	if l.knownMiss(size) {
+	if l.isKnownMiss(size) {
 		return nil
 	}
 	var w *Worker
 	if size.Accelerators == 0 {
-		w = findIn(l, plainGroup, size, scorer)
+		w = findInGroup(l, generalGroup, size, scorer)
 	}
 	if w == nil {
-		w = findIn(l, acceleratorGroup, size, scorer)
+		w = findInGroup(l, acceleratorGroup, size, scorer)
 	}
 	if w == nil {
-		l.misses[l.missCount%missLength] = miss{size, l.gainedCount}
+		l.missRing[l.missCount%missRingSize] = miss{size, l.freedCount}
 		l.missCount++
 	}
 	return w
 }
 
-// miss remembers that a size fitted no worker when the gain counter had a
-// value.
+// miss records that a size fitted no worker when FreedCount returned the value
+// since.
 type miss struct {
 	size  resource.Vector
 	since uint64
 }
 
-// missLength is how many misses are remembered.
-const missLength = 8
+// missRingSize is the number of recent misses that are remembered.
+const missRingSize = 8
 
-// knownMiss reports whether a size can not fit, since one that is at most as
-// large did not, and no worker has gained enough room since. It saves the
-// search of a full fleet for each plan that waits.
-func (l *Ledger) knownMiss(size resource.Vector) bool {
-	for i := range min(missLength, l.missCount) {
-		m := &l.misses[i]
-		if m.size.Fits(size) && !l.GainedFits(m.since, size) {
+// isKnownMiss reports whether a size cannot fit because a size at most as large
+// fitted no worker before, and not enough capacity has been freed since. When
+// all workers are full, this avoids a search for each waiting plan.
+func (l *Ledger) isKnownMiss(size resource.Vector) bool {
+	for i := range min(missRingSize, l.missCount) {
+		m := &l.missRing[i]
+		if m.size.Fits(size) && !l.FitsFreed(m.since, size) {
 			return true
 		}
 	}
 	return false
 }
 
-func findIn[S Scorer](l *Ledger, group int, size resource.Vector, scorer S) *Worker {
+// findInGroup is Find for the workers of one accelerator group.
+func findInGroup[S Scorer](l *Ledger, group int, size resource.Vector, scorer S) *Worker {
 	var best *Worker
 	bestScore := 0.0
 	candidates := 0
-	for b := range buckets {
-		list := l.index[group][b]
-		for i := range list {
-			if !size.Fits(list[i].free) {
+	for b := range bucketCount {
+		entries := l.index[group][b]
+		for i := range entries {
+			if !size.Fits(entries[i].free) {
 				continue
 			}
-			w := list[i].worker
+			w := entries[i].worker
 			if s := scorer.Score(w); best == nil || s < bestScore {
 				best, bestScore = w, s
 			}
@@ -138,15 +144,16 @@
 	return best
 }
 
-// FindGained looks only at workers that gained room after a value of Gains. It
-// reports complete = false when so many did that a full search is needed.
-func FindGained[S Scorer](l *Ledger, since uint64, size resource.Vector, scorer S) (best *Worker, complete bool) {
-	if l.gainedCount-since > gainedLength {
+// FindFreed is Find restricted to workers whose free capacity has increased
+// since FreedCount returned the value since. It returns complete = false, and
+// Find is needed, when not all of these increases are remembered.
+func FindFreed[S Scorer](l *Ledger, since uint64, size resource.Vector, scorer S) (best *Worker, complete bool) {
+	if l.freedCount-since > freedRingSize {
 		return nil, false
 	}
 	bestScore := 0.0
-	for i := since; i < l.gainedCount; i++ {
-		w := l.gained[i%gainedLength]
+	for i := since; i < l.freedCount; i++ {
+		w := l.freedRing[i%freedRingSize]
 		if w == nil || !w.Accepting || !size.Fits(w.Free()) {
 			continue
 		}
@@ -157,14 +164,15 @@
 	return best, true
 }
 
-// GainedFits reports whether a size may fit a worker that gained room after a
-// value of Gains. It errs on the side of true.
-func (l *Ledger) GainedFits(since uint64, size resource.Vector) bool {
-	if l.gainedCount-since > gainedLength {
+// FitsFreed reports whether a size fits a worker whose free capacity has
+// increased since FreedCount returned the value since. It returns true when not
+// all of these increases are remembered.
+func (l *Ledger) FitsFreed(since uint64, size resource.Vector) bool {
+	if l.freedCount-since > freedRingSize {
 		return true
 	}
-	for i := since; i < l.gainedCount; i++ {
-		if w := l.gained[i%gainedLength]; w != nil && w.Accepting && size.Fits(w.Free()) {
+	for i := since; i < l.freedCount; i++ {
+		if w := l.freedRing[i%freedRingSize]; w != nil && w.Accepting && size.Fits(w.Free()) {
 			return true
 		}
 	}
--- a/internal/decide/placement/packing_test.go
+++ b/internal/decide/placement/packing_test.go
@@ -13,17 +13,17 @@
 )
 
 var (
-	snagWorker  = resource.Vector{Milliprocessors: 64000, MemoryMebibytes: 262144, Slots: 8, Connections: 64}
-	photoWorker = resource.Vector{Milliprocessors: 128000, MemoryMebibytes: 262144, Accelerators: 8, Slots: 8, Connections: 64}
+	cpuWorker         = resource.Vector{Milliprocessors: 64000, MemoryMebibytes: 262144, Slots: 8, Connections: 64}
+	acceleratorWorker = resource.Vector{Milliprocessors: 128000, MemoryMebibytes: 262144, Accelerators: 8, Slots: 8, Connections: 64}
 )
 
-// mix is a stream of sizes in fixed proportions.
-type mix struct {
+// taskMix is a set of task sizes that are drawn with equal probability.
+type taskMix struct {
 	name  string
 	sizes []resource.Vector
 }
 
-var mixes = []mix{
+var mixes = []taskMix{
 	{"balanced", []resource.Vector{
 		{Milliprocessors: 8000, MemoryMebibytes: 32768, Slots: 1, Connections: 1},
 		{Milliprocessors: 4000, MemoryMebibytes: 65536, Slots: 1, Connections: 1},
@@ -43,13 +43,15 @@
 	}},
 }
 
-func fleet() (*ledger.Ledger, []string) {
+// newFleet returns a ledger with 35 workers without accelerators and 13 with
+// accelerators, and their names.
+func newFleet() (*ledger.Ledger, []string) {
 	l := ledger.New()
 	var names []string
 	for i := range 48 {
-		name, capacity := fmt.Sprintf("snag-%02d", i), snagWorker
+		name, capacity := fmt.Sprintf("snag-%02d", i), cpuWorker
 		if i >= 35 {
-			name, capacity = fmt.Sprintf("photo-%02d", i), photoWorker
+			name, capacity = fmt.Sprintf("photo-%02d", i), acceleratorWorker
 		}
 		_ = l.AddWorker(name, fmt.Sprintf("rack-%d", i/5), capacity)
 		names = append(names, name)
@@ -57,9 +59,9 @@
 	return l, names
 }
 
-// bound is the number of tasks of a mix that the fleet could hold if tasks
-// could be cut into pieces: the scarcest resource limits it.
-func bound(total resource.Vector, m mix) float64 {
+// fractionalBound returns the number of tasks of a mix that would fit if tasks
+// could be split over workers. The scarcest resource limits it.
+func fractionalBound(total resource.Vector, m taskMix) float64 {
 	var sum resource.Vector
 	for _, s := range m.sizes {
 		sum = sum.Add(s)
@@ -67,9 +69,10 @@
 	return float64(len(m.sizes)) / sum.DominantFraction(total)
 }
 
-// hold keeps a fleet full in strict order of arrival: the next task waits until
-// random ends make room for it. It returns the mean number of running tasks.
-func hold(p placement.Policy, l *ledger.Ledger, m mix, seed uint64, steps int) float64 {
+// meanRunningWhenFull places tasks strictly in order of arrival: when a task
+// does not fit, randomly chosen running tasks end until it does. It returns the
+// mean number of running tasks over the second half of the steps.
+func meanRunningWhenFull(p placement.Policy, l *ledger.Ledger, m taskMix, seed uint64, steps int) float64 {
 	random := rand.New(rand.NewPCG(seed, seed))
 	var running []string
 	sum := 0
@@ -96,21 +99,21 @@
 	return float64(sum) / float64(steps-steps/2)
 }
 
-// BenchmarkPacking reports how many tasks each policy keeps running, as a
-// fraction of the fractional bound.
+// BenchmarkPacking reports how many tasks each policy keeps running, relative
+// to fractionalBound.
 func BenchmarkPacking(b *testing.B) {
 	for _, m := range mixes {
 		for _, name := range []string{"balanced", "first_fit", "best_fit", "random_two"} {
 			b.Run(m.name+"/"+name, func(b *testing.B) {
 				sum, n := 0.0, 0
 				for b.Loop() {
-					l, names := fleet()
+					l, names := newFleet()
 					policies := map[string]placement.Policy{
 						"balanced": placement.Balanced{}, "first_fit": placement.FirstFit{Order: names},
 						"best_fit":   placement.BestFit{Order: names},
 						"random_two": placement.RandomTwo{Order: names, Random: rand.New(rand.NewPCG(uint64(n), 7))},
 					}
-					sum += hold(policies[name], l, m, uint64(n+1), 4000) / bound(l.Total(), m)
+					sum += meanRunningWhenFull(policies[name], l, m, uint64(n+1), 4000) / fractionalBound(l.Total(), m)
 					n++
 				}
 				b.ReportMetric(sum/float64(n), "of-bound")
@@ -124,15 +127,15 @@
 	m.Run()
 }
 
-func TestPoliciesNeverOverfill(t *testing.T) {
+func TestPoliciesNeverExceedCapacity(t *testing.T) {
 	for _, m := range mixes {
-		_, names := fleet()
+		_, names := newFleet()
 		for _, p := range []placement.Policy{placement.Balanced{}, placement.BestFit{Order: names}, placement.FirstFit{Order: names}} {
-			l, _ := fleet()
-			hold(p, l, m, 1, 1000)
+			l, _ := newFleet()
+			meanRunningWhenFull(p, l, m, 1, 1000)
 			l.Workers(func(w *ledger.Worker) {
 				if !w.Used.Fits(w.Capacity) {
-					t.Errorf("%s: worker %s holds %v of %v", m.name, w.Name, w.Used, w.Capacity)
+					t.Errorf("%s: worker %s uses %v of %v", m.name, w.Name, w.Used, w.Capacity)
 				}
 			})
 		}
@@ -140,7 +143,7 @@
 }
 
 func TestSpreadPrefersOtherRacks(t *testing.T) {
-	l, _ := fleet()
+	l, _ := newFleet()
 	size := resource.Vector{Milliprocessors: 1000, MemoryMebibytes: 1024, Slots: 1}
 	racks := map[string]int{}
 	for i := range 5 {
@@ -149,6 +152,6 @@
 		racks[w.Rack]++
 	}
 	if len(racks) < 4 {
-		t.Fatalf("5 tasks are on %d racks", len(racks))
+		t.Fatalf("5 tasks run on only %d racks", len(racks))
 	}
 }
--- a/internal/decide/placement/policy.go
+++ b/internal/decide/placement/policy.go
@@ -1,4 +1,4 @@
-// Package placement holds the policies that choose among workers with room.
+// Package placement holds the policies that choose a worker for a task.
 package placement
 
 import (
@@ -8,22 +8,27 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// Policy chooses a worker for a size, or nil when none has room. A policy
-// never chooses a worker on which the size does not fit.
+// Policy chooses a worker for a size, or returns nil when it finds none with
+// enough free capacity. spread names a group of attempts that should run on
+// different racks; it may be empty.
 type Policy interface {
 	Choose(l *ledger.Ledger, size resource.Vector, spread string) *ledger.Worker
-	// ChooseGained is Choose among the workers that gained room since a value
-	// of Ledger.Gains; complete is false when a full search is needed.
-	ChooseGained(l *ledger.Ledger, since uint64, size resource.Vector, spread string) (w *ledger.Worker, complete bool)
+	// ChooseFreed is Choose restricted to workers whose free capacity has
+	// increased since Ledger.FreedCount returned the value since. It returns
+	// complete = false when the policy cannot do this and Choose is needed.
+	ChooseFreed(l *ledger.Ledger, since uint64, size resource.Vector, spread string) (w *ledger.Worker, complete bool)
 }
 
-// spreadPenalty outweighs every difference in packing.
+// spreadPenalty is added to the score of a worker for each attempt of the
+// spread group on its rack. It is larger than any difference in packing, which
+// is at most 1.
 const spreadPenalty = 4.0
 
-// Balanced prefers the worker on which the largest fraction of any resource that
-// is left over is smallest, so that tight workers are filled and no resource is
-// stranded. Attempts of one spread group go to different racks where there is
-// room.
+// Balanced chooses the worker on which the largest free fraction of any
+// resource is smallest after placement. This fills up workers that are nearly
+// full and avoids free capacity that no task can use because another resource
+// has run out. Attempts of one spread group are placed on different racks if
+// possible.
 type Balanced struct{}
 
 // Choose implements Policy.
@@ -31,9 +36,9 @@
 	return ledger.Find(l, size, balancedScorer{l, size, spread})
 }
 
-// ChooseGained implements Policy.
-func (Balanced) ChooseGained(l *ledger.Ledger, since uint64, size resource.Vector, spread string) (*ledger.Worker, bool) {
-	return ledger.FindGained(l, since, size, balancedScorer{l, size, spread})
+// ChooseFreed implements Policy.
+func (Balanced) ChooseFreed(l *ledger.Ledger, since uint64, size resource.Vector, spread string) (*ledger.Worker, bool) {
+	return ledger.FindFreed(l, since, size, balancedScorer{l, size, spread})
 }
 
 type balancedScorer struct {
@@ -44,29 +49,29 @@
 
 // Score implements ledger.Scorer.
 func (b balancedScorer) Score(w *ledger.Worker) float64 {
-	return largestLeft(w.Free().Sub(b.size), w.Capacity) + spreadPenalty*float64(b.ledger.SpreadCount(b.spread, w.Rack))
+	return largestFreeFraction(w.Free().Sub(b.size), w.Capacity) + spreadPenalty*float64(b.ledger.SpreadCount(b.spread, w.Rack))
 }
 
-// largestLeft returns the largest fraction of processors, memory, slots and
-// accelerators that is left.
-func largestLeft(left, capacity resource.Vector) float64 {
+// largestFreeFraction returns the largest free fraction of processors, memory,
+// slots and accelerators. It ignores resources of which the capacity is 0.
+func largestFreeFraction(free, capacity resource.Vector) float64 {
 	largest := 0.0
-	add := func(left, capacity int64) {
+	consider := func(free, capacity int64) {
 		if capacity > 0 {
-			largest = max(largest, float64(left)/float64(capacity))
+			largest = max(largest, float64(free)/float64(capacity))
 		}
 	}
-	add(left.Milliprocessors, capacity.Milliprocessors)
-	add(left.MemoryMebibytes, capacity.MemoryMebibytes)
-	add(left.Slots, capacity.Slots)
-	add(left.Accelerators, capacity.Accelerators)
+	consider(free.Milliprocessors, capacity.Milliprocessors)
+	consider(free.MemoryMebibytes, capacity.MemoryMebibytes)
+	consider(free.Slots, capacity.Slots)
+	consider(free.Accelerators, capacity.Accelerators)
 	return largest
 }
 
-// FirstFit chooses the first worker in name order that has room. It is a
-// baseline.
+// FirstFit chooses the first worker in Order with enough free capacity. It is a
+// baseline for benchmarks.
 type FirstFit struct {
-	// Order lists the worker names.
+	// Order lists the worker names in the order in which they are tried.
 	Order []string
 }
 
@@ -80,42 +85,44 @@
 	return nil
 }
 
-// ChooseGained implements Policy.
-func (FirstFit) ChooseGained(*ledger.Ledger, uint64, resource.Vector, string) (*ledger.Worker, bool) {
+// ChooseFreed implements Policy.
+func (FirstFit) ChooseFreed(*ledger.Ledger, uint64, resource.Vector, string) (*ledger.Worker, bool) {
 	return nil, false
 }
 
-// BestFit chooses the worker with the least room of the dominant resource left
-// among all workers. It is a baseline.
+// BestFit chooses, of all workers, the one with the smallest free fraction of
+// its dominant resource after placement. It is a baseline for benchmarks.
 type BestFit struct {
-	// Order lists the worker names.
+	// Order lists the worker names. Of equally good workers, the first is
+	// chosen.
 	Order []string
 }
 
 // Choose implements Policy.
 func (b BestFit) Choose(l *ledger.Ledger, size resource.Vector, _ string) *ledger.Worker {
 	var best *ledger.Worker
-	bestLeft := 0.0
+	bestRemaining := 0.0
 	for _, name := range b.Order {
 		w := l.Worker(name)
 		if w == nil || !w.Accepting || !size.Fits(w.Free()) {
 			continue
 		}
-		if left := w.Free().Sub(size).DominantFraction(w.Capacity); best == nil || left < bestLeft {
-			best, bestLeft = w, left
+		if remaining := w.Free().Sub(size).DominantFraction(w.Capacity); best == nil || remaining < bestRemaining {
+			best, bestRemaining = w, remaining
 		}
 	}
 	return best
 }
 
-// ChooseGained implements Policy.
-func (BestFit) ChooseGained(*ledger.Ledger, uint64, resource.Vector, string) (*ledger.Worker, bool) {
+// ChooseFreed implements Policy.
+func (BestFit) ChooseFreed(*ledger.Ledger, uint64, resource.Vector, string) (*ledger.Worker, bool) {
 	return nil, false
 }
 
-// RandomTwo draws two workers at random and chooses the emptier one with room.
-// It is a baseline.
+// RandomTwo draws two workers at random and chooses the emptier of those with
+// enough free capacity. It is a baseline for benchmarks.
 type RandomTwo struct {
+	// Order lists the worker names.
 	Order  []string
 	Random *rand.Rand
 }
@@ -135,7 +142,7 @@
 	return best
 }
 
-// ChooseGained implements Policy.
-func (RandomTwo) ChooseGained(*ledger.Ledger, uint64, resource.Vector, string) (*ledger.Worker, bool) {
+// ChooseFreed implements Policy.
+func (RandomTwo) ChooseFreed(*ledger.Ledger, uint64, resource.Vector, string) (*ledger.Worker, bool) {
 	return nil, false
 }
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -1,5 +1,8 @@
-// Package share orders plans by weighted dominant-resource fairness over their
-// promised shares of a pool.
+// Package share tracks how much of a pool of workers each plan uses. It
+// implements weighted dominant resource fairness: the dominant share of a plan
+// is the largest fraction that it uses of any resource, and its weighted share
+// is the dominant share divided by its promised share. The allocator serves the
+// plan with the smallest weighted share first, other things being equal.
 package share
 
 import (
@@ -8,101 +11,110 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// Account is what one plan uses of the pool.
+// Account holds what one plan uses of the pool, its promised share and its
+// limit.
 type Account struct {
 	Plan     string
 	Customer string
-	// Promised is the promised fraction of the pool, above 0.
+	// Promised is the fraction of the pool that the plan is promised, above 0.
 	Promised float64
-	// Limit is the fraction that the plan never exceeds.
+	// Limit is the largest fraction of the pool that the plan may use.
 	Limit float64
-	// Used is never negative.
-	Used  resource.Vector
-	total *resource.Vector
-	group *customer
-	// fill is Used over the promise; it is kept up to date since it is read far
-	// more often than it changes.
-	fill float64
+	// Used is the sum of the sizes of all tasks with a reservation. It is never
+	// negative.
+	Used resource.Vector
+	// total is the capacity of the pool.
+	total    *resource.Vector
+	customer *customerTotals
+	// weightedShare is updated on every change, since it is read far more often
+	// than it changes.
+	weightedShare float64
 }
 
-type customer struct {
-	promised float64
-	used     resource.Vector
-	fill     float64
+// customerTotals sums the accounts of the plans of one customer.
+type customerTotals struct {
+	promised      float64
+	used          resource.Vector
+	weightedShare float64
 }
 
-func (a *Account) update() {
-	a.fill = a.Used.DominantFraction(*a.total) / a.Promised
-	a.group.fill = a.group.used.DominantFraction(*a.total) / a.group.promised
+func (a *Account) updateShares() {
+	a.weightedShare = a.Used.DominantFraction(*a.total) / a.Promised
+	a.customer.weightedShare = a.customer.used.DominantFraction(*a.total) / a.customer.promised
 }
 
-// Fill returns the plan's dominant share over its promise: below 1 the plan
-// has not got what it was promised, above 1 it uses lent capacity.
-func (a *Account) Fill() float64 { return a.fill }
+// Fill returns the weighted share of the plan. Below 1 the plan uses less than
+// it was promised, above 1 it borrows capacity.
+func (a *Account) Fill() float64 { return a.weightedShare }
 
-// CustomerFill is Fill of the plan's customer over the sum of its promises.
-func (a *Account) CustomerFill() float64 { return a.group.fill }
+// CustomerWeightedShare returns the weighted share of the customer: the dominant share
+// of all its plans together, divided by the sum of their promised shares.
+func (a *Account) CustomerWeightedShare() float64 { return a.customer.weightedShare }
 
-// Permits reports whether the plan stays within its limit with one more task.
-// A plan without any use may always run one task.
+// Permits reports whether the plan stays within its limit when it starts one
+// more task of this size. A plan that uses nothing may always start one.
 func (a *Account) Permits(size resource.Vector) bool {
-	return a.Used.IsZero() || a.Used.Add(size).DominantFraction(*a.total) <= a.Limit+limitSlack
+	return a.Used.IsZero() || a.Used.Add(size).DominantFraction(*a.total) <= a.Limit+limitTolerance
 }
 
-// limitSlack absorbs rounding.
-const limitSlack = 1e-9
+// limitTolerance absorbs rounding errors in the comparison of shares.
+const limitTolerance = 1e-9
 
-// Accounts holds the accounts of all plans over one pool.
+// Accounts holds the accounts of all plans that use one pool.
 type Accounts struct {
 	total     resource.Vector
 	plans     map[string]*Account
-	customers map[string]*customer
+	customers map[string]*customerTotals
 }
 
-// New returns accounts over an empty pool.
+// New returns the accounts of a pool without capacity.
 func New() *Accounts {
-	return &Accounts{plans: map[string]*Account{}, customers: map[string]*customer{}}
+	return &Accounts{plans: map[string]*Account{}, customers: map[string]*customerTotals{}}
 }
 
-// unknownPromise is the share of work whose plan the lists do not name any
-// more: it keeps running but is the first to be lent against.
-const unknownPromise = 1e-6
+// unlistedPlanShare is the promised share and limit of plans that are not in
+// the configuration, such as a removed plan with running tasks. It is so small
+// that any use is above it: the tasks keep running, but any plan below its
+// promised share may preempt them.
+const unlistedPlanShare = 1e-6
 
-// SetPlans takes over the promises of a configuration. Use is kept.
-func (s *Accounts) SetPlans(x *plan.Index) {
-	s.customers = map[string]*customer{}
+// SetPlans replaces the promised shares and limits of all plans. It does not
+// change what the plans use.
+func (s *Accounts) SetPlans(plans *plan.Index) {
+	s.customers = map[string]*customerTotals{}
 	for _, a := range s.plans {
-		a.Promised, a.Limit = unknownPromise, unknownPromise
+		a.Promised, a.Limit = unlistedPlanShare, unlistedPlanShare
 	}
-	x.Entitlements(func(c string, e plan.Entitlement) {
+	plans.Entitlements(func(customerName string, e plan.Entitlement) {
 		a := s.plans[e.Plan]
 		if a == nil {
 			a = &Account{Plan: e.Plan, total: &s.total}
 			s.plans[e.Plan] = a
 		}
-		a.Customer, a.Promised, a.Limit = c, e.PromisedShare, e.LimitShare
+		a.Customer, a.Promised, a.Limit = customerName, e.PromisedShare, e.LimitShare
 	})
 	for _, a := range s.plans {
-		s.join(a)
+		s.addToCustomer(a)
 	}
 	s.updateAll()
 }
 
 func (s *Accounts) updateAll() {
 	for _, a := range s.plans {
-		a.update()
+		a.updateShares()
 	}
 }
 
-func (s *Accounts) join(a *Account) {
-	g := s.customers[a.Customer]
-	if g == nil {
-		g = &customer{}
-		s.customers[a.Customer] = g
+// addToCustomer adds a plan to the totals of its customer.
+func (s *Accounts) addToCustomer(a *Account) {
+	totals := s.customers[a.Customer]
+	if totals == nil {
+		totals = &customerTotals{}
+		s.customers[a.Customer] = totals
 	}
-	g.promised += a.Promised
-	g.used = g.used.Add(a.Used)
-	a.group = g
+	totals.promised += a.Promised
+	totals.used = totals.used.Add(a.Used)
+	a.customer = totals
 }
 
 // SetTotal sets the capacity of the pool.
@@ -111,33 +123,34 @@
 	s.updateAll()
 }
 
-// Account returns the account of a plan; a plan that no list names gets one
-// with a vanishing promise.
+// Account returns the account of a plan. It creates one with unlistedPlanShare
+// when the plan is not in the configuration.
 func (s *Accounts) Account(name string) *Account {
 	a := s.plans[name]
 	if a == nil {
-		a = &Account{Plan: name, Promised: unknownPromise, Limit: unknownPromise, total: &s.total}
+		a = &Account{Plan: name, Promised: unlistedPlanShare, Limit: unlistedPlanShare, total: &s.total}
 		s.plans[name] = a
-		s.join(a)
+		s.addToCustomer(a)
 	}
 	return a
 }
 
-// Charge adds the size of a task that takes room.
+// Charge adds the size of a task to the use of its plan.
 func (s *Accounts) Charge(name string, size resource.Vector) {
 	a := s.Account(name)
 	a.Used = a.Used.Add(size)
-	a.group.used = a.group.used.Add(size)
-	a.update()
+	a.customer.used = a.customer.used.Add(size)
+	a.updateShares()
 }
 
-// Refund takes back a Charge.
+// Refund subtracts the size of a task from the use of its plan, to which Charge
+// added it.
 func (s *Accounts) Refund(name string, size resource.Vector) {
 	a := s.Account(name)
 	a.Used = a.Used.Sub(size)
-	a.group.used = a.group.used.Sub(size)
-	a.update()
-	invariant.Check(!a.Used.IsNegative(), "negative_share", "plan %s: %v", name, a.Used)
+	a.customer.used = a.customer.used.Sub(size)
+	a.updateShares()
+	invariant.Check(!a.Used.IsNegative(), "negative_share", "plan %s: used %v", name, a.Used)
 }
 
 // Each calls f for every account in no fixed order.
