--- a/internal/decide/allocator/allocator.go
+++ b/internal/decide/allocator/allocator.go
@@ -22,17 +22,33 @@
 
 // The kinds of Error. Callers get them as the reason why a task was not run.
 const (
-	KindUnknownPlan  Kind = "unknown_plan"
-	KindClass        Kind = "class_not_allowed"
-	KindTooLarge     Kind = "fits_no_worker"
-	KindPlanLimit    Kind = "above_plan_limit"
-	KindQueueFull    Kind = "queue_full"
-	KindHopeless     Kind = "deadline_hopeless"
-	KindDuplicate    Kind = "duplicate_attempt"
-	KindNoWorkers    Kind = "no_workers"
-	KindShed         Kind = "shed"
+	KindUnknownPlan Kind = "unknown_plan"
+	KindClass       Kind = "class_not_allowed"
+	// KindTooLarge means that the task would fit no worker even if it were
+	// empty.
+	KindTooLarge Kind = "fits_no_worker"
+	// KindPlanLimit means that the task is larger than its plan allows for one
+	// task.
+	KindPlanLimit Kind = "above_plan_limit"
+	// KindQueueFull means that too many tasks of the plan and class, or of all
+	// plans together, are waiting.
+	KindQueueFull Kind = "queue_full"
+	// KindHopeless means that the task cannot complete by its deadline even if
+	// it starts now.
+	KindHopeless Kind = "deadline_hopeless"
+	// KindDuplicate means that the attempt is already waiting or running.
+	KindDuplicate Kind = "duplicate_attempt"
+	// KindNoWorkers means that the entry VM has no workers, or none left that
+	// the task fits.
+	KindNoWorkers Kind = "no_workers"
+	// KindShed means that a waiting task was dropped in favour of a more urgent
+	// one.
+	KindShed Kind = "shed"
+	// KindDeadlineOver means that the task waited too long, for its deadline or
+	// for Limits.UrgentWait.
 	KindDeadlineOver Kind = "deadline_over"
-	KindDraining     Kind = "draining"
+	// KindDraining means that the entry VM no longer accepts tasks.
+	KindDraining Kind = "draining"
 )
 
 // Error is the error type of this package.
@@ -224,9 +240,9 @@
 	return attempts
 }
 
-// Unplaceable drops and returns the waiting tasks that would not fit any worker
-// even if it were empty. This happens when the workers that they would have
-// fitted are removed.
+// Unplaceable drops and returns the waiting tasks that would fit no worker even
+// if it were empty. This happens when the only workers that they fit are
+// removed.
 func (a *Allocator) Unplaceable() []Refusal {
 	var out []Refusal
 	for _, i := range a.waitingItems {
@@ -289,8 +305,8 @@
 	return shed, nil
 }
 
-// admit returns the queues of the plan of a task, or an error with the reason
-// for refusing the task.
+// admit returns the queues of the task's plan, or an error with the reason for
+// refusing the task.
 func (a *Allocator) admit(now time.Time, t *Task) (*planQueues, error) {
 	refuse := func(k Kind, format string, args ...any) (*planQueues, error) {
 		return nil, fault.Newf("enqueue", k, format, args...)
--- a/internal/decide/allocator/allocator_test.go
+++ b/internal/decide/allocator/allocator_test.go
@@ -19,9 +19,9 @@
 func TestMain(m *testing.M) { seeded.Main(m, 300) }
 
 var (
-	begin    = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	capacity = resource.Vector{Milliprocessors: 8000, MemoryMebibytes: 8192, Slots: 8, Connections: 64}
-	unitSize = resource.Vector{Milliprocessors: 1000, MemoryMebibytes: 1024, Slots: 1, Connections: 1}
+	startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	capacity  = resource.Vector{Milliprocessors: 8000, MemoryMebibytes: 8192, Slots: 8, Connections: 64}
+	unitSize  = resource.Vector{Milliprocessors: 1000, MemoryMebibytes: 1024, Slots: 1, Connections: 1}
 )
 
 func entitlement(name string, promised float64) plan.Entitlement {
@@ -98,7 +98,7 @@
 		{"larger than every worker", func(k *allocator.Task) { k.Size.Milliprocessors = 9000 }, allocator.KindTooLarge},
 		{"accelerator that no worker has", func(k *allocator.Task) { k.Size.Accelerators = 1 }, allocator.KindTooLarge},
 		{"above the plan's limit", func(k *allocator.Task) { k.Size = unitSize }, allocator.KindPlanLimit},
-		{"deadline before the task can complete", func(k *allocator.Task) { k.Deadline = begin.Add(time.Millisecond) }, allocator.KindHopeless},
+		{"deadline before the task can complete", func(k *allocator.Task) { k.Deadline = startTime.Add(time.Millisecond) }, allocator.KindHopeless},
 		{"duplicate attempt", func(k *allocator.Task) { k.Attempt = "first" }, allocator.KindDuplicate},
 		{"full queue", func(*allocator.Task) {}, allocator.KindQueueFull},
 	}
@@ -108,11 +108,11 @@
 			a := newAllocator(t, 1, limited)
 			first := task("first", "limited", plan.Normal)
 			first.Size = limited.MaxTask
-			enqueue(t, a, begin, first)
+			enqueue(t, a, startTime, first)
 			k := task("second", "limited", plan.Normal)
 			k.Size = limited.MaxTask
 			s.change(k)
-			_, err := a.Enqueue(begin, k)
+			_, err := a.Enqueue(startTime, k)
 			is.Equal(fault.KindOf[allocator.Kind](err), s.expected)
 			is.Equal(a.Waiting(), 1)
 		})
@@ -123,14 +123,14 @@
 	is := is.New(t)
 	a := newAllocator(t, 2, entitlement("lender", 0.5), entitlement("borrower", 0.25))
 	for i := range 40 {
-		enqueue(t, a, begin, task(fmt.Sprintf("b%d", i), "borrower", plan.Overnight))
+		enqueue(t, a, startTime, task(fmt.Sprintf("b%d", i), "borrower", plan.Overnight))
 	}
-	is.Equal(len(startAll(a, begin)), 16)
+	is.Equal(len(startAll(a, startTime)), 16)
 	for i := range 12 {
-		enqueue(t, a, begin, task(fmt.Sprintf("l%d", i), "lender", plan.Normal))
+		enqueue(t, a, startTime, task(fmt.Sprintf("l%d", i), "lender", plan.Normal))
 	}
 	for range 20 {
-		startAll(a, begin)
+		startAll(a, startTime)
 		for _, p := range a.Reclaim() {
 			is.Equal(p.For, "lender")
 			a.Release(p.Attempt)
@@ -144,14 +144,14 @@
 	is := is.New(t)
 	a := newAllocator(t, 4, entitlement("calm", 0.25), entitlement("flood", 0.25))
 	for i := range 500 {
-		enqueue(t, a, begin, task(fmt.Sprintf("f%d", i), "flood", plan.Urgent))
+		enqueue(t, a, startTime, task(fmt.Sprintf("f%d", i), "flood", plan.Urgent))
 	}
-	startAll(a, begin)
+	startAll(a, startTime)
 	for i := range 8 {
-		enqueue(t, a, begin, task(fmt.Sprintf("c%d", i), "calm", plan.Overnight))
+		enqueue(t, a, startTime, task(fmt.Sprintf("c%d", i), "calm", plan.Overnight))
 	}
 	for range 20 {
-		startAll(a, begin)
+		startAll(a, startTime)
 		for _, p := range a.Reclaim() {
 			a.Release(p.Attempt)
 		}
@@ -163,16 +163,16 @@
 	is := is.New(t)
 	a := newAllocator(t, 1, entitlement("only", 1))
 	for i := range 20 {
-		enqueue(t, a, begin, task(fmt.Sprintf("o%d", i), "only", plan.Overnight))
+		enqueue(t, a, startTime, task(fmt.Sprintf("o%d", i), "only", plan.Overnight))
 	}
-	is.Equal(len(startAll(a, begin)), 8)
-	enqueue(t, a, begin, task("u", "only", plan.Urgent))
-	is.Equal(len(startAll(a, begin)), 0)
+	is.Equal(len(startAll(a, startTime)), 8)
+	enqueue(t, a, startTime, task("u", "only", plan.Urgent))
+	is.Equal(len(startAll(a, startTime)), 0)
 	victims := a.Reclaim()
 	is.Equal(len(victims), 1)
 	is.Equal(len(a.Reclaim()), 0)
 	a.Release(victims[0].Attempt)
-	started := startAll(a, begin)
+	started := startAll(a, startTime)
 	is.Equal(len(started), 1)
 	is.Equal(started[0].Task.Attempt, "u")
 }
@@ -182,11 +182,11 @@
 	a := allocator.New(placement.Balanced{}, allocator.Limits{Waiting: 2})
 	a.SetPlans(planIndex(t, entitlement("p", 1)))
 	is.NoErr(a.AddWorker("w", "r", capacity, nil))
-	enqueue(t, a, begin, task("n", "p", plan.Normal), task("o", "p", plan.Overnight))
-	shed, err := a.Enqueue(begin, task("u", "p", plan.Urgent))
+	enqueue(t, a, startTime, task("n", "p", plan.Normal), task("o", "p", plan.Overnight))
+	shed, err := a.Enqueue(startTime, task("u", "p", plan.Urgent))
 	is.NoErr(err)
 	is.Equal(shed.Task.Attempt, "o")
-	_, err = a.Enqueue(begin, task("o2", "p", plan.Overnight))
+	_, err = a.Enqueue(startTime, task("o2", "p", plan.Overnight))
 	is.Equal(fault.KindOf[allocator.Kind](err), allocator.KindQueueFull)
 }
 
@@ -194,10 +194,10 @@
 	is := is.New(t)
 	a := newAllocator(t, 1, entitlement("p", 1))
 	a.SetAccepting("w0", false)
-	enqueue(t, a, begin, task("a", "p", plan.Urgent))
-	is.Equal(len(startAll(a, begin)), 0)
+	enqueue(t, a, startTime, task("a", "p", plan.Urgent))
+	is.Equal(len(startAll(a, startTime)), 0)
 	a.SetAccepting("w0", true)
-	is.Equal(len(startAll(a, begin)), 1)
+	is.Equal(len(startAll(a, startTime)), 1)
 }
 
 // TestRandomHistory runs random operations and compares the allocator with a
@@ -209,7 +209,7 @@
 		running := map[string]string{}
 		waiting := map[string]bool{}
 		names := []string{"a", "b", "c"}
-		now := begin
+		now := startTime
 		lastAttempt := 0
 		for range rapid.IntRange(10, 150).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(rt, "pause")) * time.Millisecond)
@@ -299,9 +299,9 @@
 	for i := range 3 {
 		k := task(fmt.Sprint(i), "p", plan.Normal)
 		k.Size.Accelerators = 1
-		enqueue(t, a, begin, k)
+		enqueue(t, a, startTime, k)
 	}
-	is.Equal(len(startAll(a, begin)), 1)
+	is.Equal(len(startAll(a, startTime)), 1)
 	is.Equal(len(a.RemoveWorker("gpu")), 1)
 	is.Equal(len(a.Unplaceable()), 2)
 	is.Equal(a.Waiting(), 0)
@@ -316,14 +316,14 @@
 	small.Size = resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 1, Slots: 1}
 	filler := task("filler", "other", plan.Normal)
 	filler.Size = resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 8190, Slots: 7}
-	enqueue(t, a, begin, small)
-	first := startAll(a, begin)
-	enqueue(t, a, begin, filler)
-	is.Equal(startAll(a, begin)[0].Worker, first[0].Worker)
+	enqueue(t, a, startTime, small)
+	first := startAll(a, startTime)
+	enqueue(t, a, startTime, filler)
+	is.Equal(startAll(a, startTime)[0].Worker, first[0].Worker)
 	large := task("large", "limited", plan.Normal)
 	large.Size = resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 100, Slots: 1}
-	enqueue(t, a, begin, large)
-	is.Equal(len(startAll(a, begin)), 0)
+	enqueue(t, a, startTime, large)
+	is.Equal(len(startAll(a, startTime)), 0)
 	a.Release("small")
-	is.Equal(len(startAll(a, begin)), 1)
+	is.Equal(len(startAll(a, startTime)), 1)
 }
--- a/internal/decide/allocator/bench_test.go
+++ b/internal/decide/allocator/bench_test.go
@@ -49,24 +49,24 @@
 	}
 	var running []string
 	for len(running) < targetRunning {
-		enqueue(b, a, begin, newTask())
-		if d, ok := a.Next(begin); ok {
+		enqueue(b, a, startTime, newTask())
+		if d, ok := a.Next(startTime); ok {
 			running = append(running, d.Task.Attempt)
 		} else {
 			break
 		}
 	}
 	for range 1000 {
-		enqueue(b, a, begin, newTask())
+		enqueue(b, a, startTime, newTask())
 	}
 	var times []time.Duration
 	b.ReportAllocs()
 	for b.Loop() {
 		i := random.IntN(len(running))
 		a.Release(running[i])
-		enqueue(b, a, begin, newTask())
+		enqueue(b, a, startTime, newTask())
 		started := time.Now()
-		d, ok := a.Next(begin)
+		d, ok := a.Next(startTime)
 		times = append(times, time.Since(started))
 		if ok {
 			running[i] = d.Task.Attempt
--- a/internal/decide/ejection/ejection.go
+++ b/internal/decide/ejection/ejection.go
@@ -1,7 +1,7 @@
 // Package ejection stops giving tasks to a worker on which tasks fail that
-// succeed on other workers. Each worker has a circuit breaker: after a backoff
-// the worker gets one task as a probe. The package does no I/O and is not safe
-// for concurrent use.
+// succeed on other workers. Each worker has a circuit breaker, which allows one
+// task as a probe after a backoff. The package does no I/O and is not safe for
+// concurrent use.
 package ejection
 
 import "time"
--- a/internal/decide/ejection/ejection_test.go
+++ b/internal/decide/ejection/ejection_test.go
@@ -10,7 +10,7 @@
 	"github.com/almondpost/almondpost/internal/decide/ejection"
 )
 
-var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // healthyFleet returns a tracker of n workers on which a task of kind "sort"
 // has succeeded.
@@ -18,14 +18,14 @@
 	t := ejection.New()
 	for i := range n {
 		t.Add(fmt.Sprintf("w%d", i))
-		t.Outcome(begin, fmt.Sprintf("w%d", i), "sort", true)
+		t.Outcome(startTime, fmt.Sprintf("w%d", i), "sort", true)
 	}
 	return t
 }
 
 func recordFailures(t *ejection.Tracker, name string, times int) {
 	for range times {
-		t.Outcome(begin, name, "sort", false)
+		t.Outcome(startTime, name, "sort", false)
 	}
 }
 
@@ -33,8 +33,8 @@
 	is := is.New(t)
 	f := healthyFleet(5)
 	recordFailures(f, "w0", 4)
-	is.True(!f.Allows(begin, "w0"))
-	later := begin.Add(5 * time.Second)
+	is.True(!f.Allows(startTime, "w0"))
+	later := startTime.Add(5 * time.Second)
 	is.True(f.Allows(later, "w0"))
 	f.Started("w0")
 	is.True(!f.Allows(later, "w0"))
@@ -46,7 +46,7 @@
 	is := is.New(t)
 	f := healthyFleet(5)
 	recordFailures(f, "w0", 4)
-	probe := begin.Add(5 * time.Second)
+	probe := startTime.Add(5 * time.Second)
 	is.True(f.Allows(probe, "w0"))
 	f.Started("w0")
 	f.Outcome(probe, "w0", "sort", false)
@@ -62,11 +62,11 @@
 	}
 	for range 20 {
 		for i := range 5 {
-			f.Outcome(begin, fmt.Sprintf("w%d", i), "broken", false)
+			f.Outcome(startTime, fmt.Sprintf("w%d", i), "broken", false)
 		}
 	}
 	for i := range 5 {
-		is.True(f.Allows(begin, fmt.Sprintf("w%d", i)))
+		is.True(f.Allows(startTime, fmt.Sprintf("w%d", i)))
 	}
 }
 
@@ -78,7 +78,7 @@
 	}
 	ejected := 0
 	for i := range 6 {
-		if !f.Allows(begin, fmt.Sprintf("w%d", i)) {
+		if !f.Allows(startTime, fmt.Sprintf("w%d", i)) {
 			ejected++
 		}
 	}
--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/ledger/ledger.go
@@ -304,7 +304,8 @@
 }
 
 // FreedCount returns how many times the free capacity of a worker has
-// increased: because it was added, accepted tasks again, or lost a reservation.
+// increased: because the worker was added, accepted tasks again, or lost a
+// reservation.
 func (l *Ledger) FreedCount() uint64 { return l.freedCount }
 
 func (l *Ledger) recordFreed(w *Worker) {
--- a/internal/decide/ledger/search.go
+++ b/internal/decide/ledger/search.go
@@ -64,6 +64,8 @@
 	*list = (*list)[:last]
 }
 
+// updateIndex updates the index entry of a worker after its free capacity or
+// Accepting has changed.
 func (l *Ledger) updateIndex(w *Worker) {
 	b := bucketOf(w)
 	if b == w.bucket {
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -24,8 +24,8 @@
 	// negative.
 	Used resource.Vector
 	// total is the capacity of the pool.
-	total    *resource.Vector
-	customer *customerTotals
+	total          *resource.Vector
+	customerTotals *customerTotals
 	// weightedShare is updated on every change, since it is read far more often
 	// than it changes.
 	weightedShare float64
@@ -38,9 +38,10 @@
 	weightedShare float64
 }
 
+// updateShares recomputes the weighted shares of the plan and its customer.
 func (a *Account) updateShares() {
 	a.weightedShare = a.Used.DominantFraction(*a.total) / a.Promised
-	a.customer.weightedShare = a.customer.used.DominantFraction(*a.total) / a.customer.promised
+	a.customerTotals.weightedShare = a.customerTotals.used.DominantFraction(*a.total) / a.customerTotals.promised
 }
 
 // Fill returns the weighted share of the plan. Below 1 the plan uses less than
@@ -49,7 +50,7 @@
 
 // CustomerWeightedShare returns the weighted share of the customer: the dominant share
 // of all its plans together, divided by the sum of their promised shares.
-func (a *Account) CustomerWeightedShare() float64 { return a.customer.weightedShare }
+func (a *Account) CustomerWeightedShare() float64 { return a.customerTotals.weightedShare }
 
 // Permits reports whether the plan stays within its limit when it starts one
 // more task of this size. A plan that uses nothing may always start one.
@@ -96,10 +97,10 @@
 	for _, a := range s.plans {
 		s.addToCustomer(a)
 	}
-	s.updateAll()
+	s.updateAllShares()
 }
 
-func (s *Accounts) updateAll() {
+func (s *Accounts) updateAllShares() {
 	for _, a := range s.plans {
 		a.updateShares()
 	}
@@ -114,13 +115,13 @@
 	}
 	totals.promised += a.Promised
 	totals.used = totals.used.Add(a.Used)
-	a.customer = totals
+	a.customerTotals = totals
 }
 
 // SetTotal sets the capacity of the pool.
 func (s *Accounts) SetTotal(total resource.Vector) {
 	s.total = total
-	s.updateAll()
+	s.updateAllShares()
 }
 
 // Account returns the account of a plan. It creates one with unlistedPlanShare
@@ -139,7 +140,7 @@
 func (s *Accounts) Charge(name string, size resource.Vector) {
 	a := s.Account(name)
 	a.Used = a.Used.Add(size)
-	a.customer.used = a.customer.used.Add(size)
+	a.customerTotals.used = a.customerTotals.used.Add(size)
 	a.updateShares()
 }
 
@@ -148,7 +149,7 @@
 func (s *Accounts) Refund(name string, size resource.Vector) {
 	a := s.Account(name)
 	a.Used = a.Used.Sub(size)
-	a.customer.used = a.customer.used.Sub(size)
+	a.customerTotals.used = a.customerTotals.used.Sub(size)
 	a.updateShares()
 	invariant.Check(!a.Used.IsNegative(), "negative_share", "plan %s: used %v", name, a.Used)
 }
