--- a/internal/node/entryvm/commits.go
+++ b/internal/node/entryvm/commits.go
@@ -10,18 +10,20 @@
 	"github.com/almondpost/almondpost/internal/peer/store"
 )
 
-// endsStored reports whether the ends of a worker are stored, and otherwise which
-// channel the next commit closes.
+// endsStored reports whether the ends of all runs that a worker has reported are
+// stored. The channel is closed by the next commit.
 func (l *leader) endsStored(life backend.Life) (bool, chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.state.EndsStored(life), l.stored
+	return l.scheduler.EndsStored(life), l.committed
 }
 
-// verify renews the claim at once: a worker has seen a higher token.
-func (l *leader) verify() { signal(l.doubt) }
+// renewClaim makes the commit loop renew the claim at once. It is called when a worker
+// has seen a higher fencing token, which suggests that another VM leads.
+func (l *leader) renewClaim() { signal(l.renewSignal) }
 
-// commitLoop stores the progress of jobs, one append at a time.
+// commitLoop stores the progress of jobs with one append at a time and renews the
+// claim. It returns when the claim is lost or the leader is stopped.
 func (l *leader) commitLoop() {
 	renewal := time.NewTimer(renewInterval)
 	for {
@@ -29,15 +31,15 @@
 		select {
 		case <-l.ctx.Done():
 			return
-		case <-l.dirty:
+		case <-l.commitSignal:
 		case <-renewal.C:
 			renew = true
-		case <-l.doubt:
+		case <-l.renewSignal:
 			renew = true
 		}
 		renewal.Reset(renewInterval)
 		l.mutex.Lock()
-		commit := l.state.NextCommit(now())
+		commit := l.scheduler.NextCommit(now())
 		l.mutex.Unlock()
 		if commit == nil && !renew {
 			continue
@@ -48,7 +50,7 @@
 			records = commit.Records
 		}
 		if len(records) == 0 && renew {
-			records = l.renewal()
+			records = l.renewalRecords()
 		}
 		if len(records) > 0 {
 			if err := l.appendProgress(records); err != nil {
@@ -62,27 +64,29 @@
 			} else {
 				s.Confirmed(begun)
 			}
-			close(l.stored)
-			l.stored = make(chan struct{})
+			close(l.committed)
+			l.committed = make(chan struct{})
 		})
-		pause(l.ctx, commitPause)
+		sleep(l.ctx, commitPause)
 	}
 }
 
-// renewal is a record that changes nothing; storing it proves the claim.
-func (l *leader) renewal() []store.Record {
+// renewalRecords returns a record without any progress. Storing it proves that this
+// leader still holds the claim.
+func (l *leader) renewalRecords() []store.Record {
 	return []store.Record{{Key: renewalKey, Value: work.Encode(&work.Progress{})}}
 }
 
-// appendProgress appends as the producer of this epoch. An append without an
-// answer is repeated as it is: the store repeats its first answer. It returns an
-// error only when the claim is lost.
+// appendProgress appends progress records as the producer of this epoch. It retries an
+// append without an answer unchanged, since the store recognizes the sequence number
+// and repeats its first answer. It returns an error only if the claim is lost or the
+// leader is stopped.
 func (l *leader) appendProgress(records []store.Record) error {
-	a := store.Append{Topic: store.Progress, Records: records, Producer: &store.Producer{Name: producerName, Epoch: l.epoch, Sequence: l.sequence}}
-	l.sequence++
+	a := store.Append{Topic: store.Progress, Records: records, Producer: &store.Producer{Name: producerName, Epoch: l.epoch, Sequence: l.nextSequence}}
+	l.nextSequence++
 	for {
-		call, cancel := context.WithTimeout(l.ctx, mostPatience+relayTries*relayTimeout)
-		_, err := l.node.store.Append(call, a)
+		callCtx, cancel := context.WithTimeout(l.ctx, maxAppendTimeout+maxRelayAttempts*relayTimeout)
+		_, err := l.node.store.Append(callCtx, a)
 		cancel()
 		if err == nil {
 			return nil
@@ -90,28 +94,29 @@
 		if l.ctx.Err() != nil {
 			return l.ctx.Err()
 		}
-		switch kindOf(err) {
+		switch storeKind(err) {
 		case store.KindRefused, store.KindUnknown:
 			l.node.log.Info("progress_not_stored", "epoch", l.epoch, "records", len(records), "error", err.Error())
-			pause(l.ctx, appendPause)
+			sleep(l.ctx, appendRetryPause)
 		default:
 			return err
 		}
 	}
 }
 
-// appendPause is the wait before an append is repeated.
-const appendPause = 50 * time.Millisecond
+// appendRetryPause is the pause before an append is retried.
+const appendRetryPause = 50 * time.Millisecond
 
-// drop deletes the submissions of jobs that have ended, so that a take-over reads
-// little; their state stays in the progress records.
-func (l *leader) drop(ids []string) {
-	for part, records := range l.droppedRecords(ids) {
+// deleteSubmissions deletes the records of ended jobs from the partitions of jobs, so
+// that the next take-over has less to read. The final states remain in the progress
+// records.
+func (l *leader) deleteSubmissions(ids []string) {
+	for part, records := range l.submissionTombstones(ids) {
 		if len(records) == 0 {
 			continue
 		}
-		call, cancel := context.WithTimeout(l.ctx, storeTimeout)
-		_, err := l.node.store.Append(call, store.Append{Topic: store.Jobs, Part: part, Records: records})
+		callCtx, cancel := context.WithTimeout(l.ctx, storeTimeout)
+		_, err := l.node.store.Append(callCtx, store.Append{Topic: store.Jobs, Part: part, Records: records})
 		cancel()
 		if err != nil {
 			l.node.log.Info("jobs_not_dropped", "records", len(records), "partition", part, "error", err.Error())
@@ -119,20 +124,21 @@
 	}
 }
 
-// droppedRecords returns, for each partition, the deletions of the records there; in
-// all of them for a job that was not read yet.
-func (l *leader) droppedRecords(ids []string) [][]store.Record {
+// submissionTombstones returns for each partition the records that delete the
+// submissions and cancellations of jobs there. A job that was not read from a
+// partition yet is deleted in all of them.
+func (l *leader) submissionTombstones(ids []string) [][]store.Record {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	records := make([][]store.Record, l.node.settings.Partitions)
 	for _, id := range ids {
-		in, read := l.partitions[id]
+		mask, known := l.jobPartitions[id]
 		for part := range records {
-			if !read || in&(1<<part) != 0 {
+			if !known || mask&(1<<part) != 0 {
 				records[part] = append(records[part], store.Record{Key: id}, store.Record{Key: id + cancelSuffix})
 			}
 		}
-		delete(l.partitions, id)
+		delete(l.jobPartitions, id)
 	}
 	return records
 }
--- /dev/null
+++ b/internal/node/entryvm/configuration.go
@@ -0,0 +1,88 @@
+package entryvm
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/almondpost/almondpost/internal/cell/queue"
+	"github.com/almondpost/almondpost/internal/peer/store"
+)
+
+// configurationKey is the key of the configuration record.
+const configurationKey = "config"
+
+// configurationWatcher follows the configuration in the store. It never replaces a
+// version by an older one.
+type configurationWatcher struct {
+	node  *Node
+	mutex sync.Mutex
+	table *queue.Table
+}
+
+func newConfigurationWatcher(n *Node) *configurationWatcher { return &configurationWatcher{node: n} }
+
+// current returns the newest known configuration, or nil before the first one.
+func (c *configurationWatcher) current() *queue.Table {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.table
+}
+
+// version returns the version of the current configuration, or 0 before the first one.
+func (c *configurationWatcher) version() int64 {
+	if table := c.current(); table != nil {
+		return table.Version
+	}
+	return 0
+}
+
+// run follows the configuration in the store until ctx is done.
+func (c *configurationWatcher) run(ctx context.Context) {
+	followTopic(ctx, c.node, store.Configuration, c.pollWait, func(records []store.Record) {
+		for i := range records {
+			if records[i].Key == configurationKey && len(records[i].Value) > 0 {
+				c.accept(records[i].Value, "store")
+			}
+		}
+	})
+}
+
+// accept decodes a configuration and makes it the current one if its version is
+// higher.
+func (c *configurationWatcher) accept(text []byte, source string) {
+	table, err := c.node.dependencies.DecodeTable(text)
+	if err != nil {
+		c.node.log.Error(err, "configuration_unreadable", "source", source)
+		return
+	}
+	c.mutex.Lock()
+	old := int64(0)
+	if c.table != nil {
+		old = c.table.Version
+	}
+	if table.Version <= old {
+		c.mutex.Unlock()
+		return
+	}
+	c.table = table
+	c.mutex.Unlock()
+	c.node.log.Info("configuration_accepted", "version", table.Version, "before", old, "source", source, "queues", len(table.Queues))
+	if l := c.node.activeLeader(); l != nil {
+		l.setTable(table)
+	}
+}
+
+// leaderLongPollWait replaces longPollWait on the leader. When connections to the
+// store stop delivering messages, the other VMs get a new configuration from the
+// leader, so a read that hangs must not delay the leader for long.
+const leaderLongPollWait = 1500 * time.Millisecond
+
+// pollWait returns how long the store may delay the answer to a read of the
+// configuration.
+func (c *configurationWatcher) pollWait() time.Duration {
+	if c.node.activeLeader() != nil {
+		return leaderLongPollWait
+	}
+	return longPollWait
+}
--- a/internal/node/entryvm/election.go
+++ b/internal/node/entryvm/election.go
@@ -16,137 +16,153 @@
 )
 
 const (
-	// heartbeatInterval is the pause between a leader's heartbeats.
+	// heartbeatInterval is the pause between two heartbeats of the leader.
 	heartbeatInterval = 250 * time.Millisecond
-	// leaderSilence is how long a leader must be silent before another VM tries
-	// to lead: three heartbeats and some delay.
-	leaderSilence = 900 * time.Millisecond
-	// rankPause is added for each VM that tries first, so that two seldom try
-	// at once.
-	rankPause = 200 * time.Millisecond
-	// mostRank bounds the wait for others to try first.
-	mostRank = 8
-	// firstWait is how long the least fit VM waits before the very first claim, so
-	// that others go first.
-	firstWait = 500 * time.Millisecond
-	// storeSettled is how long the store must answer this VM before it tries to
-	// lead: a VM that was cut off hears the leader again within two heartbeats.
-	storeSettled = 2*heartbeatInterval + 100*time.Millisecond
-	// electionPoll is the pause between checks of the leader.
-	electionPoll = 100 * time.Millisecond
-	// askTimeout bounds the question to other VMs whether they hear the leader.
-	askTimeout = 300 * time.Millisecond
-	// claimKey is the key of the claim in its topic.
+	// leaderTimeout is how long the leader must be silent before another VM claims
+	// leadership: three heartbeat intervals and some delay.
+	leaderTimeout = 900 * time.Millisecond
+	// rankDelay is added to leaderTimeout for each VM that should claim first, so that
+	// two VMs rarely claim at the same time.
+	rankDelay = 200 * time.Millisecond
+	// maxRank limits the number of VMs that a VM waits for.
+	maxRank = 8
+	// maxFirstClaimDelay is how long the least fit VM waits before the first claim of a
+	// cell, so that fitter VMs claim first.
+	maxFirstClaimDelay = 500 * time.Millisecond
+	// minStoreUptime is how long a VM that was cut off must have reached the store again
+	// before it claims leadership. If there is a leader, the VM hears it within two
+	// heartbeat intervals.
+	minStoreUptime = 2*heartbeatInterval + 100*time.Millisecond
+	// electionPollInterval is the pause between two checks for a silent leader.
+	electionPollInterval = 100 * time.Millisecond
+	// peerCallTimeout limits a call that asks another VM whether it hears the leader, or
+	// to take over.
+	peerCallTimeout = 300 * time.Millisecond
+	// claimKey is the key of the claim record.
 	claimKey = "leader"
 )
 
-// claim tells who leads. A higher epoch replaces a lower one.
+// claim is the stored record by which a VM becomes leader. It supersedes claims with a
+// lower epoch.
 type claim struct {
 	Epoch   int64          `json:"epoch"`
 	Name    string         `json:"name"`
 	Address netip.AddrPort `json:"address"`
-	// Process tells lives of a VM apart: its start in Unix nanoseconds.
+	// Process is the start time of the claiming process in Unix nanoseconds. It
+	// distinguishes the VM from its earlier processes. It is 0 if the claim is known from
+	// a heartbeat only.
 	Process int64 `json:"process"`
 }
 
-// election finds out who leads, and tries to lead when nobody does.
+// election tracks the current leader and claims leadership when none is heard.
 type election struct {
-	node    *Node
+	node *Node
+	// process is the start time of this process in Unix nanoseconds.
 	process int64
 	mutex   sync.Mutex
-	claim   claim
-	// end is where the topic of claims ends; -1 while it is not known.
-	end int64
-	// beatAt is when the leader's last heartbeat arrived.
-	beatAt time.Time
-	// waitFrom is when the wait for a sign of the leader began.
-	waitFrom time.Time
-	invited  chan struct{}
+	// claim is the known claim with the highest epoch.
+	claim claim
+	// claimsEnd is the end offset of the topic of claims, or -1 until it is known.
+	claimsEnd int64
+	// lastHeartbeat is when the last heartbeat of the leader arrived.
+	lastHeartbeat time.Time
+	// timerStart is when the wait for the leader's next heartbeat began.
+	timerStart time.Time
+	// takeOverRequests receives a value when another VM asks this one to lead.
+	takeOverRequests chan struct{}
 }
 
 func newElection(n *Node) *election {
-	return &election{node: n, process: now().UnixNano(), end: -1, waitFrom: now(), invited: make(chan struct{}, 1)}
+	return &election{node: n, process: now().UnixNano(), claimsEnd: -1, timerStart: now(), takeOverRequests: make(chan struct{}, 1)}
 }
 
+// run follows the claims in the store and claims leadership when another VM asks for
+// it or no leader is heard.
 func (e *election) run(ctx context.Context) {
-	go follow(ctx, e.node, store.Claims, always(followWait), e.apply)
-	for pause(ctx, electionPoll) {
+	go followTopic(ctx, e.node, store.Claims, fixedWait(longPollWait), e.applyClaims)
+	for sleep(ctx, electionPollInterval) {
 		select {
-		case <-e.invited:
+		case <-e.takeOverRequests:
 			if !e.node.isLeaving() {
-				e.lead(ctx, e.epoch(), "invited")
+				e.claimLeadership(ctx, e.epoch(), "invited")
 			}
 			continue
 		default:
 		}
-		if epoch := e.epoch(); e.shouldTry(ctx) {
-			e.lead(ctx, epoch, "no leader is heard")
+		if epoch := e.epoch(); e.shouldClaim(ctx) {
+			e.claimLeadership(ctx, epoch, "no leader is heard")
 		}
 	}
 }
 
-// apply notes the claims that were recorded.
-func (e *election) apply(records []store.Record) {
+// applyClaims records claims that were stored. A claim with a higher epoch than the
+// known one stops a leader on this VM.
+func (e *election) applyClaims(records []store.Record) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.end = max(e.end, 0)
+	e.claimsEnd = max(e.claimsEnd, 0)
 	for i := range records {
 		r := &records[i]
-		e.end = max(e.end, r.Offset+1)
+		e.claimsEnd = max(e.claimsEnd, r.Offset+1)
 		var c claim
 		if err := json.Unmarshal(r.Value, &c); err != nil {
 			e.node.log.Info("claim_unreadable", "key", r.Key)
 			continue
 		}
 		if c.Epoch > e.claim.Epoch {
-			e.claim, e.waitFrom = c, now()
+			e.claim, e.timerStart = c, now()
 			e.node.log.Info("leader_learned", "leader", c.Name, "epoch", c.Epoch)
-			e.node.deposed(c.Epoch)
+			e.node.stepDownIfSuperseded(c.Epoch)
 		}
 	}
 }
 
-// heard notes a heartbeat and returns the highest epoch known.
-func (e *election) heard(a HeartbeatArgs) int64 {
+// recordHeartbeat records a heartbeat, unless it comes from a superseded leader, and
+// returns the highest known epoch.
+func (e *election) recordHeartbeat(a HeartbeatArgs) int64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if a.Epoch >= e.claim.Epoch {
 		if a.Epoch > e.claim.Epoch {
 			e.claim = claim{Epoch: a.Epoch, Name: a.Leader, Address: a.Address}
 			e.node.log.Info("leader_heard", "leader", a.Leader, "epoch", a.Epoch)
-			e.node.deposed(a.Epoch)
+			e.node.stepDownIfSuperseded(a.Epoch)
 		}
 		if m, known := e.node.members.find(a.Leader); known && m.Domain != e.node.settings.Domain {
-			e.node.isolation.heard()
+			e.node.isolation.recordContact()
 		}
-		e.beatAt = now()
-		e.waitFrom = e.beatAt
+		e.lastHeartbeat = now()
+		e.timerStart = e.lastHeartbeat
 	}
 	return e.claim.Epoch
 }
 
+// lastHeard returns the highest known epoch and the time since the last heartbeat.
 func (e *election) lastHeard() HeardReply {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return HeardReply{Epoch: e.claim.Epoch, Ago: now().Sub(e.beatAt)}
+	return HeardReply{Epoch: e.claim.Epoch, Ago: now().Sub(e.lastHeartbeat)}
 }
 
-// leader returns who leads, as far as is known.
-func (e *election) leader() (claim, bool) {
+// knownLeader returns the claim of the current leader, and false if no leader is
+// known.
+func (e *election) knownLeader() (claim, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.claim, e.claim.Name != ""
 }
 
-func (e *election) invite() {
+// requestTakeOver makes this VM claim leadership soon. It does not block.
+func (e *election) requestTakeOver() {
 	select {
-	case e.invited <- struct{}{}:
+	case e.takeOverRequests <- struct{}{}:
 	default:
 	}
 }
 
-// rank is the place of this VM among those that may follow the leader, the fittest
-// first.
+// rank returns how many VMs should claim leadership before this one, at most maxRank.
+// Fitter VMs claim first; VMs of equal fitness are ordered by a hash that depends on
+// the epoch. The previous leader does not count, unless it is this VM.
 func (e *election) rank(epoch int64, leader string) int {
 	self, _ := e.node.members.find(e.node.settings.Name)
 	candidates := append(e.node.members.others(), self)
@@ -155,70 +171,72 @@
 	slices.SortFunc(candidates, func(a, b member) int {
 		return cmp.Or(cmp.Compare(b.Fitness, a.Fitness), cmp.Compare(order(a), order(b)))
 	})
-	place := slices.IndexFunc(candidates, func(m member) bool { return m.Name == self.Name })
-	return min(place, mostRank)
+	position := slices.IndexFunc(candidates, func(m member) bool { return m.Name == self.Name })
+	return min(position, maxRank)
 }
 
-// shouldTry reports whether this VM should try to lead: it has heard no leader
-// for a while, and no VM that it reaches has.
-func (e *election) shouldTry(ctx context.Context) bool {
+// shouldClaim reports whether this VM should claim leadership: it has heard no leader
+// for long enough, and no VM that it reaches has heard one lately.
+func (e *election) shouldClaim(ctx context.Context) bool {
 	e.mutex.Lock()
-	c, end, silence := e.claim, e.end, now().Sub(e.waitFrom)
+	c, end, silence := e.claim, e.claimsEnd, now().Sub(e.timerStart)
 	e.mutex.Unlock()
-	if end < 0 || e.node.isLeaving() || e.node.leading() != nil {
+	if end < 0 || e.node.isLeaving() || e.node.activeLeader() != nil {
 		return false
 	}
-	if c.Name == e.node.settings.Name && c.Process != 0 && c.Process != e.process && !e.node.members.anyFitter() {
-		return true // An earlier life of this VM held the claim and is over.
+	if c.Name == e.node.settings.Name && c.Process != 0 && c.Process != e.process && !e.node.members.hasMuchFitter() {
+		return true // The claim is of an earlier process of this VM, which no longer runs.
 	}
-	v := candidacy{
-		epoch: c.Epoch, silence: silence, reached: e.node.store.reached(now()),
-		rank: e.rank(c.Epoch, c.Name), fitness: e.node.settings.Fitness, mostSilent: e.mostSilent(),
+	own := candidacy{
+		epoch: c.Epoch, silence: silence, storeReachable: e.node.store.reachableFor(now()),
+		rank: e.rank(c.Epoch, c.Name), fitness: e.node.settings.Fitness, majoritySilent: e.majoritySilent(),
 	}
-	if !v.due() {
+	if !own.due() {
 		return false
 	}
-	if c.Epoch > 0 && e.othersHear(ctx, c) {
-		e.waitAgain()
+	if c.Epoch > 0 && e.othersHearLeader(ctx, c) {
+		e.postponeClaim()
 		return false
 	}
 	return true
 }
 
-// candidacy is what a VM goes by when it considers to lead.
+// candidacy holds the local information by which a VM decides whether to claim
+// leadership.
 type candidacy struct {
-	// epoch is the highest known; 0 before the first claim.
+	// epoch is the highest known epoch, or 0 before the first claim.
 	epoch int64
-	// silence is the time since the last sign of the leader.
+	// silence is the time since the leader was last heard.
 	silence time.Duration
-	// reached is for how long the store has answered this VM; negative while it
-	// does not.
-	reached time.Duration
-	// mostSilent tells that most other VMs left calls without an answer lately.
-	mostSilent bool
-	// rank is the number of VMs that are to try first.
+	// storeReachable is how long the store has been directly reachable. It is negative
+	// while the store is not.
+	storeReachable time.Duration
+	// majoritySilent is true if most other VMs have left calls unanswered lately.
+	majoritySilent bool
+	// rank is the number of VMs that should claim first.
 	rank    int
 	fitness float64
 }
 
-// due reports whether the VM should try to lead now.
+// due reports whether the VM should claim leadership now.
 //
-// It answers the end of a cut: VMs that were cut off have heard no leader for
-// seconds, and one that claims before it hears the leader again stops all starts
-// for the time of a take-over.
+// A VM that was cut off has heard no leader for seconds. If it claimed as soon as the
+// connection is back, before it hears the leader again, the needless take-over would
+// halt all starts. It therefore waits until the store has been reachable for
+// minStoreUptime.
 func (c candidacy) due() bool {
-	wait := leaderSilence
+	wait := leaderTimeout
 	switch {
 	case c.epoch == 0:
-		wait = time.Duration(float64(firstWait) * (1 - min(c.fitness, 1)))
-	case c.reached < 0, c.mostSilent && c.reached < storeSettled:
+		wait = time.Duration(float64(maxFirstClaimDelay) * (1 - min(c.fitness, 1)))
+	case c.storeReachable < 0, c.majoritySilent && c.storeReachable < minStoreUptime:
 		return false
 	}
-	return c.silence >= wait+time.Duration(c.rank)*rankPause
+	return c.silence >= wait+time.Duration(c.rank)*rankDelay
 }
 
-// mostSilent reports whether most other VMs left calls without an answer lately.
-func (e *election) mostSilent() bool {
+// majoritySilent reports whether most other VMs have left calls unanswered lately.
+func (e *election) majoritySilent() bool {
 	others := e.node.members.others()
 	silent := 0
 	for _, m := range others {
@@ -229,22 +247,22 @@
 	return 2*silent > len(others)
 }
 
-// othersHear reports whether another VM than the leader has heard it lately. It asks
-// those that answer; when these are a majority of all, the others are not waited
-// for.
-func (e *election) othersHear(ctx context.Context, c claim) bool {
+// othersHearLeader asks the VMs other than the leader whether they have heard it
+// within leaderTimeout, and reports whether one has. It does not wait for VMs that
+// left calls unanswered lately, unless they are at least half of all.
+func (e *election) othersHearLeader(ctx context.Context, c claim) bool {
 	others := slices.DeleteFunc(e.node.members.others(), func(m member) bool { return m.Name == c.Name })
 	heard := make(chan bool, len(others))
 	silent := 0
-	call, cancel := context.WithTimeout(ctx, askTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	for _, m := range others {
 		if e.node.client.Silent(m.Address) {
 			silent++
 		}
 		go func() {
-			r, err := link.Call[Nothing, HeardReply](call, e.node.client, m.Address, "Heard", Nothing{})
-			heard <- err == nil && r.Epoch >= c.Epoch && r.Ago < leaderSilence
+			r, err := link.Call[Nothing, HeardReply](callCtx, e.node.client, m.Address, "Heard", Nothing{})
+			heard <- err == nil && r.Epoch >= c.Epoch && r.Ago < leaderTimeout
 		}()
 	}
 	wait := len(others)
@@ -259,72 +277,75 @@
 	return false
 }
 
-// epoch returns the highest epoch known.
+// epoch returns the highest known epoch.
 func (e *election) epoch() int64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.claim.Epoch
 }
 
-// lead claims the cell and begins to lead it, unless another claim was learned
-// since the decision for it.
-func (e *election) lead(ctx context.Context, decided int64, why string) {
-	if e.node.leading() != nil {
+// claimLeadership stores a claim with the next epoch and starts to lead if that
+// succeeds. It does nothing if this VM already leads, or if another claim has become
+// known since decidedEpoch was the highest epoch.
+func (e *election) claimLeadership(ctx context.Context, decidedEpoch int64, reason string) {
+	if e.node.activeLeader() != nil {
 		return
 	}
 	e.mutex.Lock()
-	if e.claim.Epoch != decided {
+	if e.claim.Epoch != decidedEpoch {
 		e.mutex.Unlock()
 		return
 	}
 	c := claim{Epoch: e.claim.Epoch + 1, Name: e.node.settings.Name, Address: e.node.settings.Peers, Process: e.process}
-	end := e.end
+	end := e.claimsEnd
 	e.mutex.Unlock()
 	value, _ := json.Marshal(c)
-	call, cancel := context.WithTimeout(ctx, storeTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	_, err := e.node.store.Append(call, store.Append{
+	_, err := e.node.store.Append(callCtx, store.Append{
 		Topic: store.Claims, Records: []store.Record{{Key: claimKey, Value: value}}, Condition: store.Condition{Set: true, End: end},
 	})
 	if err != nil {
-		e.node.log.Info("claim_failed", "epoch", c.Epoch, "reason", why, "error", err.Error())
-		// The claim may be stored all the same; the topic tells.
-		if batch, err := e.node.store.Read(call, store.Read{Topic: store.Claims, From: end}); err == nil {
-			e.apply(batch.Records)
+		e.node.log.Info("claim_failed", "epoch", c.Epoch, "reason", reason, "error", err.Error())
+		// The claim may be stored although the append failed; reading the topic shows it.
+		if batch, err := e.node.store.Read(callCtx, store.Read{Topic: store.Claims, From: end}); err == nil {
+			e.applyClaims(batch.Records)
 		}
-		e.waitAgain()
-		if known, _ := e.leader(); known.Process != e.process || known.Epoch != c.Epoch {
+		e.postponeClaim()
+		if known, _ := e.knownLeader(); known.Process != e.process || known.Epoch != c.Epoch {
 			return
 		}
 	}
 	e.mutex.Lock()
 	if c.Epoch >= e.claim.Epoch {
-		e.claim, e.end = c, max(e.end, end+1)
+		e.claim, e.claimsEnd = c, max(e.claimsEnd, end+1)
 	}
-	e.waitFrom = now()
+	e.timerStart = now()
 	e.mutex.Unlock()
-	e.node.log.Info("claim_gained", "epoch", c.Epoch, "reason", why)
+	e.node.log.Info("claim_gained", "epoch", c.Epoch, "reason", reason)
 	l := newLeader(ctx, e.node, c.Epoch)
-	e.node.setLead(nil, l)
+	e.node.swapLeader(nil, l)
 	go l.run()
 }
 
-// waitAgain puts the next try to lead off.
-func (e *election) waitAgain() {
+// postponeClaim restarts the wait for the leader, with half of leaderTimeout already
+// passed.
+func (e *election) postponeClaim() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.waitFrom = now().Add(-leaderSilence / 2)
+	e.timerStart = now().Add(-leaderTimeout / 2)
 }
 
-// handOver asks one of the other VMs to lead: of the fittest, first the one that was
-// started last, since VMs are often replaced in turn and that one has had its turn.
+// handOver asks the other VMs, one after the other, to take over the leadership, until
+// one accepts. Fitter VMs come first, and among equals the one that started last: in a
+// rolling replacement it has already been replaced and does not stop again soon.
 func (e *election) handOver(ctx context.Context, others []member) {
 	slices.SortStableFunc(others, func(a, b member) int {
 		return cmp.Or(cmp.Compare(b.Fitness, a.Fitness), cmp.Compare(b.Started, a.Started))
 	})
 	for _, m := range others {
-		call, cancel := context.WithTimeout(ctx, askTimeout)
-		_, err := link.Call[Nothing, Nothing](call, e.node.client, m.Address, "TakeOver", Nothing{})
+		callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
+		_, err := link.Call[Nothing, Nothing](callCtx, e.node.client, m.Address, "TakeOver", Nothing{})
 		cancel()
 		if err == nil {
 			e.node.log.Info("cell_handed_over", "vm", m.Name)
--- a/internal/node/entryvm/election_test.go
+++ b/internal/node/entryvm/election_test.go
@@ -9,35 +9,38 @@
 	"github.com/matryer/is"
 )
 
-// A VM that has just started hears the leader before it knows any other VM.
+// A VM that has just started may receive a heartbeat before it has read the records of
+// the other VMs. It must then take the leader's address from the heartbeat.
 func TestUnknownLeaderIsReached(t *testing.T) {
 	is := is.New(t)
 	n := &Node{settings: Settings{Name: "vm-0", Domain: "domain-0"}, log: logr.Discard()}
 	n.members, n.isolation = newMembers(n), &isolation{node: n}
 	n.election = newElection(n)
 	address := netip.MustParseAddrPort("127.0.0.1:7000")
-	n.election.heard(HeartbeatArgs{Epoch: 5, Leader: "vm-1", Address: address})
-	leader, known := n.election.leader()
+	n.election.recordHeartbeat(HeartbeatArgs{Epoch: 5, Leader: "vm-1", Address: address})
+	leader, known := n.election.knownLeader()
 	is.True(known)
 	is.Equal(leader.Address, address)
 }
 
+// Claiming too early causes a needless take-over, and claiming too late leaves the
+// cell without a leader.
 func TestCandidacy(t *testing.T) {
 	scenarios := []struct {
 		testName  string
 		candidacy candidacy
 		due       bool
 	}{
-		{"the first claim waits for nobody's heartbeat", candidacy{silence: firstWait}, true},
-		{"the fittest claims first", candidacy{fitness: 1}, true},
-		{"the leader is heard", candidacy{epoch: 3, silence: 200 * time.Millisecond, reached: time.Hour}, false},
-		{"the leader is silent", candidacy{epoch: 3, silence: leaderSilence, reached: time.Hour}, true},
-		{"fitter VMs try first", candidacy{epoch: 3, silence: leaderSilence, reached: time.Hour, rank: 2}, false},
-		{"fitter VMs had their time", candidacy{epoch: 3, silence: leaderSilence + 2*rankPause, reached: time.Hour, rank: 2}, true},
-		{"the VM is cut off", candidacy{epoch: 3, silence: 6 * time.Second, reached: -1}, false},
-		{"a cut has just ended", candidacy{epoch: 3, silence: 6 * time.Second, reached: 10 * time.Millisecond, mostSilent: true}, false},
-		{"a cut has ended and nobody is heard", candidacy{epoch: 3, silence: 6 * time.Second, reached: storeSettled, mostSilent: true}, true},
-		{"the store is back, the leader is gone", candidacy{epoch: 3, silence: 6 * time.Second, reached: 10 * time.Millisecond}, true},
+		{"the first claim does not wait for a heartbeat", candidacy{silence: maxFirstClaimDelay}, true},
+		{"the fittest VM makes the first claim without a delay", candidacy{fitness: 1}, true},
+		{"the leader was heard lately", candidacy{epoch: 3, silence: 200 * time.Millisecond, storeReachable: time.Hour}, false},
+		{"the leader is silent", candidacy{epoch: 3, silence: leaderTimeout, storeReachable: time.Hour}, true},
+		{"fitter VMs should claim first", candidacy{epoch: 3, silence: leaderTimeout, storeReachable: time.Hour, rank: 2}, false},
+		{"fitter VMs have not claimed in their time", candidacy{epoch: 3, silence: leaderTimeout + 2*rankDelay, storeReachable: time.Hour, rank: 2}, true},
+		{"the VM does not reach the store", candidacy{epoch: 3, silence: 6 * time.Second, storeReachable: -1}, false},
+		{"the store is reachable again but most VMs are still silent", candidacy{epoch: 3, silence: 6 * time.Second, storeReachable: 10 * time.Millisecond, majoritySilent: true}, false},
+		{"the store has been reachable for a while and most VMs are still silent", candidacy{epoch: 3, silence: 6 * time.Second, storeReachable: minStoreUptime, majoritySilent: true}, true},
+		{"the store is reachable again and only the leader is silent", candidacy{epoch: 3, silence: 6 * time.Second, storeReachable: 10 * time.Millisecond}, true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) { is.New(t).Equal(s.candidacy.due(), s.due) })
--- a/internal/node/entryvm/heartbeats.go
+++ b/internal/node/entryvm/heartbeats.go
@@ -12,145 +12,154 @@
 	"github.com/almondpost/almondpost/internal/peer/link"
 )
 
-// successors lists the VMs that should lead instead of this one: those that reach the
-// store while this one does not, or much fitter ones.
+// successors returns the VMs that should lead instead of this one, if any. Candidates
+// are the VMs that answer heartbeats and reach the store directly. All of them are
+// successors if this VM has not reached the store directly for yieldWithoutStoreAfter;
+// after yieldToFitterAfter, those that are much fitter are.
 func (l *leader) successors(at time.Time) []member {
 	l.mutex.Lock()
-	names := l.reachable(at)
-	reaching := maps.Clone(l.reaching)
+	names := l.reachableVMs(at)
+	reachesStore := maps.Clone(l.reachesStore)
 	l.mutex.Unlock()
-	others := slices.DeleteFunc(l.node.members.others(), func(m member) bool { return !slices.Contains(names, m.Name) || !reaching[m.Name] })
-	switch led := at.Sub(l.began); {
-	case l.node.store.reached(at) < -lostAfter && led > lostAfter:
+	others := slices.DeleteFunc(l.node.members.others(), func(m member) bool { return !slices.Contains(names, m.Name) || !reachesStore[m.Name] })
+	switch leadingFor := at.Sub(l.leadingSince); {
+	case l.node.store.reachableFor(at) < -yieldWithoutStoreAfter && leadingFor > yieldWithoutStoreAfter:
 		return others
-	case led > yieldAfter:
+	case leadingFor > yieldToFitterAfter:
 		return slices.DeleteFunc(others, func(m member) bool { return m.Fitness <= fitterFactor*l.node.settings.Fitness })
 	}
 	return nil
 }
 
-// reachable lists the entry VMs that answer. The caller holds the lock.
-func (l *leader) reachable(at time.Time) []string {
+// reachableVMs returns the names of this VM and of the entry VMs that answered a
+// heartbeat within leaderTimeout. The caller must hold the mutex.
+func (l *leader) reachableVMs(at time.Time) []string {
 	names := []string{l.node.settings.Name}
-	for name, answered := range l.answered {
-		if at.Sub(answered) < leaderSilence {
+	for name, answered := range l.lastAnswer {
+		if at.Sub(answered) < leaderTimeout {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// leadsAlone reports whether most other entry VMs have just answered a heartbeat, so
-// that none of them can have begun to lead. The caller holds the lock.
+// hasQuorum reports whether most other entry VMs answered a heartbeat within
+// leaderTimeout, so that no other VM can have become leader. The caller must hold the
+// mutex.
 //
-// It answers an outage of the store: what ends meanwhile is shown to callers at once,
-// and not when it is too late for them. A leader that is cut off shows only what is
-// stored.
-func (l *leader) leadsAlone(at time.Time) bool {
+// With a quorum, the leader reports jobs as completed before that is stored, so that
+// an outage of the store does not make callers miss their deadlines. Without one it
+// may be cut off, and reports only stored states.
+func (l *leader) hasQuorum(at time.Time) bool {
 	others := len(l.node.members.others())
-	return 2*(len(l.reachable(at))-1) > others || others == 0
+	return 2*(len(l.reachableVMs(at))-1) > others || others == 0
 }
 
-// beat tells the other entry VMs that this one leads.
-func (l *leader) beat() {
+// sendHeartbeats sends heartbeats to the other entry VMs until the leader is stopped.
+func (l *leader) sendHeartbeats() {
 	for {
 		for _, m := range l.node.members.others() {
-			go l.beatTo(m)
+			go l.sendHeartbeat(m)
 		}
-		l.node.election.heard(HeartbeatArgs{Epoch: l.epoch, Leader: l.node.settings.Name, Address: l.node.settings.Peers})
-		if !pause(l.ctx, heartbeatInterval) {
+		l.node.election.recordHeartbeat(HeartbeatArgs{Epoch: l.epoch, Leader: l.node.settings.Name, Address: l.node.settings.Peers})
+		if !sleep(l.ctx, heartbeatInterval) {
 			return
 		}
 	}
 }
 
-func (l *leader) beatTo(m member) {
-	ctx, cancel := context.WithTimeout(l.ctx, leaderSilence)
+// sendHeartbeat sends one heartbeat to a VM and records the answer. It starts sending
+// the configuration if the VM needs it.
+func (l *leader) sendHeartbeat(m member) {
+	ctx, cancel := context.WithTimeout(l.ctx, leaderTimeout)
 	defer cancel()
-	args := HeartbeatArgs{Epoch: l.epoch, Leader: l.node.settings.Name, Address: l.node.settings.Peers, Version: l.node.tables.version()}
+	args := HeartbeatArgs{Epoch: l.epoch, Leader: l.node.settings.Name, Address: l.node.settings.Peers, Version: l.node.configuration.version()}
 	r, err := link.Call[HeartbeatArgs, HeartbeatReply](ctx, l.node.client, m.Address, "Heartbeat", args)
 	if err != nil {
 		return
 	}
 	l.mutex.Lock()
-	l.answered[m.Name], l.reaching[m.Name] = now(), r.ReachesStore
-	tell := l.behind.tell(m.Name, r.Version < args.Version, now())
+	l.lastAnswer[m.Name], l.reachesStore[m.Name] = now(), r.ReachesStore
+	send := l.outdated.shouldSend(m.Name, r.Version < args.Version, now())
 	l.mutex.Unlock()
-	if tell {
-		go l.tellTable(m)
+	if send {
+		go l.sendConfiguration(m)
 	}
 }
 
 const (
-	// behindFor is how long a VM must be behind before it is told the configuration: it
-	// reads it by itself unless it does not reach the store.
-	behindFor = 600 * time.Millisecond
-	// tellTimeout bounds a call that hands a configuration on, over a narrow link.
-	tellTimeout = 3 * time.Second
-	// mostTold bounds the VMs that are told at a time, for the leader's link.
-	mostTold = 6
+	// sendConfigurationAfter is how long a VM must have an outdated configuration before
+	// the leader sends it the current one. A VM that reaches the store reads the
+	// configuration by itself in that time.
+	sendConfigurationAfter = 600 * time.Millisecond
+	// sendConfigurationTimeout limits sending a configuration, possibly over a slow link.
+	sendConfigurationTimeout = 3 * time.Second
+	// maxConfigurationSends limits the configurations that are sent at the same time, to
+	// keep the leader's link usable.
+	maxConfigurationSends = 6
 )
 
-// laggards are the entry VMs with an older configuration than the leader.
-type laggards struct {
-	// since is when a VM was first seen behind.
+// outdatedVMs tracks the entry VMs whose configuration is older than the leader's.
+type outdatedVMs struct {
+	// since is when each outdated VM was first seen to be outdated.
 	since map[string]time.Time
-	// told holds the VMs that are being told.
-	told map[string]bool
+	// sending holds the VMs that the configuration is being sent to.
+	sending map[string]bool
 }
 
-func newLaggards() *laggards { return &laggards{map[string]time.Time{}, map[string]bool{}} }
+func newOutdatedVMs() *outdatedVMs { return &outdatedVMs{map[string]time.Time{}, map[string]bool{}} }
 
-// tell notes whether a VM is behind; it reports whether it is to be told now.
+// shouldSend records whether a VM is outdated and reports whether the configuration
+// must be sent to it now. If so, it adds the VM to sending.
 //
-// It answers large configurations: a VM that is told while it reads, or by several VMs,
-// gets the same text over its narrow link again and again.
-func (l *laggards) tell(name string, behind bool, at time.Time) bool {
-	if !behind {
-		delete(l.since, name)
+// A large configuration takes a long time over a slow link. A VM is therefore not sent
+// one that it may still be reading from the store or receiving already.
+func (o *outdatedVMs) shouldSend(name string, outdated bool, at time.Time) bool {
+	if !outdated {
+		delete(o.since, name)
 		return false
 	}
-	since, known := l.since[name]
+	since, known := o.since[name]
 	if !known {
-		l.since[name] = at
+		o.since[name] = at
 		return false
 	}
-	if at.Sub(since) < behindFor || l.told[name] || len(l.told) >= mostTold {
+	if at.Sub(since) < sendConfigurationAfter || o.sending[name] || len(o.sending) >= maxConfigurationSends {
 		return false
 	}
-	l.told[name] = true
+	o.sending[name] = true
 	return true
 }
 
-// tellTable hands the configuration to a VM that is behind.
-func (l *leader) tellTable(m member) {
-	ctx, cancel := context.WithTimeout(l.ctx, tellTimeout)
+// sendConfiguration sends the current configuration to an outdated VM.
+func (l *leader) sendConfiguration(m member) {
+	ctx, cancel := context.WithTimeout(l.ctx, sendConfigurationTimeout)
 	defer cancel()
-	table := l.node.tables.current()
+	table := l.node.configuration.current()
 	_, err := link.Call[TableArgs, Nothing](ctx, l.node.client, m.Address, "Table", TableArgs{Version: table.Version, Text: compress(table.Text)})
 	l.node.log.Info("configuration_told", "vm", m.Name, "version", table.Version, "told", err == nil)
 	l.mutex.Lock()
-	delete(l.behind.told, m.Name)
+	delete(l.outdated.sending, m.Name)
 	l.mutex.Unlock()
 }
 
-// compress packs the text of a configuration for the way to another VM.
+// compress compresses the text of a configuration with gzip.
 func compress(text []byte) []byte {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
-	_, _ = w.Write(text) // A buffer takes everything.
+	_, _ = w.Write(text) // A bytes.Buffer never returns an error.
 	_ = w.Close()
 	return b.Bytes()
 }
 
-// mostText bounds the text of a configuration.
-const mostText = 16 << 20
+// maxConfigurationSize limits the uncompressed size of a configuration in bytes.
+const maxConfigurationSize = 16 << 20
 
-// decompress is the reverse of compress.
+// decompress is the inverse of compress. It cuts the text off at maxConfigurationSize.
 func decompress(data []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
 		return nil, err
 	}
-	return io.ReadAll(io.LimitReader(r, mostText))
+	return io.ReadAll(io.LimitReader(r, maxConfigurationSize))
 }
--- a/internal/node/entryvm/heartbeats_test.go
+++ b/internal/node/entryvm/heartbeats_test.go
@@ -8,57 +8,60 @@
 	"github.com/matryer/is"
 )
 
+// The leader must not send the configuration to a VM that reads it from the store, nor
+// twice to the same VM: large configurations block slow links.
 func TestLaggardsAreToldOnce(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		// behind tells at each heartbeat whether the VM is behind.
-		behind   []bool
+		// outdated is, for each heartbeat, whether the VM's configuration is older.
+		outdated []bool
 		expected int
 	}{
-		{"a VM that reads the configuration by itself is not told", []bool{true, true, false, false}, 0},
-		{"a VM that stays behind is told once", []bool{true, true, true, true, true, true, true, true}, 1},
-		{"a VM that falls behind again waits again", []bool{true, true, false, true, true, false}, 0},
+		{"a VM that reads the configuration from the store is not sent it", []bool{true, true, false, false}, 0},
+		{"a VM that stays outdated is sent the configuration once", []bool{true, true, true, true, true, true, true, true}, 1},
+		{"the wait starts again when a VM becomes outdated again", []bool{true, true, false, true, true, false}, 0},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			is := is.New(t)
-			l := newLaggards()
+			o := newOutdatedVMs()
 			at := time.Unix(1_700_000_000, 0)
-			told := 0
-			for _, behind := range sc.behind {
-				if l.tell("vm", behind, at) {
-					told++
+			sends := 0
+			for _, outdated := range sc.outdated {
+				if o.shouldSend("vm", outdated, at) {
+					sends++
 				}
 				at = at.Add(heartbeatInterval)
 			}
-			is.Equal(told, sc.expected)
+			is.Equal(sends, sc.expected)
 		})
 	}
 }
 
-// All VMs fall behind at once.
+// When a configuration is published, all VMs may become outdated at once. Sending it
+// to all of them at the same time would overload the leader's link.
 func TestFewLaggardsAreToldAtATime(t *testing.T) {
 	is := is.New(t)
-	l := newLaggards()
-	told := 0
+	o := newOutdatedVMs()
+	sends := 0
 	for beat := range 8 {
 		for i := range 100 {
-			if l.tell(fmt.Sprintf("vm-%d", i), true, time.Unix(0, 0).Add(time.Duration(beat)*heartbeatInterval)) {
-				told++
+			if o.shouldSend(fmt.Sprintf("vm-%d", i), true, time.Unix(0, 0).Add(time.Duration(beat)*heartbeatInterval)) {
+				sends++
 			}
 		}
 	}
-	is.Equal(told, mostTold)
+	is.Equal(sends, maxConfigurationSends)
 }
 
 func TestConfigurationIsCompressed(t *testing.T) {
 	is := is.New(t)
 	text := make([]byte, 100_000)
-	packed := compress(text)
-	is.True(len(packed) < len(text)/10)
-	unpacked, err := decompress(packed)
+	compressed := compress(text)
+	is.True(len(compressed) < len(text)/10)
+	decompressed, err := decompress(compressed)
 	is.NoErr(err)
-	is.Equal(unpacked, text)
+	is.Equal(decompressed, text)
 	_, err = decompress([]byte("{}"))
 	is.True(err != nil)
 }
--- a/internal/node/entryvm/isolation.go
+++ b/internal/node/entryvm/isolation.go
@@ -11,33 +11,37 @@
 )
 
 const (
-	// isolationPause is the pause between looks at the other failure domains, and
-	// isolationTimeout bounds one: many round trips between domains.
-	isolationPause   = 150 * time.Millisecond
-	isolationTimeout = 200 * time.Millisecond
-	// contactSilence is how long nothing from outside the domain must be heard
-	// before a look: more than a heartbeat interval.
-	contactSilence = heartbeatInterval + 200*time.Millisecond
+	// isolationCheckInterval is the pause between two checks for isolation, and
+	// isolationCallTimeout limits one call of a check. The timeout allows for many round
+	// trips between failure domains.
+	isolationCheckInterval = 150 * time.Millisecond
+	isolationCallTimeout   = 200 * time.Millisecond
+	// maxContactAge is how old the last contact outside the failure domain may be without
+	// further checks. It is longer than a heartbeat interval, so that heartbeats from
+	// another domain make the checks unnecessary.
+	maxContactAge = heartbeatInterval + 200*time.Millisecond
 )
 
-// isolation finds out whether this VM reaches neither the store nor a VM of another
-// failure domain. It can then neither store jobs nor learn their states, while VMs of
-// other domains can: callers are better off there.
+// isolation detects whether this VM reaches neither the store nor a VM of another
+// failure domain. An isolated VM can neither store jobs nor learn their states, while
+// VMs of other domains can, so callers should use those.
 type isolation struct {
 	node     *Node
 	isolated atomic.Bool
-	// contact is when the store or a VM of another domain was last heard, in Unix
+	// lastContact is when the store or a VM of another domain was last heard, in Unix
 	// nanoseconds.
-	contact atomic.Int64
+	lastContact atomic.Int64
 }
 
-// heard notes that something outside the domain was heard.
-func (i *isolation) heard() { i.contact.Store(now().UnixNano()) }
+// recordContact records that the store or a VM of another domain was heard.
+func (i *isolation) recordContact() { i.lastContact.Store(now().UnixNano()) }
 
+// run checks for isolation until ctx is done. When the VM becomes isolated, all
+// pending job records fail at once, so that their callers can use another VM.
 func (i *isolation) run(ctx context.Context) {
-	i.heard()
-	for pause(ctx, isolationPause) {
-		silent := now().Sub(time.Unix(0, i.contact.Load())) > contactSilence
+	i.recordContact()
+	for sleep(ctx, isolationCheckInterval) {
+		silent := now().Sub(time.Unix(0, i.lastContact.Load())) > maxContactAge
 		isolated := silent && !i.reachesOthers(ctx) && !i.reachesStore()
 		if i.isolated.Swap(isolated) == isolated {
 			continue
@@ -49,26 +53,28 @@
 	}
 }
 
-// reachesStore reports whether the store answers.
+// reachesStore reports whether the store answers directly. It is false while the store
+// counts as down.
 func (i *isolation) reachesStore() bool {
 	if i.node.store.down.Load() {
 		return false
 	}
-	if !i.node.store.answers(isolationTimeout, verifiedParts[:]...) {
+	if !i.node.store.anyPartitionAnswers(isolationCallTimeout, probedPartitions[:]...) {
 		return false
 	}
-	i.heard()
+	i.recordContact()
 	return true
 }
 
-// reachesOthers reports whether a VM of another failure domain answers, or any VM
-// where there is one domain only. One of them is asked first, since all is well most of
-// the time. Without other VMs it is true.
+// reachesOthers reports whether a VM of another failure domain answers, or any other
+// VM if all are in one domain. It is true if there are no other VMs. It asks one VM
+// first and all others only if that one does not answer, since usually one call
+// suffices.
 func (i *isolation) reachesOthers(ctx context.Context) bool {
 	others := i.node.members.others()
-	abroad := slices.DeleteFunc(slices.Clone(others), func(m member) bool { return m.Domain == i.node.settings.Domain })
-	if len(abroad) > 0 {
-		others = abroad
+	otherDomains := slices.DeleteFunc(slices.Clone(others), func(m member) bool { return m.Domain == i.node.settings.Domain })
+	if len(otherDomains) > 0 {
+		others = otherDomains
 	}
 	if len(others) == 0 {
 		return true
@@ -77,20 +83,20 @@
 	return i.anyAnswers(ctx, others[first:first+1]) || i.anyAnswers(ctx, slices.Delete(others, first, first+1))
 }
 
-// anyAnswers reports whether one of several VMs answers.
+// anyAnswers asks several VMs at the same time and reports whether one answers.
 func (i *isolation) anyAnswers(ctx context.Context, others []member) bool {
-	call, cancel := context.WithTimeout(ctx, isolationTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, isolationCallTimeout)
 	defer cancel()
 	answered := make(chan bool, len(others))
 	for _, m := range others {
 		go func() {
-			_, err := link.Call[Nothing, HeardReply](call, i.node.client, m.Address, "Heard", Nothing{})
+			_, err := link.Call[Nothing, HeardReply](callCtx, i.node.client, m.Address, "Heard", Nothing{})
 			answered <- err == nil
 		}()
 	}
 	for range others {
 		if <-answered {
-			i.heard()
+			i.recordContact()
 			return true
 		}
 	}
--- a/internal/node/entryvm/jobs.go
+++ b/internal/node/entryvm/jobs.go
@@ -11,29 +11,31 @@
 )
 
 const (
-	// stateTimeout bounds one question to the leader.
-	stateTimeout = 500 * time.Millisecond
-	// leaderWait bounds the wait for a leader; callers can ask again.
-	leaderWait = 1500 * time.Millisecond
-	// leaderPause is the wait before a question to the leader is repeated.
-	leaderPause = 100 * time.Millisecond
+	// leaderCallTimeout limits one call to the leader.
+	leaderCallTimeout = 500 * time.Millisecond
+	// askLeaderTimeout limits a question to the leader with its retries. Callers can ask
+	// again.
+	askLeaderTimeout = 1500 * time.Millisecond
+	// leaderRetryPause is the pause before a question to the leader is retried.
+	leaderRetryPause = 100 * time.Millisecond
 )
 
-// Submit stores a job. It returns KindNotStored only when the job is not stored
-// and never will be.
+// Submit stores a job. The error has KindNotStored if the job is not stored and never
+// will be, and KindUnknown if it may be.
 func (n *Node) Submit(ctx context.Context, j *work.Job) error {
 	return n.write(ctx, store.Record{Key: j.ID, Value: work.Encode(j)})
 }
 
-// errIsolated refuses a record before anything was tried.
-var errIsolated = fault.Newf("store_job", KindNotStored, "neither the store nor another failure domain is reached")
+// errIsolated is the error of Submit and Cancel while this VM is isolated. Nothing was
+// sent to the store.
+var errIsolated = fault.Newf("store_job", KindNotStored, "this VM reaches neither the store nor another failure domain")
 
-// Cancel stores the cancellation of a job, with the errors of Submit.
+// Cancel stores the cancellation of a job. It returns the same errors as Submit.
 func (n *Node) Cancel(ctx context.Context, id string) error {
 	return n.write(ctx, store.Record{Key: id + cancelSuffix, Value: []byte{1}})
 }
 
-// write stores a record, unless nothing is reached to store it.
+// write stores a record, unless this VM is isolated.
 func (n *Node) write(ctx context.Context, r store.Record) error {
 	if n.isolation.isolated.Load() {
 		return errIsolated
@@ -41,7 +43,9 @@
 	return n.writer.write(ctx, r)
 }
 
-// State returns the state of a job; known is false when there is no such job.
+// State returns the state of a job; known is false if the job does not exist. The
+// error has KindNoLeader if no leader answers within askLeaderTimeout, or this VM is
+// isolated.
 func (n *Node) State(ctx context.Context, id string) (state work.State, known bool, err error) {
 	r, err := askLeader(ctx, n, "State", JobArgs{ID: id},
 		func(l *leader) StateReply { return l.status(id) },
@@ -49,7 +53,8 @@
 	return r.State, r.Known, err
 }
 
-// Pending counts the jobs of a queue that have not started.
+// Pending returns the number of jobs of a queue that have not started. It returns the
+// same errors as State.
 func (n *Node) Pending(ctx context.Context, queue string) (int, error) {
 	r, err := askLeader(ctx, n, "Pending", PendingArgs{Queue: queue},
 		func(l *leader) PendingReply { return l.pending(queue) },
@@ -57,27 +62,28 @@
 	return r.Pending, err
 }
 
-// askLeader puts a question to the leader until the answer is good, which takes a
-// while where another VM takes over. local answers it where this VM leads.
-func askLeader[Args, Reply any](ctx context.Context, n *Node, method string, args Args, local func(*leader) Reply, good func(Reply) bool) (Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, leaderWait)
+// askLeader calls a method of the leader and returns the first reply that accept
+// allows. It retries, since a take-over by another VM takes a while. If this VM leads,
+// it calls local instead.
+func askLeader[Args, Reply any](ctx context.Context, n *Node, method string, args Args, local func(*leader) Reply, accept func(Reply) bool) (Reply, error) {
+	ctx, cancel := context.WithTimeout(ctx, askLeaderTimeout)
 	defer cancel()
 	for {
-		if l := n.leading(); l != nil {
-			if r := local(l); good(r) {
+		if l := n.activeLeader(); l != nil {
+			if r := local(l); accept(r) {
 				return r, nil
 			}
-		} else if c, ok := n.election.leader(); ok {
-			call, cancel := context.WithTimeout(ctx, stateTimeout)
-			r, err := link.Call[Args, Reply](call, n.client, c.Address, method, args)
+		} else if c, ok := n.election.knownLeader(); ok {
+			callCtx, cancel := context.WithTimeout(ctx, leaderCallTimeout)
+			r, err := link.Call[Args, Reply](callCtx, n.client, c.Address, method, args)
 			cancel()
-			if err == nil && good(r) {
+			if err == nil && accept(r) {
 				return r, nil
 			}
 		}
-		if n.isolation.isolated.Load() || !pause(ctx, leaderPause) {
-			var none Reply
-			return none, fault.Newf("ask_leader", KindNoLeader, "no leader answers")
+		if n.isolation.isolated.Load() || !sleep(ctx, leaderRetryPause) {
+			var zero Reply
+			return zero, fault.Newf("ask_leader", KindNoLeader, "no leader answers")
 		}
 	}
 }
--- a/internal/node/entryvm/keepers.go
+++ b/internal/node/entryvm/keepers.go
@@ -9,15 +9,17 @@
 	"github.com/almondpost/almondpost/internal/peer/link"
 )
 
-// newCarrier returns what makes the calls to workers that another VM leads.
-func newCarrier(n *Node) *keeper.Carrier {
-	return keeper.NewCarrier(n.run, n.peers.Dial, func(ctx context.Context, leader netip.AddrPort, a keeper.Answers) error {
+// newForwarder returns the forwarder that calls workers for other VMs while they lead.
+func newForwarder(n *Node) *keeper.Forwarder {
+	return keeper.NewForwarder(n.ctx, n.dependencies.Dial, func(ctx context.Context, leader netip.AddrPort, a keeper.Answers) error {
 		_, err := link.Call[keeper.Answers, Nothing](ctx, n.client, leader, "Answered", a)
 		return err
 	}, n.log)
 }
 
-// newDispatcher returns what hands calls to keepers while this VM leads.
+// newDispatcher returns the dispatcher that sends calls to keepers while this VM
+// leads. Call numbers continue from the current time in nanoseconds, so they are
+// higher than those of earlier processes of this VM.
 func newDispatcher(n *Node) *keeper.Dispatcher {
 	return keeper.NewDispatcher(n.settings.Peers, now().UnixNano(), func(ctx context.Context, to netip.AddrPort, b keeper.Batch) error {
 		_, err := link.Call[keeper.Batch, Nothing](ctx, n.client, to, "Carry", b)
@@ -25,28 +27,28 @@
 	}, n.log)
 }
 
-// Carry makes calls to workers for the leader.
+// Carry makes calls to workers for the leader. It returns before they are answered.
 func (h *handler) Carry(b keeper.Batch, _ *Nothing) error {
-	h.node.carrier.Carry(b)
+	h.node.forwarder.Forward(b)
 	return nil
 }
 
-// Answered takes the answers of workers to a leader.
+// Answered receives the answers of workers to forwarded calls.
 func (h *handler) Answered(a keeper.Answers, _ *Nothing) error {
-	h.node.dispatcher.Answered(a.Answers)
+	h.node.dispatcher.HandleAnswers(a.Answers)
 	return nil
 }
 
-// dial returns a worker that is reached through its keeper.
-func (l *leader) dial(r backend.Registration) backend.Worker {
-	return keeper.NewWorker(l.node.dispatcher, r, l.node.peers.Dial(r))
+// dialWorker returns a client that calls a worker through its keeper.
+func (l *leader) dialWorker(r backend.Registration) backend.Worker {
+	return keeper.NewWorker(l.node.dispatcher, r, l.node.dependencies.Dial(r))
 }
 
-// dealWorkers makes the entry VMs that answer the keepers of the workers. The leader
-// is none: it has the decisions to make.
-func (l *leader) dealWorkers() {
+// assignKeepers assigns the workers to the entry VMs that answer heartbeats and other
+// calls. The leader is no keeper, since it needs its processor time to schedule.
+func (l *leader) assignKeepers() {
 	l.mutex.Lock()
-	answering := l.reachable(now())
+	answering := l.reachableVMs(now())
 	workers := map[string]int{}
 	for _, r := range l.registrations {
 		workers[r.Zone]++
@@ -59,5 +61,5 @@
 			list = append(list, keeper.Member{Name: m.Name, Domain: m.Domain, Address: m.Address, Fitness: m.Fitness})
 		}
 	}
-	l.node.dispatcher.SetRoster(keeper.NewRoster(list, workers))
+	l.node.dispatcher.SetAssignment(keeper.NewAssignment(list, workers))
 }
--- a/internal/node/entryvm/keepers_test.go
+++ b/internal/node/entryvm/keepers_test.go
@@ -12,12 +12,14 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// largeFleet is more workers than a leader calls by itself.
-const largeFleet = 110
+// largeFleetSize is more workers than a leader calls directly, so that it uses
+// keepers.
+const largeFleetSize = 110
 
-// addFleet adds workers of two domains, so that there are keepers.
-func (f *fixture) addFleet() {
-	for i := range largeFleet {
+// addLargeFleet adds workers in two failure domains, enough for the leader to use
+// keepers.
+func (f *fixture) addLargeFleet() {
+	for i := range largeFleetSize {
 		f.is.NoErr(f.fleet.Add(f.store, backend.Registration{
 			Life: backend.Life{ID: fmt.Sprintf("kept-%d", i), Born: 1}, Service: "desk", Zone: fmt.Sprintf("domain-%d", i%2),
 			Capacity: resource.Vector{Milliprocessors: 1000, MemoryMebibytes: 1000},
@@ -25,14 +27,15 @@
 	}
 }
 
-// A VM leaves while tasks run on workers that are held through it: the leader, which
-// kept none, or the others, which kept all.
+// VMs crash while tasks run on workers that the leader calls through keepers. The loss
+// of the leader or of a keeper must neither lose a task nor start it twice.
 func TestTasksRunOnceWhileKeepersChange(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		leaves   func(leader int) []int
+		// closed returns the indexes of the VMs to close.
+		closed func(leader int) []int
 	}{
-		{"nobody leaves", func(int) []int { return nil }},
+		{"no VM is killed", func(int) []int { return nil }},
 		{"the leader is killed", func(leader int) []int { return []int{leader} }},
 		{"two keepers are killed", func(leader int) []int { return []int{(leader + 1) % 4, (leader + 2) % 4} }},
 	}
@@ -41,21 +44,21 @@
 			is := is.New(t)
 			f := newFixture(t, 4, 1500*time.Millisecond)
 			f.is = is
-			f.addFleet()
-			leader := f.leader()
-			last := (leader + 3) % 4
+			f.addLargeFleet()
+			leader := f.leaderIndex()
+			survivor := (leader + 3) % 4
 			const jobs = 40
 			for i := range jobs {
-				is.NoErr(f.submit(f.nodes[last], fmt.Sprintf("job-%d", i)))
+				is.NoErr(f.submit(f.nodes[survivor], fmt.Sprintf("job-%d", i)))
 			}
 			for i := range jobs {
-				f.await(f.nodes[last], fmt.Sprintf("job-%d", i), work.Running)
+				f.awaitState(f.nodes[survivor], fmt.Sprintf("job-%d", i), work.Running)
 			}
-			for _, i := range sc.leaves(leader) {
+			for _, i := range sc.closed(leader) {
 				f.nodes[i].Close()
 			}
 			for i := range jobs {
-				f.await(f.nodes[last], fmt.Sprintf("job-%d", i), work.Completed)
+				f.awaitState(f.nodes[survivor], fmt.Sprintf("job-%d", i), work.Completed)
 				for k := range 2 {
 					task := firstTask(fmt.Sprintf("job-%d", i))
 					task.Index = k
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -14,123 +14,126 @@
 )
 
 const (
-	// producerName is the producer of progress records; its epoch is that of
-	// the claim.
+	// producerName is the producer name of progress records. The producer epoch is the
+	// epoch of the claim.
 	producerName = "leader"
-	// planInterval is the least pause between two plans.
-	planInterval = 4 * time.Millisecond
-	// planRest times the length of a plan is the pause after it, so that plans
-	// leave processor time for orders and reports.
-	planRest = 2
-	// tickInterval is the pause between looks at the clock.
+	// minPlanPause is the shortest pause after a planning pass.
+	minPlanPause = 4 * time.Millisecond
+	// planPauseFactor is the least ratio of the pause after a planning pass to the
+	// duration of the pass. The pause leaves processor time for orders and reports.
+	planPauseFactor = 2
+	// tickInterval is the pause between two ticks of the scheduler's clock.
 	tickInterval = 100 * time.Millisecond
-	// tailInterval is the pause between reads of a partition of new jobs, of which
-	// the VMs that store them tell the leader too. A read proves that every job
-	// accepted before is known, so it is well below freshness.
-	tailInterval = 1200 * time.Millisecond
-	// freshness is the age of that proof up to which a job that is not known is
-	// said not to exist.
-	freshness = 2 * time.Second
-	// workersInterval is the pause between reads of what workers register.
-	workersInterval = 350 * time.Millisecond
-	// commitPause is the pause between two commits, in which more changes gather.
+	// jobsReadInterval is the pause between two reads of a partition of jobs. VMs that
+	// store a job also send it to the leader directly. The interval is well below
+	// maxJobsReadAge, since only a read proves that no stored job is missing.
+	jobsReadInterval = 1200 * time.Millisecond
+	// maxJobsReadAge is how long ago the last read of a partition of jobs may have begun
+	// for the leader to report an unknown job as non-existent.
+	maxJobsReadAge = 2 * time.Second
+	// registrationsReadInterval is the pause between two reads of worker registrations.
+	registrationsReadInterval = 350 * time.Millisecond
+	// commitPause is the pause between two commits, so that each contains more changes.
 	commitPause = 6 * time.Millisecond
-	// renewInterval is the longest pause between appends that prove the right
-	// to lead.
+	// renewInterval is the longest pause between appends that renew the claim.
 	renewInterval = time.Second
-	// renewalKey is the key of records that only prove the claim.
+	// renewalKey is the key of records that only renew the claim.
 	renewalKey = "renewal"
-	// restoreTimeout is how long a leader may take to read the stored state before
-	// another VM may try.
+	// restoreTimeout limits the time for which a new leader may read the stored state.
+	// Then it steps down, so that another VM can lead.
 	restoreTimeout = 12 * time.Second
-	// yieldAfter is how long a leader leads before it yields to a fitter VM, and
-	// lostAfter how long it leads without reaching the store by itself: each record
-	// takes a detour then, and jobs of several steps are late.
-	yieldAfter = 3 * time.Second
-	lostAfter  = 700 * time.Millisecond
-	// askMargin is how long another VM may take beyond the time of a question: the
-	// way there and back, and some load.
-	askMargin = 250 * time.Millisecond
-	// cancelSuffix marks the record that cancels a job.
+	// yieldToFitterAfter is how long a leader leads before it hands over to a much fitter
+	// VM, and yieldWithoutStoreAfter how long before it hands over because it does not
+	// reach the store directly. Relaying every record through another VM delays jobs of
+	// several steps.
+	yieldToFitterAfter     = 3 * time.Second
+	yieldWithoutStoreAfter = 700 * time.Millisecond
+	// adviceMargin is how much longer than the adviser's timeout the leader waits for
+	// another VM to return the advice. It covers the round trip and some load.
+	adviceMargin = 250 * time.Millisecond
+	// cancelSuffix follows the job ID in the key of a cancellation record.
 	cancelSuffix = "/cancel"
 )
 
-// leader runs the cell while this VM holds the claim.
+// leader schedules the jobs of the cell while this VM holds the claim with the highest
+// epoch.
 type leader struct {
-	node   *Node
-	epoch  int64
-	ctx    context.Context
-	stop   context.CancelFunc
-	dirty  chan struct{}
-	replan chan struct{}
-	// doubt asks for a renewal of the claim at once.
-	doubt chan struct{}
+	node  *Node
+	epoch int64
+	ctx   context.Context
+	stop  context.CancelFunc
+	// commitSignal wakes the commit loop, and planSignal the planning loop.
+	commitSignal chan struct{}
+	planSignal   chan struct{}
+	// renewSignal makes the commit loop renew the claim at once.
+	renewSignal chan struct{}
 
-	mutex    sync.Mutex
-	state    *scheduler.Scheduler
-	sessions map[backend.Life]*session
-	// stored is closed and replaced with each commit.
-	stored chan struct{}
-	// tailed is when each partition of jobs was last read to its end.
-	tailed []time.Time
-	// partitions holds in which partitions the records of a job are, as bits.
-	partitions map[string]uint64
-	// serving is false until the stored state is restored.
+	mutex     sync.Mutex
+	scheduler *scheduler.Scheduler
+	sessions  map[backend.Life]*session
+	// committed is closed and replaced after each commit.
+	committed chan struct{}
+	// lastJobsRead is when the last successful read of each partition of jobs began.
+	lastJobsRead []time.Time
+	// jobPartitions holds a bit mask of the partitions that contain records of each job.
+	jobPartitions map[string]uint64
+	// serving is true once the stored state is restored.
 	serving bool
-	// sequence is that of the last append as producer.
-	sequence int64
+	// nextSequence is the sequence number of the next append as producer.
+	nextSequence int64
 
+	// registrations holds the registration of each worker by its ID.
 	registrations map[string]backend.Registration
-	// began is when this VM began to lead, or last tried to yield.
-	began time.Time
-	// answered is when each entry VM last answered a heartbeat, and reaching tells
-	// which of them reach the store by themselves.
-	answered map[string]time.Time
-	reaching map[string]bool
-	// behind are the entry VMs with an older configuration.
-	behind *laggards
+	// leadingSince is when this VM began to lead, or last tried to hand over.
+	leadingSince time.Time
+	// lastAnswer is when each entry VM last answered a heartbeat, and reachesStore
+	// whether it then reached the store directly.
+	lastAnswer   map[string]time.Time
+	reachesStore map[string]bool
+	// outdated tracks the entry VMs with an older configuration.
+	outdated *outdatedVMs
 }
 
 func newLeader(ctx context.Context, n *Node, epoch int64) *leader {
 	ctx, stop := context.WithCancel(ctx)
 	return &leader{
 		node: n, epoch: epoch, ctx: ctx, stop: stop,
-		dirty: make(chan struct{}, 1), replan: make(chan struct{}, 1), doubt: make(chan struct{}, 1),
-		state:    scheduler.New(n.settings.Timing, epoch, now(), time.Now(), n.log),
-		sessions: map[backend.Life]*session{}, stored: make(chan struct{}),
-		tailed: make([]time.Time, n.settings.Partitions), partitions: map[string]uint64{},
-		registrations: map[string]backend.Registration{}, answered: map[string]time.Time{}, reaching: map[string]bool{}, behind: newLaggards(), began: now(),
+		commitSignal: make(chan struct{}, 1), planSignal: make(chan struct{}, 1), renewSignal: make(chan struct{}, 1),
+		scheduler: scheduler.New(n.settings.Timing, epoch, now(), time.Now(), n.log),
+		sessions:  map[backend.Life]*session{}, committed: make(chan struct{}),
+		lastJobsRead: make([]time.Time, n.settings.Partitions), jobPartitions: map[string]uint64{},
+		registrations: map[string]backend.Registration{}, lastAnswer: map[string]time.Time{}, reachesStore: map[string]bool{}, outdated: newOutdatedVMs(), leadingSince: now(),
 	}
 }
 
-// run leads until the claim is lost.
+// run restores the stored state and leads until the claim is lost.
 func (l *leader) run() {
 	defer l.retire()
-	go l.beat()
-	giveUp := time.AfterFunc(restoreTimeout, l.giveUpRestore)
-	jobsFrom, err := l.restore()
-	giveUp.Stop()
+	go l.sendHeartbeats()
+	restoreTimer := time.AfterFunc(restoreTimeout, l.abortRestore)
+	offsets, err := l.restore()
+	restoreTimer.Stop()
 	if err != nil {
 		l.node.log.Info("take_over_failed", "epoch", l.epoch, "error", err.Error())
 		return
 	}
-	if t := l.node.tables.current(); t != nil {
+	if t := l.node.configuration.current(); t != nil {
 		l.setTable(t)
 	}
-	for part, from := range jobsFrom {
+	for part, from := range offsets {
 		go l.tailJobs(part, from)
 	}
-	l.dealWorkers()
-	go l.tailWorkers()
+	l.assignKeepers()
+	go l.tailRegistrations()
 	go l.planLoop()
 	go l.tickLoop()
 	l.commitLoop()
 }
 
-// retire gives everything up that the claim allowed.
+// retire stops the leader and closes its connections to workers.
 func (l *leader) retire() {
 	l.stop()
-	l.node.setLead(l, nil)
+	l.node.swapLeader(l, nil)
 	l.mutex.Lock()
 	for _, s := range l.sessions {
 		s.close()
@@ -139,24 +142,26 @@
 	l.node.log.Info("leader_retired", "epoch", l.epoch)
 }
 
-// update changes the state and carries out what follows from it.
+// update changes the state of the scheduler and applies the effects. It does nothing
+// once the leader is stopped.
 func (l *leader) update(change func(s *scheduler.Scheduler, at time.Time)) {
 	l.mutex.Lock()
 	if l.ctx.Err() != nil {
 		l.mutex.Unlock()
 		return
 	}
-	change(l.state, now())
-	e := l.state.Take()
-	needsPlan := l.state.NeedsPlan()
-	l.carryOut(&e)
+	change(l.scheduler, now())
+	e := l.scheduler.Take()
+	needsPlan := l.scheduler.NeedsPlan()
+	l.applyEffects(&e)
 	l.mutex.Unlock()
-	signal(l.dirty)
+	signal(l.commitSignal)
 	if needsPlan {
-		signal(l.replan)
+		signal(l.planSignal)
 	}
 }
 
+// signal sends a value to a channel of capacity 1, unless it already contains one.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -164,8 +169,9 @@
 	}
 }
 
-// carryOut starts what the scheduler wants done. The caller holds the lock.
-func (l *leader) carryOut(e *scheduler.Effects) {
+// applyEffects opens and closes sessions and starts the calls that the scheduler has
+// requested. It does not wait for them. The caller must hold the mutex.
+func (l *leader) applyEffects(e *scheduler.Effects) {
 	for i := range e.Opened {
 		r := e.Opened[i]
 		s := newSession(l, r)
@@ -180,17 +186,17 @@
 	}
 	for i := range e.Starts {
 		if s := l.sessions[e.Starts[i].Worker]; s != nil {
-			go s.start(e.Starts[i].Order)
+			go s.sendStart(e.Starts[i].Order)
 		}
 	}
 	for i := range e.Stops {
 		if s := l.sessions[e.Stops[i].Worker]; s != nil {
-			go s.stopRun(e.Stops[i].Order)
+			go s.sendStop(e.Stops[i].Order)
 		}
 	}
 	for i := range e.Paces {
 		if s := l.sessions[e.Paces[i].Worker]; s != nil {
-			go s.pace(e.Paces[i].Order)
+			go s.sendPace(e.Paces[i].Order)
 		}
 	}
 	for _, life := range e.Wake {
@@ -199,57 +205,62 @@
 		}
 	}
 	for i := range e.Asks {
-		go l.ask(e.Asks[i])
+		go l.requestAdvice(e.Asks[i])
 	}
 	for _, o := range e.Observations {
 		l.node.measures.Observe(measure.Key{Name: o.Name, Of: o.Queue}, o.Took)
 	}
 	if len(e.Dropped) > 0 {
-		go l.drop(e.Dropped)
+		go l.deleteSubmissions(e.Dropped)
 	}
 }
 
+// setTable passes the configuration to the scheduler.
 func (l *leader) setTable(t *queue.Table) {
 	l.update(func(s *scheduler.Scheduler, _ time.Time) { s.SetTable(t) })
 }
 
-// planLoop places waiting tasks when something has changed.
+// planLoop plans the placement of waiting tasks after each planSignal.
 func (l *leader) planLoop() {
 	for {
 		select {
 		case <-l.ctx.Done():
 			return
-		case <-l.replan:
+		case <-l.planSignal:
 		}
 		begun := now()
 		l.update(func(s *scheduler.Scheduler, at time.Time) { s.Plan(at) })
-		pause(l.ctx, max(planInterval, planRest*now().Sub(begun)))
+		sleep(l.ctx, max(minPlanPause, planPauseFactor*now().Sub(begun)))
 	}
 }
 
+// tickLoop advances the scheduler's clock every tickInterval, refreshes the keepers
+// and hands the leadership over if another VM should lead.
 func (l *leader) tickLoop() {
-	for pause(l.ctx, tickInterval) {
-		l.dealWorkers()
+	for sleep(l.ctx, tickInterval) {
+		l.assignKeepers()
 		l.update(func(s *scheduler.Scheduler, at time.Time) {
 			s.Tick(at)
-			s.SetAdvisers(l.reachable(at))
+			s.SetAdvisers(l.reachableVMs(at))
 		})
 		if successors := l.successors(now()); len(successors) > 0 {
-			l.began = now() // The next try comes after another while.
+			l.leadingSince = now() // Delays the next attempt to hand over.
 			l.node.election.handOver(l.ctx, successors)
 		}
 	}
 }
 
-// ask has an entry VM put a question to the adviser. The VM gives it up by itself in
-// time, so that the connection to it, which carries other questions, stays.
-func (l *leader) ask(a scheduler.Ask) {
-	ctx, cancel := context.WithTimeout(l.ctx, a.Timeout+askMargin)
+// requestAdvice has an entry VM call the adviser and passes the answer to the
+// scheduler. The VM applies the timeout itself and the leader waits adviceMargin
+// longer: if the leader's call timed out, it would lose the connection to the VM,
+// which other calls share.
+func (l *leader) requestAdvice(a scheduler.Ask) {
+	ctx, cancel := context.WithTimeout(l.ctx, a.Timeout+adviceMargin)
 	defer cancel()
 	var answer backend.Advice
 	var err error
 	if a.VM == l.node.settings.Name {
-		answer, err = l.node.peers.Adviser.Advise(ctx, a.Step, a.Workers)
+		answer, err = l.node.dependencies.Adviser.Advise(ctx, a.Step, a.Workers)
 	} else if m, ok := l.node.members.find(a.VM); ok {
 		answer, err = link.Call[AdviceArgs, backend.Advice](ctx, l.node.client, m.Address, "Advise", AdviceArgs{Step: a.Step, Workers: a.Workers, Timeout: a.Timeout})
 	} else {
@@ -261,20 +272,20 @@
 	l.update(func(s *scheduler.Scheduler, at time.Time) { s.AdviceAnswered(a.Number, answer, err != nil, at) })
 }
 
-// status answers a question about a job.
+// status returns the state of a job for the reply to a caller.
 func (l *leader) status(id string) StateReply {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if !l.serving || l.ctx.Err() != nil {
 		return StateReply{}
 	}
-	state, known := l.state.Status(id, l.leadsAlone(now()))
-	return StateReply{Leading: true, Known: known, State: state, Fresh: l.fresh()}
+	state, known := l.scheduler.Status(id, l.hasQuorum(now()))
+	return StateReply{Leading: true, Known: known, State: state, Fresh: l.jobsUpToDate()}
 }
 
-// pending counts the jobs of a queue that have not started.
+// pending returns the number of jobs of a queue that have not started.
 func (l *leader) pending(queue string) PendingReply {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return PendingReply{Leading: l.serving && l.ctx.Err() == nil, Pending: l.state.Pending(queue)}
+	return PendingReply{Leading: l.serving && l.ctx.Err() == nil, Pending: l.scheduler.Pending(queue)}
 }
--- a/internal/node/entryvm/members.go
+++ b/internal/node/entryvm/members.go
@@ -13,126 +13,133 @@
 	"github.com/almondpost/almondpost/internal/peer/store"
 )
 
-// member is an entry VM as it is recorded in the store.
+// member is the stored record of an entry VM.
 type member struct {
 	Name    string         `json:"name"`
 	Domain  string         `json:"domain"`
 	Address netip.AddrPort `json:"address"`
-	// Fitness tells how well the VM can lead; see Settings.
+	// Fitness rates how suitable the VM is as leader; see Settings.
 	Fitness float64 `json:"fitness"`
-	// Started is the start of the process in Unix milliseconds.
+	// Started is the start time of the process in Unix milliseconds.
 	Started int64 `json:"started"`
 }
 
-// members follows the list of entry VMs.
+// members tracks the entry VMs that are recorded in the store.
 type members struct {
 	node  *Node
 	mutex sync.Mutex
-	known map[string]member
+	// byName includes this VM.
+	byName map[string]member
 }
 
 func newMembers(n *Node) *members {
 	self := member{Name: n.settings.Name, Domain: n.settings.Domain, Address: n.settings.Peers, Fitness: n.settings.Fitness, Started: time.Now().UnixMilli()}
-	return &members{node: n, known: map[string]member{self.Name: self}}
+	return &members{node: n, byName: map[string]member{self.Name: self}}
 }
 
 const (
-	// followWait is how long the store may hold a read of a topic that rarely
-	// changes.
-	followWait = 20 * time.Second
-	// retryPause is the wait after a failed call to the store.
+	// longPollWait is how long the store may delay the answer to a read until a record is
+	// appended, on topics that rarely change.
+	longPollWait = 20 * time.Second
+	// retryPause is the pause after a failed call to the store.
 	retryPause = 200 * time.Millisecond
-	// storeTimeout bounds a call to the store, without the time that it may
-	// hold a read.
+	// storeTimeout limits a call to the store, in addition to the wait of a long poll.
 	storeTimeout = 1500 * time.Millisecond
-	// snapshotTimeout bounds the reading of all newest records: several megabytes
-	// over the narrowest link of an entry VM.
+	// snapshotTimeout limits the read of a snapshot: several megabytes over the slowest
+	// link of an entry VM.
 	snapshotTimeout = 8 * time.Second
 )
 
+// run registers this VM and follows the records of the others until ctx is done.
 func (m *members) run(ctx context.Context) {
 	go m.register(ctx)
-	follow(ctx, m.node, store.VMs, always(followWait), m.apply)
+	followTopic(ctx, m.node, store.VMs, fixedWait(longPollWait), m.applyRecords)
 }
 
-// register records this VM, so that the others find it.
+// register stores the record of this VM, so that the others find it. It retries until
+// that succeeds.
 func (m *members) register(ctx context.Context) {
 	self, _ := m.find(m.node.settings.Name)
 	value, _ := json.Marshal(self)
 	for {
-		call, cancel := context.WithTimeout(ctx, storeTimeout)
-		_, err := m.node.store.Append(call, store.Append{Topic: store.VMs, Records: []store.Record{{Key: m.node.settings.Name, Value: value}}})
+		callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
+		_, err := m.node.store.Append(callCtx, store.Append{Topic: store.VMs, Records: []store.Record{{Key: m.node.settings.Name, Value: value}}})
 		cancel()
-		if err == nil || !pause(ctx, retryPause+rand.N(retryPause)) {
+		if err == nil || !sleep(ctx, retryPause+rand.N(retryPause)) {
 			return
 		}
 	}
 }
 
-func (m *members) apply(records []store.Record) {
+// applyRecords applies records of entry VMs. A record without a value removes the VM.
+func (m *members) applyRecords(records []store.Record) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for i := range records {
-		var v member
+		var vm member
 		r := &records[i]
 		if len(r.Value) == 0 {
-			delete(m.known, r.Key)
-		} else if err := json.Unmarshal(r.Value, &v); err != nil || v.Name != r.Key {
+			delete(m.byName, r.Key)
+		} else if err := json.Unmarshal(r.Value, &vm); err != nil || vm.Name != r.Key {
 			m.node.log.Info("member_record_unreadable", "key", r.Key)
 		} else {
-			m.known[v.Name] = v
+			m.byName[vm.Name] = vm
 		}
 	}
 }
 
-// others lists the other entry VMs by name.
+// others returns the other entry VMs, sorted by name.
 func (m *members) others() []member {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	list := make([]member, 0, len(m.known))
-	for _, v := range m.known {
-		if v.Name != m.node.settings.Name {
-			list = append(list, v)
+	list := make([]member, 0, len(m.byName))
+	for _, vm := range m.byName {
+		if vm.Name != m.node.settings.Name {
+			list = append(list, vm)
 		}
 	}
 	slices.SortFunc(list, func(a, b member) int { return strings.Compare(a.Name, b.Name) })
 	return list
 }
 
+// find returns the entry VM with a name, and false if it is not known.
 func (m *members) find(name string) (member, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	v, ok := m.known[name]
-	return v, ok
+	vm, ok := m.byName[name]
+	return vm, ok
 }
 
-// fitterFactor is how much fitter a VM must be for the leader to change.
+// fitterFactor is the ratio of fitness above which a VM should lead instead of another
+// one.
 const fitterFactor = 1.5
 
-// anyFitter reports whether another VM is much fitter to lead than this one.
-func (m *members) anyFitter() bool {
-	return slices.ContainsFunc(m.others(), func(v member) bool { return v.Fitness > fitterFactor*m.node.settings.Fitness })
+// hasMuchFitter reports whether the fitness of another VM is more than fitterFactor
+// times that of this one.
+func (m *members) hasMuchFitter() bool {
+	return slices.ContainsFunc(m.others(), func(vm member) bool { return vm.Fitness > fitterFactor*m.node.settings.Fitness })
 }
 
-// always returns a function that returns a time.
-func always(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
+// fixedWait returns a function that always returns d.
+func fixedWait(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
-// follow hands every change of a topic to apply: first the newest record of each
-// key, then what is appended. It starts again when the store has dropped what
-// comes next.
-func follow(ctx context.Context, n *Node, topic store.Topic, wait func() time.Duration, apply func([]store.Record)) {
+// followTopic passes the records of a topic to apply until ctx is done: first a
+// snapshot with the newest record of each key, then the appended records. wait returns
+// the time for which the store may delay the answer to the next read. If the store has
+// dropped the next records, followTopic starts again with a snapshot.
+func followTopic(ctx context.Context, n *Node, topic store.Topic, wait func() time.Duration, apply func([]store.Record)) {
 	from := int64(-1)
 	for ctx.Err() == nil {
-		records, next, err := readOn(ctx, n.store, store.Read{Topic: topic, From: from, Wait: wait()})
+		records, next, err := readFrom(ctx, n.store, store.Read{Topic: topic, From: from, Wait: wait()})
 		if err != nil {
-			if kindOf(err) == store.KindDropped {
+			if storeKind(err) == store.KindDropped {
 				from = -1
 				continue
 			}
 			if ctx.Err() == nil {
 				n.log.Info("follow_failed", "topic", string(topic), "error", err.Error())
 			}
-			pause(ctx, retryPause+rand.N(retryPause))
+			sleep(ctx, retryPause+rand.N(retryPause))
 			continue
 		}
 		if len(records) > 0 || from < 0 {
@@ -142,16 +149,17 @@
 	}
 }
 
-// readOn reads the records from an offset on, or a snapshot for -1.
-func readOn(ctx context.Context, s store.Store, r store.Read) ([]store.Record, int64, error) {
+// readFrom reads the records from an offset on, or a snapshot if the offset is -1. It
+// also returns the offset to continue from.
+func readFrom(ctx context.Context, s store.Store, r store.Read) ([]store.Record, int64, error) {
 	if r.From < 0 {
-		call, cancel := context.WithTimeout(ctx, snapshotTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 		defer cancel()
-		snapshot, err := s.Newest(call, r.Topic, r.Part)
+		snapshot, err := s.Newest(callCtx, r.Topic, r.Part)
 		return snapshot.Records, snapshot.End, err
 	}
-	call, cancel := context.WithTimeout(ctx, r.Wait+storeTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, r.Wait+storeTimeout)
 	defer cancel()
-	batch, err := s.Read(call, r)
+	batch, err := s.Read(callCtx, r)
 	return batch.Records, batch.Next, err
 }
--- a/internal/node/entryvm/node.go
+++ b/internal/node/entryvm/node.go
@@ -1,5 +1,7 @@
-// Package entryvm runs an entry VM: it takes jobs from callers, stores them, and
-// leads the cell when it holds the claim.
+// Package entryvm runs an entry VM. Every entry VM accepts jobs from callers and
+// appends them to the store. One of them, the leader, also runs the scheduler: it
+// reads the jobs, calls the workers and stores the progress. VMs become leader by
+// storing a claim, and the claim with the highest epoch fences all earlier leaders.
 package entryvm
 
 import (
@@ -26,82 +28,87 @@
 // Kind classifies the errors of this package.
 type Kind string
 
-// The kinds of Error.
+// The values of Kind.
 const (
-	// KindNotStored means that a job was not and will not be accepted.
+	// KindNotStored means that a job or cancellation is not stored and never will be.
 	KindNotStored Kind = "not_stored"
-	// KindUnknown means that a job may have been accepted.
+	// KindUnknown means that a job or cancellation may be stored: an append was not
+	// answered.
 	KindUnknown Kind = "unknown"
-	// KindNoLeader means that no leader answers at the moment.
+	// KindNoLeader means that the leader, or the entry VM that was addressed, is not
+	// available at the moment.
 	KindNoLeader Kind = "no_leader"
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// defaultPartitions is the number of partitions for jobs where settings name none.
+// defaultPartitions is the number of job partitions if Settings.Partitions is 0.
 const defaultPartitions = 4
 
-// Settings are what a Node has to be told.
+// Settings configures a Node.
 type Settings struct {
-	// Name is unique among entry VMs.
+	// Name is unique among the entry VMs of the cell.
 	Name string
 	// Domain is the failure domain of the VM.
 	Domain string
-	// Fitness tells how well the VM can lead: its processor time in cores, less
-	// where its link is narrow. The fittest lead first.
+	// Fitness rates how suitable the VM is as leader: its processor time in cores,
+	// reduced if its network link is slow. The fittest VMs claim leadership first.
 	Fitness float64
-	// Peers is where other entry VMs connect, over TCP.
+	// Peers is the TCP address to listen on for other entry VMs.
 	Peers netip.AddrPort
-	// Partitions is how many partitions of the store take jobs, the same on every VM;
-	// 0 stands for defaultPartitions. One takes one append at a time.
+	// Partitions is the number of store partitions that jobs are written to. It must be
+	// the same on every VM; 0 means defaultPartitions. A partition handles one append at
+	// a time.
 	Partitions int
-	// Timing is that of the platform.
+	// Timing holds the lease and retention times of the scheduler.
 	Timing scheduler.Timing
 }
 
-// Peers are the connections of a Node to the platform.
+// Peers holds the platform services that a Node uses.
 type Peers struct {
 	Store   store.Store
 	Adviser backend.Adviser
-	// Dial returns a worker by its registration. It does not connect yet.
+	// Dial returns a client for a registered worker. It does not connect until the first
+	// call.
 	Dial func(r backend.Registration) backend.Worker
-	// DecodeTable reads a configuration record.
+	// DecodeTable decodes a configuration record.
 	DecodeTable func(data []byte) (*queue.Table, error)
-	// DecodeRegistration reads the record of a worker.
+	// DecodeRegistration decodes the registration record of the worker with the given ID.
 	DecodeRegistration func(id string, data []byte) (backend.Registration, error)
 }
 
-// Node is one entry VM.
+// Node is a running entry VM.
 type Node struct {
-	log      logr.Logger
-	measures *measure.Set
-	settings Settings
-	peers    Peers
-	store    *relayedStore
-	client   *link.Client
-	listener net.Listener
-	run      context.Context
-	stop     context.CancelFunc
-	members  *members
-	writer   *jobWriter
-	tables   *tables
-	election *election
-	// isolation tells whether callers are better off at other VMs.
+	log          logr.Logger
+	measures     *measure.Set
+	settings     Settings
+	dependencies Peers
+	store        *relayedStore
+	client       *link.Client
+	listener     net.Listener
+	// ctx is done once the node is closed.
+	ctx           context.Context
+	cancel        context.CancelFunc
+	members       *members
+	writer        *jobWriter
+	configuration *configurationWatcher
+	election      *election
+	// isolation detects whether callers should use the VMs of other failure domains.
 	isolation *isolation
-	// carrier makes calls to workers for the leader, dispatcher hands them to other
-	// VMs while this one leads.
-	carrier    *keeper.Carrier
+	// forwarder calls workers on behalf of the leader. dispatcher sends the calls to
+	// other VMs while this one leads.
+	forwarder  *keeper.Forwarder
 	dispatcher *keeper.Dispatcher
 
 	mutex sync.Mutex
-	// lead is nil unless this VM leads.
-	lead *leader
-	// leaving tells that a planned stop has begun.
+	// leader is nil unless this VM leads.
+	leader *leader
+	// leaving is true once a planned stop has begun.
 	leaving bool
 }
 
-// New starts an entry VM.
+// New starts an entry VM. It returns an error if it cannot listen on s.Peers.
 func New(s Settings, p Peers, measures *measure.Set, log logr.Logger) (*Node, error) {
 	l, err := net.Listen("tcp", s.Peers.String())
 	if err != nil {
@@ -112,14 +119,14 @@
 		s.Partitions = defaultPartitions
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	n := &Node{log: log, measures: measures, settings: s, peers: p, client: link.NewClient(serviceName), listener: l, run: ctx, stop: cancel}
+	n := &Node{log: log, measures: measures, settings: s, dependencies: p, client: link.NewClient(serviceName), listener: l, ctx: ctx, cancel: cancel}
 	n.members = newMembers(n)
 	n.store = newRelayedStore(p.Store, n)
-	n.tables = newTables(n)
+	n.configuration = newConfigurationWatcher(n)
 	n.writer = newJobWriter(n)
 	n.election = newElection(n)
 	n.isolation = &isolation{node: n}
-	n.carrier, n.dispatcher = newCarrier(n), newDispatcher(n)
+	n.forwarder, n.dispatcher = newForwarder(n), newDispatcher(n)
 	go func() {
 		if err := link.Serve(l, serviceName, &handler{n}); err != nil {
 			log.Error(err, "peer_server_failed")
@@ -127,63 +134,66 @@
 	}()
 	go n.members.run(ctx)
 	go n.writer.run(ctx)
-	go n.tables.run(ctx)
+	go n.configuration.run(ctx)
 	go n.election.run(ctx)
 	go n.isolation.run(ctx)
 	log.Info("started", "domain", s.Domain, "peer_address", s.Peers.String())
 	return n, nil
 }
 
-// Table returns the configuration in force, or nil.
-func (n *Node) Table() *queue.Table { return n.tables.current() }
+// Table returns the current configuration, or nil before the first one is received.
+func (n *Node) Table() *queue.Table { return n.configuration.current() }
 
-// Ready reports whether callers should be sent here.
+// Ready reports whether callers should be sent to this VM: it has a configuration, is
+// not isolated and is not about to stop.
 func (n *Node) Ready() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return !n.leaving && !n.isolation.isolated.Load() && n.tables.current() != nil
+	return !n.leaving && !n.isolation.isolated.Load() && n.configuration.current() != nil
 }
 
-// Drain begins a planned stop: the leader hands the cell over.
+// Drain begins a planned stop. The VM is no longer ready and, if it leads, hands the
+// leadership over to another VM. It serves calls until Close.
 func (n *Node) Drain(ctx context.Context) {
 	n.mutex.Lock()
 	n.leaving = true
-	lead := n.lead
+	l := n.leader
 	n.mutex.Unlock()
-	n.log.Info("drain_started", "leading", lead != nil)
-	if lead != nil {
+	n.log.Info("drain_started", "leading", l != nil)
+	if l != nil {
 		n.election.handOver(ctx, n.members.others())
 	}
 }
 
-// Close stops everything at once.
+// Close stops the node at once, without handing over the leadership.
 func (n *Node) Close() {
-	n.stop()
+	n.cancel()
 	_ = n.listener.Close()
 	n.client.Close()
 	n.log.Info("stopped")
 }
 
-func (n *Node) leading() *leader {
+// activeLeader returns the leader that runs on this VM, or nil.
+func (n *Node) activeLeader() *leader {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.lead
+	return n.leader
 }
 
-// deposed ends the leadership of this VM if it is of an earlier epoch.
-func (n *Node) deposed(epoch int64) {
-	if l := n.leading(); l != nil && l.epoch < epoch {
+// stepDownIfSuperseded stops the leader on this VM if its epoch is lower than epoch.
+func (n *Node) stepDownIfSuperseded(epoch int64) {
+	if l := n.activeLeader(); l != nil && l.epoch < epoch {
 		n.log.Info("claim_superseded", "epoch", l.epoch, "by", epoch)
 		l.stop()
 	}
 }
 
-// setLead replaces the leadership of this VM if it is the expected one.
-func (n *Node) setLead(expected, next *leader) {
+// swapLeader sets the leader on this VM to next if it currently is expected.
+func (n *Node) swapLeader(expected, next *leader) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.lead == expected {
-		n.lead = next
+	if n.leader == expected {
+		n.leader = next
 	}
 }
 
@@ -193,8 +203,8 @@
 	return n.leaving
 }
 
-// pause waits for a time; it reports whether ctx is still open.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d or until ctx is done. It reports whether the full time has passed.
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/node/entryvm/node_test.go
+++ b/internal/node/entryvm/node_test.go
@@ -26,17 +26,21 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// fixture is a cell of several entry VMs on loopback.
+// fixture is a cell of several entry VMs on loopback with simulated workers and an
+// in-memory store.
 type fixture struct {
 	is    *is.I
 	store *memory.Store
 	fleet *memory.Fleet
 	nodes []*entryvm.Node
+	// links holds the connection of each entry VM to the store, with fault injection.
 	links []*memory.Link
 }
 
-const patience = 15 * time.Second
+// testTimeout limits each wait for an expected state.
+const testTimeout = 15 * time.Second
 
+// newFixture starts entry VMs and three workers, on which each task runs for runTime.
 func newFixture(t *testing.T, vms int, runTime time.Duration) *fixture {
 	f := &fixture{is: is.New(t), store: memory.New(), fleet: memory.NewFleet(runTime)}
 	f.publish(1, "mail")
@@ -61,6 +65,7 @@
 	return f
 }
 
+// decodeTable decodes the JSON that publish writes.
 func decodeTable(data []byte) (*queue.Table, error) {
 	t := &queue.Table{}
 	err := json.Unmarshal(data, t)
@@ -76,15 +81,16 @@
 	f.is.NoErr(err)
 }
 
+// submit submits a job of two tasks through an entry VM.
 func (f *fixture) submit(n *entryvm.Node, id string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	return n.Submit(ctx, &work.Job{ID: id, Queue: "mail", Accepted: time.Now(), Steps: []work.Step{{Count: 2, Size: resource.Vector{Milliprocessors: 500}}}})
 }
 
-// await waits until a VM shows a state of a job.
-func (f *fixture) await(n *entryvm.Node, id string, expected work.State) {
-	end := time.Now().Add(patience)
+// awaitState waits until an entry VM returns the expected state for a job.
+func (f *fixture) awaitState(n *entryvm.Node, id string, expected work.State) {
+	end := time.Now().Add(testTimeout)
 	var state work.State
 	var known bool
 	var err error
@@ -102,9 +108,10 @@
 	f.is.Equal(state, expected)
 }
 
-// leader returns the VM that leads, by the claim in the store.
-func (f *fixture) leader() int {
-	end := time.Now().Add(patience)
+// leaderIndex returns the index of the VM with the last claim in the store. It waits
+// for the first claim.
+func (f *fixture) leaderIndex() int {
+	end := time.Now().Add(testTimeout)
 	for time.Now().Before(end) {
 		if records := f.store.Records(store.Claims, 0); len(records) > 0 {
 			var c struct{ Name string }
@@ -120,103 +127,115 @@
 	return 0
 }
 
-// firstTask names the first task of a job.
+// firstTask returns the ID of the first task of a job.
 func firstTask(id string) work.TaskID { return work.TaskID{StepID: work.StepID{Job: id}} }
 
-func TestJobAtAnyVM(t *testing.T) {
+// A job can be submitted to any VM and its state can be read from any other.
+func TestSubmitAndReadThroughAnyVM(t *testing.T) {
 	f := newFixture(t, 3, 50*time.Millisecond)
 	for i, n := range f.nodes {
 		id := fmt.Sprintf("job-%d", i)
 		f.is.NoErr(f.submit(n, id))
-		f.await(f.nodes[(i+1)%3], id, work.Completed)
+		f.awaitState(f.nodes[(i+1)%3], id, work.Completed)
 		f.is.Equal(f.fleet.Starts(firstTask(id)), 1)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	_, known, err := f.nodes[0].State(ctx, "nobody")
 	f.is.NoErr(err)
 	f.is.True(!known)
 }
 
+// A caller that got no answer submits the job again. It must not run twice.
 func TestSameJobAgainStaysOne(t *testing.T) {
 	f := newFixture(t, 3, 50*time.Millisecond)
 	for _, n := range f.nodes {
 		f.is.NoErr(f.submit(n, "job"))
 	}
-	f.await(f.nodes[0], "job", work.Completed)
-	f.is.NoErr(f.submit(f.nodes[1], "job")) // Long after its first answer.
+	f.awaitState(f.nodes[0], "job", work.Completed)
+	f.is.NoErr(f.submit(f.nodes[1], "job")) // After the job has ended.
 	time.Sleep(time.Second)
 	f.is.Equal(f.fleet.Starts(firstTask("job")), 1)
 }
 
+// The leader can read the cancellation of a job before the job itself. The job must
+// not run.
 func TestCancelBeforeTheJobIsRead(t *testing.T) {
 	f := newFixture(t, 2, time.Minute)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	f.is.NoErr(f.nodes[1].Cancel(ctx, "job"))
 	f.is.NoErr(f.submit(f.nodes[0], "job"))
-	f.await(f.nodes[1], "job", work.Cancelled)
+	f.awaitState(f.nodes[1], "job", work.Cancelled)
 }
 
+// The leader crashes while a task runs. The task must continue, not start again, and
+// later jobs must run.
 func TestTakeOver(t *testing.T) {
 	f := newFixture(t, 3, 3*time.Second)
-	first := f.leader()
+	first := f.leaderIndex()
 	f.is.NoErr(f.submit(f.nodes[first], "job"))
-	f.await(f.nodes[first], "job", work.Running)
+	f.awaitState(f.nodes[first], "job", work.Running)
 	f.nodes[first].Close()
 	other := f.nodes[(first+1)%3]
 	f.is.NoErr(f.submit(other, "later"))
-	f.await(other, "job", work.Completed)
-	f.await(other, "later", work.Completed)
-	f.is.Equal(f.fleet.Starts(firstTask("job")), 1) // It ran on through the take-over.
+	f.awaitState(other, "job", work.Completed)
+	f.awaitState(other, "later", work.Completed)
+	f.is.Equal(f.fleet.Starts(firstTask("job")), 1) // The run continued through the take-over.
 }
 
+// A leader that is about to stop hands the leadership over and still serves callers.
 func TestHandOverOnPlannedStop(t *testing.T) {
 	f := newFixture(t, 3, 50*time.Millisecond)
-	first := f.leader()
+	first := f.leaderIndex()
 	f.is.NoErr(f.submit(f.nodes[first], "job"))
-	f.await(f.nodes[first], "job", work.Completed)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	f.awaitState(f.nodes[first], "job", work.Completed)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	f.nodes[first].Drain(ctx)
 	f.is.True(!f.nodes[first].Ready())
-	end := time.Now().Add(patience)
-	for f.leader() == first && time.Now().Before(end) {
+	end := time.Now().Add(testTimeout)
+	for f.leaderIndex() == first && time.Now().Before(end) {
 		time.Sleep(10 * time.Millisecond)
 	}
-	f.is.True(f.leader() != first)
-	f.is.NoErr(f.submit(f.nodes[first], "later")) // It still answers.
-	f.await(f.nodes[first], "later", work.Completed)
+	f.is.True(f.leaderIndex() != first)
+	f.is.NoErr(f.submit(f.nodes[first], "later")) // The drained VM still serves callers.
+	f.awaitState(f.nodes[first], "later", work.Completed)
 }
 
-// A leader that does not reach the store by itself lets a VM lead that does.
+// A leader that does not reach the store directly must hand over to a VM that does,
+// since relaying every record delays jobs.
 func TestLeaderWithoutStoreYields(t *testing.T) {
 	f := newFixture(t, 3, 50*time.Millisecond)
-	first := f.leader()
+	first := f.leaderIndex()
 	f.is.NoErr(f.submit(f.nodes[first], "before"))
-	f.await(f.nodes[first], "before", work.Completed)
+	f.awaitState(f.nodes[first], "before", work.Completed)
 	f.links[first].Refuse(true)
 	f.is.NoErr(f.submit(f.nodes[(first+1)%3], "during"))
-	for end := time.Now().Add(patience); f.leader() == first && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); f.leaderIndex() == first && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
-	f.is.True(f.leader() != first)
-	f.await(f.nodes[first], "during", work.Completed)
+	f.is.True(f.leaderIndex() != first)
+	f.awaitState(f.nodes[first], "during", work.Completed)
 }
 
+// A VM that loses its connection to the store must still accept jobs, through another
+// VM.
 func TestStoreThroughAnotherVM(t *testing.T) {
 	f := newFixture(t, 3, 50*time.Millisecond)
-	first := f.leader()
+	first := f.leaderIndex()
 	f.is.NoErr(f.submit(f.nodes[first], "job"))
-	f.await(f.nodes[first], "job", work.Completed)
-	f.links[first].Refuse(true) // Both as entry VM and as leader.
+	f.awaitState(f.nodes[first], "job", work.Completed)
+	f.links[first].Refuse(true) // The VM loses the store both for submissions and as leader.
 	f.is.NoErr(f.submit(f.nodes[first], "cut"))
-	f.await(f.nodes[first], "cut", work.Completed)
+	f.awaitState(f.nodes[first], "cut", work.Completed)
 }
 
+// While no VM reaches the store, a job is not accepted. It must not run after the
+// outage either.
 func TestStoreAway(t *testing.T) {
 	f := newFixture(t, 2, 50*time.Millisecond)
-	f.leader()
+	f.leaderIndex()
 	for _, l := range f.links {
 		l.Refuse(true)
 	}
@@ -228,25 +247,29 @@
 		l.Refuse(false)
 	}
 	time.Sleep(2 * time.Second)
-	f.is.Equal(f.fleet.Starts(firstTask("job")), 0) // Not accepted is not run.
+	f.is.Equal(f.fleet.Starts(firstTask("job")), 0) // A job that was not accepted must not run.
 	f.is.NoErr(f.submit(f.nodes[0], "later"))
-	f.await(f.nodes[1], "later", work.Completed)
+	f.awaitState(f.nodes[1], "later", work.Completed)
 }
 
+// Appends that succeed without an answer are repeated. The job must run once all the
+// same.
 func TestLostAnswers(t *testing.T) {
 	f := newFixture(t, 2, 50*time.Millisecond)
-	f.leader()
+	f.leaderIndex()
 	for _, l := range f.links {
 		l.Lose(3)
 	}
 	f.is.NoErr(f.submit(f.nodes[0], "job"))
-	f.await(f.nodes[1], "job", work.Completed)
+	f.awaitState(f.nodes[1], "job", work.Completed)
 	f.is.Equal(f.fleet.Starts(firstTask("job")), 1)
 }
 
+// An append without an answer may have stored the job, so Submit must not report that
+// it is not stored.
 func TestUnansweredSubmissionIsUnknown(t *testing.T) {
 	f := newFixture(t, 2, 50*time.Millisecond)
-	f.leader()
+	f.leaderIndex()
 	f.links[0].Lose(100)
 	f.links[1].Lose(100)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -255,9 +278,10 @@
 	f.is.Equal(fault.KindOf[entryvm.Kind](err), entryvm.KindUnknown)
 }
 
+// A configuration with a lower version, published by mistake, must be ignored.
 func TestConfigurationNeverReverts(t *testing.T) {
 	f := newFixture(t, 3, 50*time.Millisecond)
-	f.leader()
+	f.leaderIndex()
 	f.publish(9, "newer")
 	end := time.Now().Add(2 * time.Second)
 	for _, n := range f.nodes {
@@ -273,9 +297,10 @@
 	}
 }
 
+// A VM that does not reach the store must get a new configuration from the leader.
 func TestConfigurationThroughPeers(t *testing.T) {
 	f := newFixture(t, 3, 50*time.Millisecond)
-	f.leader()
+	f.leaderIndex()
 	time.Sleep(300 * time.Millisecond)
 	f.links[2].Refuse(true)
 	f.publish(9, "newer")
@@ -286,11 +311,13 @@
 	f.is.Equal(f.nodes[2].Table().Version, int64(9))
 }
 
+// The submissions of ended jobs are deleted from the store. A new leader must know
+// these jobs all the same, and must not run them again when they are submitted again.
 func TestEndedJobsAreKnownAfterTakeOver(t *testing.T) {
 	f := newFixture(t, 3, 50*time.Millisecond)
-	first := f.leader()
+	first := f.leaderIndex()
 	f.is.NoErr(f.submit(f.nodes[first], "job"))
-	f.await(f.nodes[first], "job", work.Completed)
+	f.awaitState(f.nodes[first], "job", work.Completed)
 	dropped := func() bool {
 		for part := range 4 {
 			records := f.store.Records(store.Jobs, part)
@@ -300,23 +327,25 @@
 		}
 		return false
 	}
-	for end := time.Now().Add(patience); !dropped() && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); !dropped() && time.Now().Before(end); {
 		time.Sleep(20 * time.Millisecond)
 	}
-	f.is.True(dropped()) // The submission is deleted soon after the end.
+	f.is.True(dropped()) // The submission is deleted soon after the job ends.
 	f.nodes[first].Close()
 	other := f.nodes[(first+1)%3]
-	f.await(other, "job", work.Completed)
-	f.is.NoErr(f.submit(other, "job")) // The same ID again stays the same job.
+	f.awaitState(other, "job", work.Completed)
+	f.is.NoErr(f.submit(other, "job")) // A second submission with the same ID is the same job.
 	time.Sleep(500 * time.Millisecond)
 	f.is.Equal(f.fleet.Starts(firstTask("job")), 1)
 }
 
+// When the store drops old records that a VM has not read yet, the VM must start again
+// with a snapshot.
 func TestHistoryDropped(t *testing.T) {
 	f := newFixture(t, 3, 50*time.Millisecond)
-	f.leader()
+	f.leaderIndex()
 	f.is.NoErr(f.submit(f.nodes[0], "before"))
-	f.await(f.nodes[1], "before", work.Completed)
+	f.awaitState(f.nodes[1], "before", work.Completed)
 	for _, topic := range []store.Topic{store.Jobs, store.Progress, store.Claims, store.VMs, store.Configuration, store.Workers} {
 		for part := range 4 {
 			f.store.Drop(topic, part)
@@ -324,8 +353,8 @@
 	}
 	f.publish(9, "mail")
 	f.is.NoErr(f.submit(f.nodes[1], "after"))
-	f.await(f.nodes[2], "after", work.Completed)
-	f.await(f.nodes[2], "before", work.Completed)
+	f.awaitState(f.nodes[2], "after", work.Completed)
+	f.awaitState(f.nodes[2], "before", work.Completed)
 	end := time.Now().Add(2 * time.Second)
 	for f.nodes[2].Table().Version != 9 && time.Now().Before(end) {
 		time.Sleep(5 * time.Millisecond)
@@ -333,50 +362,50 @@
 	f.is.Equal(f.nodes[2].Table().Version, int64(9))
 }
 
-// A deposed leader that returns reads that the submission of a job was dropped,
-// with its cancellation if there was one.
+// The leader deletes the records of an ended job. A leader that reads the deletion
+// while it still has the job must not take it for a cancellation.
 func TestDroppedSubmissionIsNoCancellation(t *testing.T) {
 	f := newFixture(t, 2, 4*time.Second)
 	f.is.NoErr(f.submit(f.nodes[0], "a"))
-	f.await(f.nodes[1], "a", work.Running)
+	f.awaitState(f.nodes[1], "a", work.Running)
 	for part := range 4 {
 		_, err := f.store.Append(store.Append{Topic: store.Jobs, Part: part, Records: []store.Record{{Key: "a"}, {Key: "a/cancel"}}})
 		f.is.NoErr(err)
 	}
-	f.await(f.nodes[1], "a", work.Completed)
+	f.awaitState(f.nodes[1], "a", work.Completed)
 }
 
-// The last leader starts a job after its successor has begun to read, and before it
-// is fenced.
+// The previous leader can start a job after its successor has begun to read the stored
+// state, until the successor fences it. The successor must not start the job again.
 func TestJobStartedDuringTakeOver(t *testing.T) {
 	f := newFixture(t, 2, 4*time.Second)
-	first := f.leader()
+	first := f.leaderIndex()
 	f.is.NoErr(f.submit(f.nodes[first], "before"))
-	f.await(f.nodes[first], "before", work.Running)
+	f.awaitState(f.nodes[first], "before", work.Running)
 	f.links[1-first].Delay(store.Progress, 150*time.Millisecond)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	f.nodes[first].Drain(ctx)
-	for f.leader() == first {
+	for f.leaderIndex() == first {
 		time.Sleep(5 * time.Millisecond)
 	}
-	time.Sleep(50 * time.Millisecond) // The successor reads, and its fencing append is on its way.
+	time.Sleep(50 * time.Millisecond) // The successor reads, and its fencing append is in flight.
 	f.is.NoErr(f.submit(f.nodes[first], "job"))
-	f.await(f.nodes[1-first], "job", work.Completed)
+	f.awaitState(f.nodes[1-first], "job", work.Completed)
 	f.is.Equal(f.fleet.Starts(firstTask("job")), 1)
 }
 
-// A VM that reaches neither the store nor another failure domain sends callers away
-// at once.
+// A VM that reaches neither the store nor another failure domain must refuse calls at
+// once, so that callers use another VM before their deadline.
 func TestIsolatedVMRefusesAtOnce(t *testing.T) {
 	f := newFixture(t, 2, 50*time.Millisecond)
 	f.is.NoErr(f.submit(f.nodes[0], "before"))
-	f.await(f.nodes[0], "before", work.Completed)
+	f.awaitState(f.nodes[0], "before", work.Completed)
 	f.nodes[1].Close()
 	f.links[0].Refuse(true)
 	waiting := make(chan error, 1)
 	go func() { waiting <- f.submit(f.nodes[0], "meanwhile") }()
-	for end := time.Now().Add(patience); f.nodes[0].Ready() && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); f.nodes[0].Ready() && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
 	f.is.True(!f.nodes[0].Ready())
@@ -386,33 +415,33 @@
 	f.is.Equal(fault.KindOf[entryvm.Kind](err), entryvm.KindNotStored)
 	f.is.True(time.Since(begun) < 200*time.Millisecond)
 	f.links[0].Refuse(false)
-	for end := time.Now().Add(patience); !f.nodes[0].Ready() && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); !f.nodes[0].Ready() && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
 	f.is.True(f.nodes[0].Ready())
 	f.is.NoErr(f.submit(f.nodes[0], "after"))
-	f.await(f.nodes[0], "after", work.Completed)
+	f.awaitState(f.nodes[0], "after", work.Completed)
 }
 
-// Some partitions of the store are away for all VMs, among them the first of each
-// topic and those to which the VMs write first; jobs go to the one that is left.
+// Some partitions of the store fail for all VMs, among them the first of each topic
+// and those that the VMs write to first. The VMs must write jobs to the remaining one.
 func TestPartOfTheStoreAway(t *testing.T) {
 	f := newFixture(t, 2, 50*time.Millisecond)
 	f.is.NoErr(f.submit(f.nodes[0], "before"))
-	f.await(f.nodes[0], "before", work.Completed)
-	away := []int{0, 1, 2, 3}
-	for _, part := range away {
+	f.awaitState(f.nodes[0], "before", work.Completed)
+	failed := []int{0, 1, 2, 3}
+	for _, part := range failed {
 		first := part == 0
 		for i := range f.nodes {
 			first = first || int(xxhash.Sum64String(fmt.Sprintf("vm-%d", i))%4) == part
 		}
 		if !first {
-			away = slices.Delete(away, part, part+1)
+			failed = slices.Delete(failed, part, part+1)
 			break
 		}
 	}
 	for _, l := range f.links {
-		for _, part := range away {
+		for _, part := range failed {
 			l.RefusePartition(part, true)
 		}
 	}
@@ -424,20 +453,21 @@
 	f.is.NoErr(g.Wait())
 	f.is.True(time.Since(begun) < time.Second)
 	for _, l := range f.links {
-		for _, part := range away {
+		for _, part := range failed {
 			l.RefusePartition(part, false)
 		}
 	}
 	for i := range 8 {
-		f.await(f.nodes[0], fmt.Sprintf("job-%d", i), work.Completed)
+		f.awaitState(f.nodes[0], fmt.Sprintf("job-%d", i), work.Completed)
 	}
 }
 
-// The store answers slowly; nothing is sent twice, which would make it slower.
+// An append to a slow store must not be repeated, since repeats make the store even
+// slower.
 func TestSlowStore(t *testing.T) {
 	f := newFixture(t, 2, 50*time.Millisecond)
 	f.is.NoErr(f.submit(f.nodes[0], "before"))
-	f.await(f.nodes[0], "before", work.Completed)
+	f.awaitState(f.nodes[0], "before", work.Completed)
 	for _, l := range f.links {
 		l.Slow(350 * time.Millisecond)
 	}
@@ -457,22 +487,23 @@
 	f.is.Equal(copies, 4)
 }
 
-// A job that ends while the store is away is shown as completed all the same.
+// A job that ends during an outage of the store must be shown as completed before that
+// can be stored.
 func TestJobEndsWhileTheStoreIsAway(t *testing.T) {
 	f := newFixture(t, 3, time.Second)
 	f.is.NoErr(f.submit(f.nodes[0], "job"))
-	f.await(f.nodes[1], "job", work.Running)
+	f.awaitState(f.nodes[1], "job", work.Running)
 	for _, l := range f.links {
 		l.Refuse(true)
 	}
 	begun := time.Now()
-	f.await(f.nodes[1], "job", work.Completed)
+	f.awaitState(f.nodes[1], "job", work.Completed)
 	f.is.True(time.Since(begun) < 5*time.Second)
 	for _, l := range f.links {
 		l.Refuse(false)
 	}
-	leader := f.leader()
+	leader := f.leaderIndex()
 	f.nodes[leader].Close()
-	f.await(f.nodes[(leader+1)%3], "job", work.Completed)
+	f.awaitState(f.nodes[(leader+1)%3], "job", work.Completed)
 	f.is.Equal(f.fleet.Starts(firstTask("job")), 1)
 }
--- a/internal/node/entryvm/protocol.go
+++ b/internal/node/entryvm/protocol.go
@@ -11,167 +11,183 @@
 	"github.com/almondpost/almondpost/internal/peer/store"
 )
 
-// serviceName is the name of the service between entry VMs.
+// serviceName is the name of the net/rpc service that entry VMs offer each other.
 const serviceName = "EntryVM"
 
-// Nothing is an empty message.
+// Nothing is the empty argument or reply of a call.
 type Nothing struct{}
 
-// HeartbeatArgs tell that a leader lives.
+// HeartbeatArgs is a heartbeat of the leader.
 type HeartbeatArgs struct {
 	Epoch  int64
 	Leader string
-	// Address is the leader's: a VM that has just started may know no other VM.
+	// Address is the address of the leader. A VM that has just started may not know it
+	// yet.
 	Address netip.AddrPort
-	// Version is the leader's version of the configuration.
+	// Version is the version of the leader's configuration.
 	Version int64
 }
 
-// HeartbeatReply is the answer of a follower.
+// HeartbeatReply is a follower's answer to a heartbeat.
 type HeartbeatReply struct {
-	// Epoch is the highest that the follower knows.
+	// Epoch is the highest epoch that the follower knows.
 	Epoch int64
-	// Version is the follower's version of the configuration.
+	// Version is the version of the follower's configuration.
 	Version int64
-	// ReachesStore tells that the follower reaches the store by itself.
+	// ReachesStore is true if the follower reaches the store directly.
 	ReachesStore bool
 }
 
-// HeardReply tells when a VM last heard of a leader.
+// HeardReply reports when a VM last received a heartbeat.
 type HeardReply struct {
+	// Epoch is the highest epoch that the VM knows.
 	Epoch int64
-	// Ago is the time since the last heartbeat, or since the claim was read.
+	// Ago is the time since the last heartbeat from any leader.
 	Ago time.Duration
 }
 
-// JobArgs name a job.
+// JobArgs identifies a job.
 type JobArgs struct{ ID string }
 
 // StateReply is the state of a job.
 type StateReply struct {
-	// Leading is false when the VM does not lead; the rest is then empty.
+	// Leading is false if the VM does not lead; the other fields are then unset.
 	Leading bool
-	// Fresh tells that every job accepted before the question is known.
+	// Fresh is true if the leader has read every partition of jobs within the last
+	// maxJobsReadAge. Only then is a job that it does not know reported as non-existent.
 	Fresh bool
+	// Known is true if the leader knows the job.
 	Known bool
 	State work.State
 }
 
-// PendingArgs name a queue.
+// PendingArgs identifies a queue.
 type PendingArgs struct{ Queue string }
 
-// PendingReply counts the jobs of a queue that have not started.
+// PendingReply is the number of jobs of a queue that have not started.
 type PendingReply struct {
+	// Leading is false if the VM does not lead; Pending is then unset.
 	Leading bool
 	Pending int
 }
 
-// JobsArgs carry job records that are stored.
+// JobsArgs holds job records that another VM has stored.
 type JobsArgs struct{ Records []store.Record }
 
-// JobsReply tells whether the records are known; they are not where the VM does not
-// lead, or does not yet.
+// JobsReply reports whether the leader has accepted the records. Taken is false if the
+// VM does not lead or has not restored the stored state yet.
 type JobsReply struct{ Taken bool }
 
-// AdviceArgs ask a VM to get advice.
+// AdviceArgs asks an entry VM to call the adviser about the workers for a step.
 type AdviceArgs struct {
-	Step    work.StepID
+	Step work.StepID
+	// Workers holds worker IDs.
 	Workers []string
+	// Timeout limits the call to the adviser.
 	Timeout time.Duration
 }
 
-// TableArgs carry a configuration as published.
+// TableArgs is a published configuration.
 type TableArgs struct {
 	Version int64
-	// Text is compressed by gzip.
+	// Text is the text of the configuration, compressed with gzip.
 	Text []byte
 }
 
-// AppendArgs ask a VM to append to the store.
+// AppendArgs asks an entry VM to append to the store for the caller.
 type AppendArgs struct {
-	Append  store.Append
+	Append store.Append
+	// Timeout limits the call to the store.
 	Timeout time.Duration
 }
 
-// ReadArgs ask a VM to read from the store; From is -1 for a snapshot.
+// ReadArgs asks an entry VM to read from the store for the caller.
 type ReadArgs struct {
-	Read     store.Read
+	Read store.Read
+	// Snapshot requests the newest record of each key instead of the records from
+	// Read.From on.
 	Snapshot bool
-	Timeout  time.Duration
+	// Timeout limits the call to the store.
+	Timeout time.Duration
 }
 
-// StoreReply is the answer of the store, or its error.
+// StoreReply is the answer of the store to a relayed call, or its error.
 type StoreReply struct {
+	// End is the end offset of an append or snapshot, or the next offset of a read.
 	End     int64
 	Records []store.Record
-	// Kind is empty on success.
-	Kind    store.Kind
+	// Kind is the error kind. It is empty on success.
+	Kind store.Kind
+	// Message is the error text.
 	Message string
 }
 
-// errStoreDown refuses to relay.
-var errStoreDown = fault.Newf("relay", store.KindRefused, "this VM does not reach the store either")
+// errStoreDown is the error of a relayed call if this VM does not reach the store
+// directly.
+var errStoreDown = fault.Newf("relay", store.KindRefused, "this VM does not reach the store directly either")
 
-// handler answers the calls of other entry VMs.
+// handler implements the net/rpc service that other entry VMs call.
 type handler struct{ node *Node }
 
-// Heartbeat notes that a leader lives.
+// Heartbeat records a heartbeat of the leader.
 func (h *handler) Heartbeat(a HeartbeatArgs, r *HeartbeatReply) error {
-	*r = HeartbeatReply{Epoch: h.node.election.heard(a), Version: h.node.tables.version(), ReachesStore: h.node.store.reached(now()) > 0}
+	*r = HeartbeatReply{Epoch: h.node.election.recordHeartbeat(a), Version: h.node.configuration.version(), ReachesStore: h.node.store.reachableFor(now()) > 0}
 	return nil
 }
 
-// Heard tells when this VM last heard of a leader.
+// Heard reports when this VM last received a heartbeat.
 func (h *handler) Heard(_ Nothing, r *HeardReply) error {
 	*r = h.node.election.lastHeard()
 	return nil
 }
 
-// TakeOver asks this VM to lead.
+// TakeOver asks this VM to claim leadership. It fails if the VM is about to stop.
 func (h *handler) TakeOver(_ Nothing, _ *Nothing) error {
 	if h.node.isLeaving() {
-		return fault.Newf("take_over", KindNoLeader, "this VM is leaving")
+		return fault.Newf("take_over", KindNoLeader, "this VM is about to stop")
 	}
-	h.node.election.invite()
+	h.node.election.requestTakeOver()
 	return nil
 }
 
-// State tells the state of a job.
+// State returns the state of a job, if this VM leads.
 func (h *handler) State(a JobArgs, r *StateReply) error {
-	if l := h.node.leading(); l != nil {
+	if l := h.node.activeLeader(); l != nil {
 		*r = l.status(a.ID)
 	}
 	return nil
 }
 
-// Pending counts the jobs of a queue that have not started.
+// Pending returns the number of jobs of a queue that have not started, if this VM
+// leads.
 func (h *handler) Pending(a PendingArgs, r *PendingReply) error {
-	if l := h.node.leading(); l != nil {
+	if l := h.node.activeLeader(); l != nil {
 		*r = l.pending(a.Queue)
 	}
 	return nil
 }
 
-// Jobs takes job records that are stored, ahead of reading them there.
+// Jobs passes stored job records to the scheduler before the leader reads them from
+// the store.
 func (h *handler) Jobs(a JobsArgs, r *JobsReply) error {
-	if l := h.node.leading(); l != nil {
-		r.Taken = l.takeJobs(a.Records)
+	if l := h.node.activeLeader(); l != nil {
+		r.Taken = l.addStoredJobs(a.Records)
 	}
 	return nil
 }
 
-// Advise gets advice.
+// Advise calls the adviser for the leader.
 func (h *handler) Advise(a AdviceArgs, r *backend.Advice) error {
-	ctx, cancel := context.WithTimeout(h.node.run, a.Timeout)
+	ctx, cancel := context.WithTimeout(h.node.ctx, a.Timeout)
 	defer cancel()
-	advice, err := h.node.peers.Adviser.Advise(ctx, a.Step, a.Workers)
+	advice, err := h.node.dependencies.Adviser.Advise(ctx, a.Step, a.Workers)
 	*r = advice
 	return err
 }
 
-// Table takes a configuration from another VM.
+// Table applies a configuration that the leader sends.
 func (h *handler) Table(a TableArgs, _ *Nothing) error {
-	if a.Version <= h.node.tables.version() {
+	if a.Version <= h.node.configuration.version() {
 		return nil
 	}
 	text, err := decompress(a.Text)
@@ -179,17 +195,17 @@
 		h.node.log.Error(err, "configuration_unreadable", "source", "peer")
 		return err
 	}
-	h.node.tables.accept(text, "peer")
+	h.node.configuration.accept(text, "peer")
 	return nil
 }
 
-// Append makes an append for a VM that can not reach the store.
+// Append appends to the store for a VM that does not reach it.
 func (h *handler) Append(a AppendArgs, r *StoreReply) error {
 	if h.node.store.down.Load() {
 		r.setError(errStoreDown)
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(h.node.run, a.Timeout)
+	ctx, cancel := context.WithTimeout(h.node.ctx, a.Timeout)
 	defer cancel()
 	end, err := h.node.store.direct.Append(ctx, a.Append)
 	r.End = end
@@ -197,13 +213,13 @@
 	return nil
 }
 
-// Read reads for a VM that can not reach the store.
+// Read reads from the store for a VM that does not reach it.
 func (h *handler) Read(a ReadArgs, r *StoreReply) error {
 	if h.node.store.down.Load() {
 		r.setError(errStoreDown)
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(h.node.run, a.Timeout)
+	ctx, cancel := context.WithTimeout(h.node.ctx, a.Timeout)
 	defer cancel()
 	if a.Snapshot {
 		snapshot, err := h.node.store.direct.Newest(ctx, a.Read.Topic, a.Read.Part)
@@ -217,8 +233,9 @@
 	return nil
 }
 
+// setError sets the error fields of the reply, unless err is nil.
 func (r *StoreReply) setError(err error) {
 	if err != nil {
-		r.Kind, r.Message = kindOf(err), err.Error()
+		r.Kind, r.Message = storeKind(err), err.Error()
 	}
 }
--- a/internal/node/entryvm/relay.go
+++ b/internal/node/entryvm/relay.go
@@ -14,48 +14,55 @@
 )
 
 const (
-	// leastPatience is the time after which a direct append is looked into; it
-	// follows the store's answers, times patienceFactor, up to mostPatience, which
-	// bounds every append: callers wait three seconds.
-	leastPatience  = 200 * time.Millisecond
-	mostPatience   = 2 * time.Second
-	patienceFactor = 5
-	// readPatience bounds the read that tells a slow store from a lost one.
-	readPatience = 450 * time.Millisecond
-	// slowFactor times the time of a read is how long an append may take: it waits
-	// for those before it in its partition.
-	slowFactor = 6
-	// relayTimeout bounds a call through another VM.
+	// minAppendTimeout and maxAppendTimeout are the limits of the append timeout, which
+	// is appendTimeoutFactor times the average latency of appends. maxAppendTimeout also
+	// limits each direct append on its own, since callers wait three seconds.
+	minAppendTimeout    = 200 * time.Millisecond
+	maxAppendTimeout    = 2 * time.Second
+	appendTimeoutFactor = 5
+	// readProbeTimeout limits the read that distinguishes a slow store from an
+	// unreachable one.
+	readProbeTimeout = 450 * time.Millisecond
+	// slowStoreFactor is the ratio of the append timeout of a slow store to the duration
+	// of that read. An append takes longer, since it waits for the earlier ones in its
+	// partition.
+	slowStoreFactor = 6
+	// relayTimeout limits a call to the store through another VM.
 	relayTimeout = 800 * time.Millisecond
-	// probeInterval is the pause between tries to reach the store directly.
+	// probeInterval is the pause between two attempts to reach the store directly again.
 	probeInterval = 300 * time.Millisecond
-	// verifyTimeout bounds the look at other partitions after a failure.
-	verifyTimeout = 300 * time.Millisecond
-	// failuresUntilDown is how many direct calls in a row must have no answer
-	// before calls go through other VMs; one alone may be a lost answer.
+	// partitionCheckTimeout limits the check of other partitions after failed appends.
+	partitionCheckTimeout = 300 * time.Millisecond
+	// failuresUntilDown is the number of consecutive direct appends without an answer
+	// after which the VM checks whether it still reaches the store. A single one may be a
+	// lost answer.
 	failuresUntilDown = 2
-	// relayReadPause takes the place of the store's own wait for a record.
-	relayReadPause = 300 * time.Millisecond
-	// relayTries bounds the VMs that are asked for one call.
-	relayTries = 2
+	// emptyReadPause follows a relayed read without records, instead of the store's long
+	// poll.
+	emptyReadPause = 300 * time.Millisecond
+	// maxRelayAttempts limits the number of VMs that are tried for one call.
+	maxRelayAttempts = 2
 )
 
-// verifiedParts are looked at before the store is called lost.
-var verifiedParts = [...]int{0, 1, 2, 3}
+// probedPartitions are the partitions that are read to check whether the store is
+// reachable.
+var probedPartitions = [...]int{0, 1, 2, 3}
 
-// relayedStore reaches the store, through other entry VMs while this one can
-// not.
+// relayedStore calls the store directly, or through other entry VMs while this one
+// does not reach it.
 type relayedStore struct {
 	direct store.Store
 	node   *Node
-	// down tells that the store is not reached directly.
+	// down is true while the store is not reached directly.
 	down atomic.Bool
-	// verifying tells that a look at other partitions is on its way.
-	verifying atomic.Bool
-	failures  atomic.Int32
-	// changed is when down last changed, in Unix nanoseconds.
-	changed atomic.Int64
-	// latency is a moving average of the answers to appends, in nanoseconds.
+	// checkingPartitions is true while a goroutine decides whether the store is down.
+	// Only one does so at a time.
+	checkingPartitions atomic.Bool
+	// failures counts the consecutive direct appends that failed.
+	failures atomic.Int32
+	// downChangedAt is when down last changed, in Unix nanoseconds.
+	downChangedAt atomic.Int64
+	// latency is a moving average of the duration of direct appends, in nanoseconds.
 	latency atomic.Int64
 }
 
@@ -63,94 +70,98 @@
 	return &relayedStore{direct: direct, node: n}
 }
 
-// reached returns for how long the store has answered this VM, or as a negative time
-// for how long it has not.
-func (s *relayedStore) reached(at time.Time) time.Duration {
-	since := at.Sub(time.Unix(0, s.changed.Load()))
+// reachableFor returns how long the store has been directly reachable. While it is
+// not, it returns a negative time: for how long it has been unreachable.
+func (s *relayedStore) reachableFor(at time.Time) time.Duration {
+	since := at.Sub(time.Unix(0, s.downChangedAt.Load()))
 	if s.down.Load() {
 		return min(-since, -1)
 	}
 	return since
 }
 
-// kindOf returns the kind of an error of the store; errors of another type tell
-// nothing of what was done.
-func kindOf(err error) store.Kind { return fault.KindOr(err, store.KindUnknown) }
+// storeKind returns the kind of a store error. Errors of other types have KindUnknown,
+// since the call may have been carried out.
+func storeKind(err error) store.Kind { return fault.KindOr(err, store.KindUnknown) }
 
-// kindOrStored names the outcome of an append.
-func kindOrStored(err error) store.Kind {
+// appendOutcome returns the outcome of an append as it appears in the metrics.
+func appendOutcome(err error) store.Kind {
 	if err == nil {
 		return "stored"
 	}
-	return kindOf(err)
+	return storeKind(err)
 }
 
-// unreachable reports whether another VM may have more luck.
-func unreachable(err error) bool {
-	k := kindOf(err)
+// isUnreachable reports whether an error means that the store refused the call or did
+// not answer, so that another VM may have more success.
+func isUnreachable(err error) bool {
+	k := storeKind(err)
 	return err != nil && (k == store.KindRefused || k == store.KindUnknown)
 }
 
-// patience is how long a direct append takes at most while all is well.
-func (s *relayedStore) patience() time.Duration {
-	return min(max(patienceFactor*time.Duration(s.latency.Load()), leastPatience), mostPatience)
+// appendTimeout returns the longest duration of a direct append to a healthy store.
+func (s *relayedStore) appendTimeout() time.Duration {
+	return min(max(appendTimeoutFactor*time.Duration(s.latency.Load()), minAppendTimeout), maxAppendTimeout)
 }
 
-// note learns from a direct call that took a time.
-func (s *relayedStore) note(ctx context.Context, err error, took time.Duration) {
+// recordAppend updates the metrics, the average latency and the failure count with the
+// result of a direct append. After failuresUntilDown failures, or one refusal, it
+// starts a check whether the store is down.
+func (s *relayedStore) recordAppend(ctx context.Context, err error, took time.Duration) {
 	if ctx.Err() == context.Canceled {
 		return
 	}
-	s.node.measures.Observe(measure.Key{Name: "store_append", Of: string(kindOrStored(err))}, took)
-	if !unreachable(err) {
-		s.node.isolation.heard()
+	s.node.measures.Observe(measure.Key{Name: "store_append", Of: string(appendOutcome(err))}, took)
+	if !isUnreachable(err) {
+		s.node.isolation.recordContact()
 		s.failures.Store(0)
 		s.latency.Store((s.latency.Load() + int64(took)) / 2)
 		return
 	}
-	if kindOf(err) == store.KindUnknown && took >= leastPatience {
-		s.latency.Store(min(2*max(s.latency.Load(), int64(leastPatience/patienceFactor)), int64(mostPatience/patienceFactor)))
+	if storeKind(err) == store.KindUnknown && took >= minAppendTimeout {
+		s.latency.Store(min(2*max(s.latency.Load(), int64(minAppendTimeout/appendTimeoutFactor)), int64(maxAppendTimeout/appendTimeoutFactor)))
 	}
-	if s.failures.Add(1) < failuresUntilDown && kindOf(err) == store.KindUnknown {
+	if s.failures.Add(1) < failuresUntilDown && storeKind(err) == store.KindUnknown {
 		return
 	}
-	if !s.down.Load() && s.verifying.CompareAndSwap(false, true) {
-		go s.verify(err)
+	if !s.down.Load() && s.checkingPartitions.CompareAndSwap(false, true) {
+		go s.checkPartitions(err)
 	}
 }
 
-// verify finds out whether the whole store is lost to this VM, or some of its
-// partitions only. Those that fail can not be reached through other VMs either.
-func (s *relayedStore) verify(cause error) {
-	defer s.verifying.Store(false)
-	if s.answers(verifyTimeout, verifiedParts[:]...) {
+// checkPartitions finds out whether this VM has lost the whole store or only some of
+// its partitions. In the second case the store does not count as down, since other VMs
+// cannot reach the failed partitions either.
+func (s *relayedStore) checkPartitions(cause error) {
+	defer s.checkingPartitions.Store(false)
+	if s.anyPartitionAnswers(partitionCheckTimeout, probedPartitions[:]...) {
 		s.failures.Store(0)
 		s.node.log.Info("store_partly_lost", "error", cause.Error())
 		return
 	}
-	s.lose(cause.Error())
+	s.markDown(cause.Error())
 }
 
-// lose notes that the store is not reached directly. Only the one who verifies calls
-// it.
-func (s *relayedStore) lose(why string) {
+// markDown records that the store is not reached directly and starts to probe it. The
+// caller must have set checkingPartitions.
+func (s *relayedStore) markDown(reason string) {
 	if !s.down.Swap(true) {
-		s.changed.Store(now().UnixNano())
-		s.node.log.Info("store_lost", "error", why)
-		go s.probe()
+		s.downChangedAt.Store(now().UnixNano())
+		s.node.log.Info("store_lost", "error", reason)
+		go s.probeUntilReachable()
 	}
 }
 
-// answers reports whether one of several partitions of the store answers this VM in
-// time.
-func (s *relayedStore) answers(within time.Duration, parts ...int) bool {
-	ctx, cancel := context.WithTimeout(s.node.run, within)
+// anyPartitionAnswers reads from several partitions at the same time and reports
+// whether one answers within the timeout.
+func (s *relayedStore) anyPartitionAnswers(timeout time.Duration, parts ...int) bool {
+	ctx, cancel := context.WithTimeout(s.node.ctx, timeout)
 	defer cancel()
 	answered := make(chan bool, len(parts))
 	for _, part := range parts {
 		go func() {
 			_, err := s.direct.Read(ctx, store.Read{Topic: store.Claims, Part: part})
-			answered <- !unreachable(err)
+			answered <- !isUnreachable(err)
 		}()
 	}
 	for range parts {
@@ -161,13 +172,13 @@
 	return false
 }
 
-// probe waits until the store is reached directly; it asks one partition after the
-// other.
-func (s *relayedStore) probe() {
-	for part := 0; pause(s.node.run, probeInterval); part = (part + 1) % len(verifiedParts) {
-		if s.answers(mostPatience, part) {
+// probeUntilReachable probes one partition after the other until one answers directly,
+// and then clears down.
+func (s *relayedStore) probeUntilReachable() {
+	for part := 0; sleep(s.node.ctx, probeInterval); part = (part + 1) % len(probedPartitions) {
+		if s.anyPartitionAnswers(maxAppendTimeout, part) {
 			s.failures.Store(0)
-			s.changed.Store(now().UnixNano())
+			s.downChangedAt.Store(now().UnixNano())
 			s.down.Store(false)
 			s.node.log.Info("store_regained")
 			return
@@ -175,14 +186,15 @@
 	}
 }
 
-// Append implements store.Store. An append that may have been carried out is
-// not repeated here; the caller knows whether that is safe.
+// Append implements store.Store. It relays an append only if the direct one was
+// certainly not carried out. In all other cases the caller decides whether to repeat
+// it.
 func (s *relayedStore) Append(ctx context.Context, a store.Append) (int64, error) {
 	if !s.down.Load() {
 		begun := now()
 		end, err := s.appendDirect(ctx, a)
-		s.note(ctx, err, now().Sub(begun))
-		if kindOf(err) != store.KindRefused || err == nil {
+		s.recordAppend(ctx, err, now().Sub(begun))
+		if storeKind(err) != store.KindRefused || err == nil {
 			return end, err
 		}
 	}
@@ -192,13 +204,15 @@
 	return reply.End, err
 }
 
-// appendDirect makes an append without other VMs. When it takes long, a read tells
-// whether the store is slow, or the answer is lost.
+// appendDirect appends without other VMs. If half of the append timeout passes without
+// an answer, it reads from the store: if a partition answers, the store is only slow
+// and the append gets more time, otherwise the store is marked as down.
 //
-// It answers a slow store: appends that are given up are carried out all the same, and
-// repeating them fills the partitions until the store refuses all.
+// Without the extra time, a slow store would still carry out the append that was given
+// up, and the caller's retries would fill the partitions until the store refuses all
+// calls.
 func (s *relayedStore) appendDirect(ctx context.Context, a store.Append) (int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, mostPatience)
+	ctx, cancel := context.WithTimeout(ctx, maxAppendTimeout)
 	defer cancel()
 	begun := now()
 	var end int64
@@ -208,14 +222,14 @@
 		defer close(answered)
 		end, err = s.direct.Append(ctx, a)
 	}()
-	if patience := s.patience(); !waitFor(answered, patience/2) {
-		read := now()
-		limit := patience
-		if s.answers(readPatience, verifiedParts[:]...) {
-			limit = max(patience, slowFactor*now().Sub(read))
-		} else if s.verifying.CompareAndSwap(false, true) {
-			s.lose("neither appends nor reads are answered")
-			s.verifying.Store(false)
+	if timeout := s.appendTimeout(); !waitFor(answered, timeout/2) {
+		readBegun := now()
+		limit := timeout
+		if s.anyPartitionAnswers(readProbeTimeout, probedPartitions[:]...) {
+			limit = max(timeout, slowStoreFactor*now().Sub(readBegun))
+		} else if s.checkingPartitions.CompareAndSwap(false, true) {
+			s.markDown("neither appends nor reads are answered")
+			s.checkingPartitions.Store(false)
 		}
 		if !waitFor(answered, limit-now().Sub(begun)) {
 			cancel()
@@ -225,17 +239,18 @@
 	return end, err
 }
 
-// waitFor reports whether a channel is closed within a time.
-func waitFor(done <-chan struct{}, within time.Duration) bool {
+// waitFor reports whether done is closed before the timeout.
+func waitFor(done <-chan struct{}, timeout time.Duration) bool {
 	select {
 	case <-done:
 		return true
-	case <-time.After(max(within, 0)):
+	case <-time.After(max(timeout, 0)):
 		return false
 	}
 }
 
-// Read implements store.Store.
+// Read implements store.Store. A relayed read does not wait for a record to be
+// appended.
 func (s *relayedStore) Read(ctx context.Context, r store.Read) (store.Batch, error) {
 	if !s.down.Load() {
 		return s.direct.Read(ctx, r)
@@ -244,7 +259,7 @@
 		return link.Call[ReadArgs, StoreReply](ctx, s.node.client, m.Address, "Read", ReadArgs{Read: store.Read{Topic: r.Topic, Part: r.Part, From: r.From}, Timeout: relayTimeout})
 	})
 	if err == nil && len(reply.Records) == 0 {
-		pause(ctx, min(r.Wait, relayReadPause))
+		sleep(ctx, min(r.Wait, emptyReadPause))
 	}
 	return store.Batch{Records: reply.Records, Next: reply.End}, err
 }
@@ -260,17 +275,19 @@
 	return store.Snapshot{Records: reply.Records, End: reply.End}, err
 }
 
-// relay makes a call through other VMs, one after the other.
+// relay makes a call through other VMs, one after the other. The error has
+// store.KindUnknown if a VM may have carried the call out, and store.KindRefused if
+// none has.
 func (s *relayedStore) relay(ctx context.Context, operation string, call func(context.Context, member) (StoreReply, error)) (StoreReply, error) {
 	others := slices.DeleteFunc(s.node.members.others(), func(m member) bool { return s.node.client.Silent(m.Address) })
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	uncertain := false
 	for i, m := range others {
-		if i == relayTries || ctx.Err() != nil {
+		if i == maxRelayAttempts || ctx.Err() != nil {
 			break
 		}
-		bounded, cancel := context.WithTimeout(ctx, relayTimeout)
-		reply, err := call(bounded, m)
+		callCtx, cancel := context.WithTimeout(ctx, relayTimeout)
+		reply, err := call(callCtx, m)
 		cancel()
 		switch {
 		case err != nil:
--- a/internal/node/entryvm/session.go
+++ b/internal/node/entryvm/session.go
@@ -13,23 +13,25 @@
 )
 
 const (
-	// orderTimeout bounds an order; without an answer it is superseded. Workers
-	// answer within some milliseconds; the rest is for a busy leader.
-	orderTimeout = 250*time.Millisecond + keeper.Margin
-	// holdTimeout is added to the time that a worker may wait before it answers
-	// a hold.
-	holdTimeout = 250*time.Millisecond + keeper.Margin
-	// holdRetry is the pause after a hold that failed.
-	holdRetry = 100 * time.Millisecond
-	// fencedPause is the pause after a hold that was refused for its token, in
-	// which the claim is verified.
+	// orderTimeout limits an order. The scheduler replaces an order without an answer.
+	// Workers answer within milliseconds; the rest allows for a busy leader.
+	orderTimeout = 250*time.Millisecond + keeper.ForwardingMargin
+	// holdMargin is how much longer than Hold.Wait the leader waits for the answer to a
+	// hold.
+	holdMargin = 250*time.Millisecond + keeper.ForwardingMargin
+	// holdRetryPause is the pause after a failed hold.
+	holdRetryPause = 100 * time.Millisecond
+	// fencedPause is the pause after a worker has refused a hold for its fencing token.
+	// The leader renews its claim in the meantime, to find out whether it was superseded.
 	fencedPause = 300 * time.Millisecond
-	// storedWait bounds the wait for ends to be stored before the lease is
-	// extended all the same.
-	storedWait = 400 * time.Millisecond
+	// maxStoredWait limits the wait for the ends of runs to be stored. Afterwards the
+	// next hold extends the lease without acknowledging them.
+	maxStoredWait = 400 * time.Millisecond
 )
 
-// session holds one life of a worker and carries orders to it.
+// session is the leader's connection to one worker process. It sends holds, one after
+// the other, and orders. A hold is a long poll that extends the lease of all runs on
+// the worker and returns which runs have ended.
 type session struct {
 	leader *leader
 	life   backend.Life
@@ -37,39 +39,41 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	mutex  sync.Mutex
-	// interrupt ends the hold that is on its way.
-	interrupt context.CancelFunc
-	woken     bool
+	// interruptHold cancels the hold that is in flight.
+	interruptHold context.CancelFunc
+	// woken is true if wake was called since the current hold began.
+	woken bool
 }
 
 func newSession(l *leader, r backend.Registration) *session {
 	ctx, cancel := context.WithCancel(l.ctx)
-	return &session{leader: l, life: r.Life, worker: l.dial(r), ctx: ctx, cancel: cancel}
+	return &session{leader: l, life: r.Life, worker: l.dialWorker(r), ctx: ctx, cancel: cancel}
 }
 
+// close ends the session and closes the connection to the worker.
 func (s *session) close() {
 	s.cancel()
 	s.worker.Close()
 }
 
-// wake makes the next hold go out now.
+// wake interrupts the current hold, so that the next one is sent at once.
 func (s *session) wake() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.woken = true
-	if s.interrupt != nil {
-		s.interrupt()
+	if s.interruptHold != nil {
+		s.interruptHold()
 	}
 }
 
-// run holds the worker until the session is closed.
+// run sends holds until the session is closed.
 func (s *session) run() {
 	for s.ctx.Err() == nil {
 		ctx, cancel := context.WithCancel(s.ctx)
 		s.mutex.Lock()
-		s.interrupt, s.woken = cancel, false
+		s.interruptHold, s.woken = cancel, false
 		s.mutex.Unlock()
-		ok := s.hold(ctx)
+		ok := s.sendHold(ctx)
 		cancel()
 		if !ok {
 			return
@@ -77,8 +81,9 @@
 	}
 }
 
-// hold makes one hold; it reports whether the session goes on.
-func (s *session) hold(interruptible context.Context) bool {
+// sendHold sends one hold and passes the report to the scheduler. It returns false if
+// the session must end.
+func (s *session) sendHold(interruptible context.Context) bool {
 	var hold backend.Hold
 	var sent scheduler.HoldSent
 	ok := false
@@ -88,7 +93,7 @@
 	if !ok {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(interruptible, hold.Wait+holdTimeout)
+	ctx, cancel := context.WithTimeout(interruptible, hold.Wait+holdMargin)
 	report, err := s.worker.Hold(ctx, hold)
 	cancel()
 	if s.ctx.Err() != nil {
@@ -101,24 +106,24 @@
 		}
 		s.leader.update(func(c *scheduler.Scheduler, at time.Time) { c.HoldFailed(s.life, kind, at) })
 		if kind == backend.KindFenced {
-			s.leader.verify()
-			pause(s.ctx, fencedPause)
+			s.leader.renewClaim()
+			sleep(s.ctx, fencedPause)
 		} else if !s.wasWoken() {
-			pause(s.ctx, holdRetry)
+			sleep(s.ctx, holdRetryPause)
 		}
 		return true
 	}
 	s.leader.update(func(c *scheduler.Scheduler, at time.Time) { c.HoldAnswered(s.life, sent, &report, at) })
 	if len(report.Ended) > 0 {
-		s.awaitStored()
+		s.awaitEndsStored()
 	}
 	return true
 }
 
-// awaitStored waits until the ends of a report are stored, so that the next hold
-// can acknowledge them.
-func (s *session) awaitStored() {
-	timer := time.NewTimer(storedWait)
+// awaitEndsStored waits until the ends of runs in the last report are stored, so that
+// the next hold can acknowledge them.
+func (s *session) awaitEndsStored() {
+	timer := time.NewTimer(maxStoredWait)
 	defer timer.Stop()
 	for {
 		done, next := s.leader.endsStored(s.life)
@@ -135,13 +140,15 @@
 	}
 }
 
+// wasWoken reports whether wake was called since the current hold began.
 func (s *session) wasWoken() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.woken
 }
 
-func (s *session) start(o backend.Start) {
+// sendStart sends an order to start a run and passes the answer to the scheduler.
+func (s *session) sendStart(o backend.Start) {
 	ctx, cancel := context.WithTimeout(s.ctx, orderTimeout)
 	defer cancel()
 	begun := now()
@@ -154,7 +161,8 @@
 	s.leader.update(func(c *scheduler.Scheduler, at time.Time) { c.StartAnswered(s.life, &o, kind, clock, at) })
 }
 
-func (s *session) stopRun(o backend.Stop) {
+// sendStop sends an order to stop a run. A failure is only logged.
+func (s *session) sendStop(o backend.Stop) {
 	ctx, cancel := context.WithTimeout(s.ctx, orderTimeout)
 	defer cancel()
 	if err := s.worker.Stop(ctx, o); err != nil && s.ctx.Err() == nil {
@@ -162,7 +170,8 @@
 	}
 }
 
-func (s *session) pace(o backend.Pace) {
+// sendPace sends an order that changes the pace of a run. A failure is only logged.
+func (s *session) sendPace(o backend.Pace) {
 	ctx, cancel := context.WithTimeout(s.ctx, orderTimeout)
 	defer cancel()
 	if err := s.worker.Pace(ctx, o); err != nil && s.ctx.Err() == nil {
--- a/internal/node/entryvm/tail.go
+++ b/internal/node/entryvm/tail.go
@@ -10,13 +10,15 @@
 	"github.com/almondpost/almondpost/internal/peer/store"
 )
 
-// applyJobs hands job records to the scheduler.
-func (l *leader) applyJobs(s *scheduler.Scheduler, records []store.Record, done map[string]*work.Progress, at time.Time) {
+// applyJobs passes submissions and then cancellations to the scheduler. While a new
+// leader restores the stored state, progress holds the stored progress of jobs by ID;
+// afterwards it is nil.
+func (l *leader) applyJobs(s *scheduler.Scheduler, records []store.Record, progress map[string]*work.Progress, at time.Time) {
 	var cancelled []string
 	for i := range records {
 		r := &records[i]
 		if len(r.Value) == 0 {
-			continue // The leader has dropped the record.
+			continue // The leader has deleted the record.
 		}
 		if id, ok := strings.CutSuffix(r.Key, cancelSuffix); ok {
 			cancelled = append(cancelled, id)
@@ -27,8 +29,8 @@
 			l.node.log.Error(err, "job_unreadable", "job", r.Key)
 			continue
 		}
-		if done != nil {
-			s.Restore(spec, done[spec.ID], at)
+		if progress != nil {
+			s.Restore(spec, progress[spec.ID], at)
 		} else {
 			s.Submit(spec, at)
 		}
@@ -38,39 +40,41 @@
 	}
 }
 
-// tailJobs reads the jobs that entry VMs store.
+// tailJobs reads a partition of jobs every jobsReadInterval until the leader is
+// stopped.
 func (l *leader) tailJobs(part int, from int64) {
-	for pause(l.ctx, tailInterval) {
-		asked := now()
-		records, next, err := readOn(l.ctx, l.node.store, store.Read{Topic: store.Jobs, Part: part, From: from})
+	for sleep(l.ctx, jobsReadInterval) {
+		begun := now()
+		records, next, err := readFrom(l.ctx, l.node.store, store.Read{Topic: store.Jobs, Part: part, From: from})
 		if err != nil {
-			if kindOf(err) == store.KindDropped {
+			if storeKind(err) == store.KindDropped {
 				from = -1
 			}
 			continue
 		}
 		from = next
 		l.update(func(s *scheduler.Scheduler, at time.Time) {
-			l.notePartition(part, records)
+			l.recordJobPartitions(part, records)
 			l.applyJobs(s, records, nil, at)
-			l.tailed[part] = asked
+			l.lastJobsRead[part] = begun
 		})
 	}
 }
 
-// notePartition remembers where records of jobs are, to delete them there. The caller
-// holds the lock.
-func (l *leader) notePartition(part int, records []store.Record) {
+// recordJobPartitions records that a partition contains records of jobs, so that they
+// can be deleted there later. The caller must hold the mutex.
+func (l *leader) recordJobPartitions(part int, records []store.Record) {
 	for i := range records {
 		if id := strings.TrimSuffix(records[i].Key, cancelSuffix); len(records[i].Value) > 0 {
-			l.partitions[id] |= 1 << part
+			l.jobPartitions[id] |= 1 << part
 		}
 	}
 }
 
-// takeJobs hands job records to the scheduler that another VM has stored; it reports
-// whether they are known now.
-func (l *leader) takeJobs(records []store.Record) bool {
+// addStoredJobs passes job records that another VM has stored to the scheduler. It
+// returns false, without doing so, if this leader has not restored the stored state
+// yet or is stopped.
+func (l *leader) addStoredJobs(records []store.Record) bool {
 	l.mutex.Lock()
 	serving := l.serving && l.ctx.Err() == nil
 	l.mutex.Unlock()
@@ -80,36 +84,38 @@
 	return serving
 }
 
-// tailWorkers reads what workers register.
-func (l *leader) tailWorkers() {
+// tailRegistrations reads the registrations of workers every registrationsReadInterval
+// until the leader is stopped.
+func (l *leader) tailRegistrations() {
 	from := int64(-1)
-	for pause(l.ctx, workersInterval) {
-		records, next, err := readOn(l.ctx, l.node.store, store.Read{Topic: store.Workers, From: from})
+	for sleep(l.ctx, registrationsReadInterval) {
+		records, next, err := readFrom(l.ctx, l.node.store, store.Read{Topic: store.Workers, From: from})
 		if err != nil {
-			if kindOf(err) == store.KindDropped {
+			if storeKind(err) == store.KindDropped {
 				from = -1
 			}
 			continue
 		}
-		whole := from < 0
+		isSnapshot := from < 0
 		from = next
-		if len(records) == 0 && !whole {
+		if len(records) == 0 && !isSnapshot {
 			continue
 		}
 		l.update(func(s *scheduler.Scheduler, at time.Time) {
-			if whole {
+			if isSnapshot {
 				clear(l.registrations)
 			}
-			if l.applyWorkers(records) || whole {
-				s.SetWorkers(l.listed(), at)
+			if l.applyRegistrations(records) || isSnapshot {
+				s.SetWorkers(l.registrationList(), at)
 			}
 		})
 	}
 }
 
-// applyWorkers notes registrations; it reports whether one has changed in a way
-// that matters.
-func (l *leader) applyWorkers(records []store.Record) bool {
+// applyRegistrations records registrations of workers. It reports whether a change
+// matters to the scheduler: a worker came or went, or one of the fields that are
+// compared below differs.
+func (l *leader) applyRegistrations(records []store.Record) bool {
 	newest := map[string]*store.Record{}
 	for i := range records {
 		newest[records[i].Key] = &records[i]
@@ -122,20 +128,21 @@
 			changed = changed || known
 			continue
 		}
-		v, err := l.node.peers.DecodeRegistration(id, r.Value)
+		registration, err := l.node.dependencies.DecodeRegistration(id, r.Value)
 		if err != nil {
 			l.node.log.V(1).Info("registration_unreadable", "worker", id, "error", err.Error())
 			delete(l.registrations, id)
 			changed = changed || known
 			continue
 		}
-		l.registrations[id] = v
-		changed = changed || !known || old.Life != v.Life || old.Draining != v.Draining || old.Service != v.Service || old.Address != v.Address
+		l.registrations[id] = registration
+		changed = changed || !known || old.Life != registration.Life || old.Draining != registration.Draining || old.Service != registration.Service || old.Address != registration.Address
 	}
 	return changed
 }
 
-func (l *leader) listed() []backend.Registration {
+// registrationList returns the known registrations in no particular order.
+func (l *leader) registrationList() []backend.Registration {
 	list := make([]backend.Registration, 0, len(l.registrations))
 	for _, r := range l.registrations {
 		list = append(list, r)
@@ -143,11 +150,11 @@
 	return list
 }
 
-// fresh reports whether every job accepted a while ago is known. The caller holds
-// the lock.
-func (l *leader) fresh() bool {
-	for _, t := range l.tailed {
-		if now().Sub(t) >= freshness {
+// jobsUpToDate reports whether every partition of jobs was read within maxJobsReadAge.
+// The caller must hold the mutex.
+func (l *leader) jobsUpToDate() bool {
+	for _, t := range l.lastJobsRead {
+		if now().Sub(t) >= maxJobsReadAge {
 			return false
 		}
 	}
--- a/internal/node/entryvm/takeover.go
+++ b/internal/node/entryvm/takeover.go
@@ -13,8 +13,9 @@
 	"github.com/almondpost/almondpost/internal/peer/store"
 )
 
-// giveUpRestore lets another VM lead when the stored state could not be read.
-func (l *leader) giveUpRestore() {
+// abortRestore stops the leader if it has not restored the stored state yet, so that
+// another VM can lead.
+func (l *leader) abortRestore() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if !l.serving {
@@ -22,95 +23,98 @@
 	}
 }
 
-// stored is what the store holds of the cell.
-type stored struct {
+// storedState is the state of the cell as read from the store.
+type storedState struct {
 	progress []store.Record
-	// jobs holds the records of each partition, and jobsEnd where to go on reading
-	// it.
+	// jobs holds the records of each partition, and jobsEnd the offset from which to
+	// continue reading it.
 	jobs    [][]store.Record
 	jobsEnd []int64
 	workers []store.Record
 }
 
-// restore fences the last leader and reads what it has stored. It returns where
-// to go on reading jobs.
+// restore fences the previous leader and restores the scheduler from the store. It
+// returns the offset of each partition of jobs from which to continue reading.
 func (l *leader) restore() ([]int64, error) {
 	begun := now()
-	v, err := l.readStored()
+	saved, err := l.readStored()
 	if err != nil {
-		return v.jobsEnd, err
+		return saved.jobsEnd, err
 	}
-	done := make(map[string]*work.Progress, len(v.progress))
-	for i := range v.progress {
-		r := &v.progress[i]
+	progress := make(map[string]*work.Progress, len(saved.progress))
+	for i := range saved.progress {
+		r := &saved.progress[i]
 		p, err := work.Decode[work.Progress](r.Value)
 		if err != nil {
 			l.node.log.Error(err, "progress_unreadable", "job", r.Key)
 			continue
 		}
-		done[r.Key] = p
+		progress[r.Key] = p
 	}
 	l.update(func(s *scheduler.Scheduler, at time.Time) {
 		s.Confirmed(begun)
-		l.applyWorkers(v.workers)
-		s.SetWorkers(l.listed(), at)
-		for part, records := range v.jobs {
-			l.notePartition(part, records)
+		l.applyRegistrations(saved.workers)
+		s.SetWorkers(l.registrationList(), at)
+		for part, records := range saved.jobs {
+			l.recordJobPartitions(part, records)
 		}
-		l.applyJobs(s, slices.Concat(v.jobs...), done, at)
-		for id, p := range done {
+		l.applyJobs(s, slices.Concat(saved.jobs...), progress, at)
+		for id, p := range progress {
 			s.RestoreEnded(id, p, at)
 		}
-		for part := range l.tailed {
-			l.tailed[part] = begun
+		for part := range l.lastJobsRead {
+			l.lastJobsRead[part] = begun
 		}
 		l.serving = true
 	})
 	l.node.measures.Observe(measure.Key{Name: "take_over"}, now().Sub(begun))
-	l.node.log.Info("take_over_done", "epoch", l.epoch, "partitions", len(v.jobs), "progress", len(v.progress), "workers", len(l.registrations), "took_ms", now().Sub(begun).Milliseconds())
-	return v.jobsEnd, nil
+	l.node.log.Info("take_over_done", "epoch", l.epoch, "partitions", len(saved.jobs), "progress", len(saved.progress), "workers", len(l.registrations), "took_ms", now().Sub(begun).Milliseconds())
+	return saved.jobsEnd, nil
 }
 
-// readStored reads everything at once; jobs and progress only after the last leader
-// is fenced, since it could start a job until then that was handed in meanwhile.
-func (l *leader) readStored() (stored, error) {
+// readStored reads the stored state with concurrent calls. It reads jobs and progress
+// only after it has fenced the previous leader, which until then can start jobs that
+// are submitted during the take-over.
+func (l *leader) readStored() (storedState, error) {
 	parts := l.node.settings.Partitions
-	v := stored{jobs: make([][]store.Record, parts), jobsEnd: make([]int64, parts)}
+	saved := storedState{jobs: make([][]store.Record, parts), jobsEnd: make([]int64, parts)}
 	var g, afterFence errgroup.Group
 	g.Go(func() error {
-		s, err := l.snapshot(store.Workers, 0)
-		v.workers = s.Records
+		s, err := l.readSnapshot(store.Workers, 0)
+		saved.workers = s.Records
 		return err
 	})
 	g.Go(func() error {
-		if err := l.appendProgress(l.renewal()); err != nil {
+		if err := l.appendProgress(l.renewalRecords()); err != nil {
 			return err
 		}
 		afterFence.Go(func() error {
-			s, err := l.snapshot(store.Progress, 0)
-			v.progress = s.Records
+			s, err := l.readSnapshot(store.Progress, 0)
+			saved.progress = s.Records
 			return err
 		})
 		for part := range parts {
 			afterFence.Go(func() error {
-				s, err := l.snapshot(store.Jobs, part)
-				v.jobs[part], v.jobsEnd[part] = s.Records, s.End
+				s, err := l.readSnapshot(store.Jobs, part)
+				saved.jobs[part], saved.jobsEnd[part] = s.Records, s.End
 				return err
 			})
 		}
 		return afterFence.Wait()
 	})
-	return v, g.Wait()
+	return saved, g.Wait()
 }
 
-func (l *leader) snapshot(t store.Topic, part int) (store.Snapshot, error) {
+// readSnapshot reads the newest record of each key of a partition. It retries until
+// that succeeds or the leader is stopped.
+func (l *leader) readSnapshot(t store.Topic, part int) (store.Snapshot, error) {
 	for {
-		call, cancel := context.WithTimeout(l.ctx, snapshotTimeout)
-		s, err := l.node.store.Newest(call, t, part)
+		callCtx, cancel := context.WithTimeout(l.ctx, snapshotTimeout)
+		s, err := l.node.store.Newest(callCtx, t, part)
 		cancel()
 		if err == nil || l.ctx.Err() != nil {
 			return s, err
 		}
-		pause(l.ctx, retryPause)
+		sleep(l.ctx, retryPause)
 	}
 }
--- a/internal/node/entryvm/writer.go
+++ b/internal/node/entryvm/writer.go
@@ -14,111 +14,116 @@
 )
 
 const (
-	// writePause is the wait after an append that failed.
-	writePause = 60 * time.Millisecond
-	// mostWrites bounds the records of one append.
-	mostWrites = 200
-	// leastMargin is kept of a caller's time for an append; more while the store
-	// is slow, and downMargin while it is reached through other VMs.
-	leastMargin = 30 * time.Millisecond
-	downMargin  = 300 * time.Millisecond
-	// defaultWriteTime is how long a record is tried for a caller without a
-	// deadline.
-	defaultWriteTime = 10 * time.Second
+	// writeRetryPause is the pause after a failed append.
+	writeRetryPause = 60 * time.Millisecond
+	// maxAppendRecords limits the records of one append.
+	maxAppendRecords = 200
+	// minAppendMargin is the shortest time before the deadline of a caller at which an
+	// append may be retried. The margin is longer while the store is slow, and
+	// relayedAppendMargin while it is reached through other VMs.
+	minAppendMargin     = 30 * time.Millisecond
+	relayedAppendMargin = 300 * time.Millisecond
+	// defaultWriteTimeout limits the writing of a record for a caller without a deadline.
+	defaultWriteTimeout = 10 * time.Second
 )
 
-// jobWriter stores job records, all that wait in one append. It writes to one
-// partition and moves to the next when that one fails: the leader reads all of
-// them and ignores a record that it knows.
+// jobWriter stores job records. One append contains all pending records, up to
+// maxAppendRecords. It writes to one partition and moves on to the next when an append
+// fails: the leader reads all partitions and ignores a record that it already knows.
 type jobWriter struct {
-	node  *Node
+	node *Node
+	// wake wakes run after a record is added.
 	wake  chan struct{}
 	mutex sync.Mutex
-	// waiting holds the records that are not stored, oldest first.
-	waiting   []*jobWrite
+	// pending holds the records that are not stored, oldest first.
+	pending []*pendingWrite
+	// partition is the partition that the next append goes to.
 	partition int
 }
 
-// jobWrite is a record on its way to the store.
-type jobWrite struct {
+// pendingWrite is a record that a caller waits to be stored.
+type pendingWrite struct {
 	record store.Record
 	stored chan struct{}
-	// until is when the caller has to be answered.
-	until time.Time
-	// expired is closed when there is no time for another append.
+	// deadline is when the caller needs an answer.
+	deadline time.Time
+	// expired is closed when too little time is left for another append.
 	expired chan struct{}
-	// inFlight tells that an append with the record has no answer yet.
+	// inFlight is true while an append with the record has no answer.
 	inFlight bool
-	// tried tells that at least one append was made.
-	tried bool
-	// uncertain tells that an append may have stored the record.
-	uncertain bool
+	// attempted is true once an append with the record was started.
+	attempted bool
+	// maybeStored is true if a failed append may have stored the record.
+	maybeStored bool
 }
 
 func newJobWriter(n *Node) *jobWriter {
 	return &jobWriter{node: n, wake: make(chan struct{}, 1), partition: int(xxhash.Sum64String(n.settings.Name) % uint64(n.settings.Partitions))}
 }
 
-// write stores a record. It returns KindNotStored only when the record is not
-// stored and never will be.
+// write stores a record. The error has KindNotStored if the record is not stored and
+// never will be, and KindUnknown if it may be.
 func (w *jobWriter) write(ctx context.Context, r store.Record) error {
-	v := &jobWrite{record: r, stored: make(chan struct{}), expired: make(chan struct{}), until: time.Now().Add(defaultWriteTime)}
-	if until, ok := ctx.Deadline(); ok {
-		v.until = until
+	p := &pendingWrite{record: r, stored: make(chan struct{}), expired: make(chan struct{}), deadline: time.Now().Add(defaultWriteTimeout)}
+	if deadline, ok := ctx.Deadline(); ok {
+		p.deadline = deadline
 	}
 	w.mutex.Lock()
-	w.waiting = append(w.waiting, v)
+	w.pending = append(w.pending, p)
 	w.mutex.Unlock()
 	signal(w.wake)
 	select {
-	case <-v.stored:
+	case <-p.stored:
 		return nil
-	case <-v.expired:
-		return w.giveUp(v)
+	case <-p.expired:
+		return w.withdraw(p)
 	case <-ctx.Done():
-		return w.giveUp(v)
+		return w.withdraw(p)
 	}
 }
 
-// margin is the time that an append should be given.
-func (w *jobWriter) margin() time.Duration {
+// appendMargin returns the time that must be left until a caller's deadline to retry
+// an append.
+func (w *jobWriter) appendMargin() time.Duration {
 	if w.node.store.down.Load() {
-		return downMargin
+		return relayedAppendMargin
 	}
-	return max(2*time.Duration(w.node.store.latency.Load()), leastMargin)
+	return max(2*time.Duration(w.node.store.latency.Load()), minAppendMargin)
 }
 
-// giveUp takes a record back.
-func (w *jobWriter) giveUp(v *jobWrite) error {
+// withdraw removes a record from the pending ones. It returns nil if the record is
+// already stored, and otherwise the error for the caller.
+func (w *jobWriter) withdraw(p *pendingWrite) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	select {
-	case <-v.stored:
+	case <-p.stored:
 		return nil
 	default:
 	}
-	for i := range w.waiting {
-		if w.waiting[i] == v {
-			w.waiting = append(w.waiting[:i:i], w.waiting[i+1:]...)
+	for i := range w.pending {
+		if w.pending[i] == p {
+			w.pending = append(w.pending[:i:i], w.pending[i+1:]...)
 			break
 		}
 	}
-	if v.inFlight || v.uncertain {
-		return fault.Newf("store_job", KindUnknown, "the store has not answered")
+	if p.inFlight || p.maybeStored {
+		return fault.Newf("store_job", KindUnknown, "the store has not answered the append")
 	}
-	return fault.Newf("store_job", KindNotStored, "the store takes nothing")
+	return fault.Newf("store_job", KindNotStored, "the store has not accepted the record in time")
 }
 
-// expireAll answers the callers of all records for which nothing can be done here.
+// expireAll fails all pending records, so that their callers can use another VM.
 func (w *jobWriter) expireAll() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for _, v := range w.waiting {
-		close(v.expired)
+	for _, p := range w.pending {
+		close(p.expired)
 	}
-	w.waiting = nil
+	w.pending = nil
 }
 
+// run appends the pending records until ctx is done.
 func (w *jobWriter) run(ctx context.Context) {
 	for {
 		select {
@@ -127,101 +132,105 @@
 		case <-w.wake:
 		}
 		for ctx.Err() == nil {
-			batch := w.next()
+			batch := w.nextBatch()
 			if len(batch) == 0 {
 				break
 			}
-			if !w.append(ctx, batch) {
-				pause(ctx, writePause)
+			if !w.appendBatch(ctx, batch) {
+				sleep(ctx, writeRetryPause)
 			}
 		}
 	}
 }
 
-// next returns the records of the next append. Callers whose time does not allow
-// for another one are told now, while it is certain that nothing is on its way.
-func (w *jobWriter) next() []*jobWrite {
+// nextBatch returns the records for the next append. It first fails the records whose
+// deadline is too close for another append. No append is in flight at this point, so a
+// record that was refused every time is certainly not stored.
+func (w *jobWriter) nextBatch() []*pendingWrite {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	margin := w.margin()
-	w.waiting = slices.DeleteFunc(w.waiting, func(v *jobWrite) bool {
-		late := v.tried && time.Until(v.until) < margin
+	margin := w.appendMargin()
+	w.pending = slices.DeleteFunc(w.pending, func(p *pendingWrite) bool {
+		late := p.attempted && time.Until(p.deadline) < margin
 		if late {
-			close(v.expired)
+			close(p.expired)
 		}
 		return late
 	})
-	batch := append([]*jobWrite(nil), w.waiting[:min(len(w.waiting), mostWrites)]...)
-	for _, v := range batch {
-		v.inFlight, v.tried = true, true
+	batch := append([]*pendingWrite(nil), w.pending[:min(len(w.pending), maxAppendRecords)]...)
+	for _, p := range batch {
+		p.inFlight, p.attempted = true, true
 	}
 	return batch
 }
 
-// append stores a batch and tells the leader; it reports whether it is stored.
-func (w *jobWriter) append(ctx context.Context, batch []*jobWrite) bool {
+// appendBatch stores a batch and reports whether that succeeded. It then notifies the
+// leader in the background.
+func (w *jobWriter) appendBatch(ctx context.Context, batch []*pendingWrite) bool {
 	records := make([]store.Record, len(batch))
-	for i, v := range batch {
-		records[i] = v.record
+	for i, p := range batch {
+		records[i] = p.record
 	}
-	call, cancel := context.WithTimeout(ctx, mostPatience+relayTries*relayTimeout)
-	_, err := w.node.store.Append(call, store.Append{Topic: store.Jobs, Part: w.partition, Records: records})
+	callCtx, cancel := context.WithTimeout(ctx, maxAppendTimeout+maxRelayAttempts*relayTimeout)
+	_, err := w.node.store.Append(callCtx, store.Append{Topic: store.Jobs, Part: w.partition, Records: records})
 	cancel()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for _, v := range batch {
-		v.inFlight = false
-		v.uncertain = v.uncertain || (err != nil && kindOf(err) != store.KindRefused)
+	for _, p := range batch {
+		p.inFlight = false
+		p.maybeStored = p.maybeStored || (err != nil && storeKind(err) != store.KindRefused)
 	}
 	if err != nil {
 		w.node.log.Info("jobs_not_stored", "records", len(batch), "partition", w.partition, "error", err.Error())
 		w.partition = (w.partition + 1) % w.node.settings.Partitions
 		return false
 	}
-	for _, v := range batch {
-		close(v.stored)
+	for _, p := range batch {
+		close(p.stored)
 	}
-	kept := w.waiting[:0]
-	for _, v := range w.waiting {
+	kept := w.pending[:0]
+	for _, p := range w.pending {
 		select {
-		case <-v.stored:
+		case <-p.stored:
 		default:
-			kept = append(kept, v)
+			kept = append(kept, p)
 		}
 	}
-	w.waiting = kept
-	go w.tell(records)
+	w.pending = kept
+	go w.notifyLeader(records)
 	return true
 }
 
 const (
-	// tellTries bounds how often the leader is told, and tellPause is the wait
-	// between: a take-over takes about their product. The leader reads the records
-	// some time later anyway.
-	tellTries = 8
-	tellPause = 150 * time.Millisecond
+	// maxNotifyAttempts limits the attempts to notify the leader, and notifyRetryPause is
+	// the pause between them. Together they last about as long as a take-over. If all
+	// fail, the leader reads the records from the store later.
+	maxNotifyAttempts = 8
+	notifyRetryPause  = 150 * time.Millisecond
 )
 
-// tell hands stored records to the leader, which would read them a little later.
-func (w *jobWriter) tell(records []store.Record) {
-	for range tellTries {
-		if w.tellOnce(records) || !pause(w.node.run, tellPause) {
+// notifyLeader sends stored records to the leader, so that it knows them before it
+// reads them from the store.
+func (w *jobWriter) notifyLeader(records []store.Record) {
+	for range maxNotifyAttempts {
+		if w.tryNotifyLeader(records) || !sleep(w.node.ctx, notifyRetryPause) {
 			return
 		}
 	}
 	w.node.log.Info("leader_not_told", "records", len(records))
 }
 
-// tellOnce reports whether the leader knows the records.
-func (w *jobWriter) tellOnce(records []store.Record) bool {
-	if l := w.node.leading(); l != nil {
-		return l.takeJobs(records)
+// tryNotifyLeader sends stored records to the leader once and reports whether it has
+// accepted them.
+func (w *jobWriter) tryNotifyLeader(records []store.Record) bool {
+	if l := w.node.activeLeader(); l != nil {
+		return l.addStoredJobs(records)
 	}
-	c, ok := w.node.election.leader()
+	c, ok := w.node.election.knownLeader()
 	if !ok {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(w.node.run, stateTimeout)
+	ctx, cancel := context.WithTimeout(w.node.ctx, leaderCallTimeout)
 	defer cancel()
 	r, err := link.Call[JobsArgs, JobsReply](ctx, w.node.client, c.Address, "Jobs", JobsArgs{Records: records})
 	if err != nil {
--- a/internal/node/keeper/batcher.go
+++ b/internal/node/keeper/batcher.go
@@ -5,43 +5,45 @@
 	"time"
 )
 
-// batcher gathers items for one peer and sends them, one batch at a time.
+// batcher collects items for one peer and sends them in batches, one batch at a time.
 type batcher[T any] struct {
-	// gather is how long the first item of a batch waits for others.
-	gather time.Duration
-	// send returns when the peer has the batch, or when it is given up.
+	// delay is the wait before a batch is sent, so that more items can join it.
+	delay time.Duration
+	// send sends a batch. It returns when the peer has confirmed the batch or no further
+	// attempt is made.
 	send func(items []T)
 
-	mutex   sync.Mutex
-	waiting []T
-	// sending tells that a goroutine takes care of what waits.
+	mutex sync.Mutex
+	// pending holds the items of the next batch.
+	pending []T
+	// sending is true while a goroutine runs sendPending.
 	sending bool
 }
 
-func newBatcher[T any](gather time.Duration, send func(items []T)) *batcher[T] {
-	return &batcher[T]{gather: gather, send: send}
+func newBatcher[T any](delay time.Duration, send func(items []T)) *batcher[T] {
+	return &batcher[T]{delay: delay, send: send}
 }
 
-// add puts an item into the next batch.
+// add adds an item to the next batch and returns at once.
 func (b *batcher[T]) add(item T) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.waiting = append(b.waiting, item)
+	b.pending = append(b.pending, item)
 	if !b.sending {
 		b.sending = true
-		go b.drain()
+		go b.sendPending()
 	}
 }
 
-// drain sends batches until nothing waits.
-func (b *batcher[T]) drain() {
+// sendPending sends batches until no item is pending.
+func (b *batcher[T]) sendPending() {
 	for {
-		if b.gather > 0 {
-			time.Sleep(b.gather)
+		if b.delay > 0 {
+			time.Sleep(b.delay)
 		}
 		b.mutex.Lock()
-		items := b.waiting
-		b.waiting = nil
+		items := b.pending
+		b.pending = nil
 		b.sending = len(items) > 0
 		b.mutex.Unlock()
 		if len(items) == 0 {
--- a/internal/node/keeper/bench_test.go
+++ b/internal/node/keeper/bench_test.go
@@ -17,32 +17,36 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// benchWorkers is the fleet of BenchmarkRun, and benchTasks are the tasks of its jobs.
+// benchWorkers is the number of workers in BenchmarkRun, and benchTasks the number of tasks
+// in each of its jobs.
 const (
 	benchWorkers = 1100
 	benchTasks   = 20
 )
 
-// held is a worker as the leader of BenchmarkRun sees it.
-type held struct {
+// benchWorker is the state of a simulated worker in BenchmarkRun.
+type benchWorker struct {
 	life backend.Life
+	// ends is the number of runs that have ended on the worker.
 	ends int64
+	// sent identifies the last hold that was sent to the worker.
 	sent scheduler.HoldSent
 }
 
-// BenchmarkRun measures what a leader does for one run of a task on 1,100 workers: it
-// places, records and orders it, and takes its end from a hold, with the encoding of
-// both messages. Reading messages and the log lines are not in it.
+// BenchmarkRun measures the leader's work for one run of a task in a fleet of 1,100
+// workers: placing the task, building the progress records, encoding the start order and
+// the hold, and handling the end that the hold reports. Decoding messages and writing log
+// lines are not included.
 func BenchmarkRun(b *testing.B) {
 	now := time.Unix(1_700_000_000, 0)
 	s := scheduler.New(scheduler.Timing{Lease: 10 * time.Second, Right: 12 * time.Second, HoldWait: time.Second, Retention: 5 * time.Second}, 1, now, now, logr.Discard())
 	s.SetTable(&queue.Table{Version: 1, Queues: []queue.Queue{{Name: "batch", Service: "desk", Priority: 2, MaxAttempts: 3, Stretch: 4, Objective: 3 * time.Second}}})
-	workers := map[backend.Life]*held{}
+	workers := map[backend.Life]*benchWorker{}
 	var list []backend.Registration
 	for i := range benchWorkers {
 		r := backend.Registration{Life: backend.Life{ID: fmt.Sprintf("i-%010x", i), Born: 1}, Service: "desk", Capacity: resource.Vector{Milliprocessors: 64000, MemoryMebibytes: 131072}}
 		list = append(list, r)
-		workers[r.Life] = &held{life: r.Life}
+		workers[r.Life] = &benchWorker{life: r.Life}
 	}
 	s.SetWorkers(list, now)
 	for _, w := range workers {
--- a/internal/node/keeper/dispatcher.go
+++ b/internal/node/keeper/dispatcher.go
@@ -14,158 +14,164 @@
 )
 
 const (
-	// Margin is the time that the way through a keeper may take: the leader waits
-	// longer for an answer than the keeper does by this.
-	Margin = 300 * time.Millisecond
-	// batchTimeout bounds the way of a batch to its keeper. A keeper that does not
-	// confirm in time is not used for failedPause.
-	batchTimeout = 400 * time.Millisecond
-	failedPause  = 2 * time.Second
+	// ForwardingMargin is the extra time allowed for a call that goes through a keeper:
+	// the leader waits this much longer for the answer than the keeper does.
+	ForwardingMargin = 300 * time.Millisecond
+	// batchTimeout limits the sending of a batch to its keeper. A keeper that does not
+	// confirm a batch in time gets no calls for failedKeeperPause.
+	batchTimeout      = 400 * time.Millisecond
+	failedKeeperPause = 2 * time.Second
 )
 
-// Dispatcher hands the calls of a leader to keepers and finds the callers of their
-// answers.
+// Dispatcher runs on the leader: it sends calls to keepers and passes each answer to the
+// caller that waits for it.
 type Dispatcher struct {
-	// leader is where answers arrive.
-	leader netip.AddrPort
-	// send hands a batch to a keeper. It returns when the keeper has it.
+	// leaderAddress is the address that keepers send answers to.
+	leaderAddress netip.AddrPort
+	// send sends a batch to a keeper. It returns when the keeper has confirmed it.
 	send func(ctx context.Context, keeper netip.AddrPort, b Batch) error
 	log  logr.Logger
-	// number is that of the last call.
-	number atomic.Int64
-	roster atomic.Pointer[Roster]
+	// lastNumber is the number of the last call.
+	lastNumber atomic.Int64
+	// assignment is nil until SetAssignment is called, and there are no keepers then.
+	assignment atomic.Pointer[Assignment]
 
-	mutex   sync.Mutex
-	batches map[netip.AddrPort]*batcher[Call]
-	// failed is when a keeper last did not confirm a batch.
-	failed map[netip.AddrPort]time.Time
-	// waiting holds the calls without an answer.
-	waiting map[int64]waiter
+	mutex sync.Mutex
+	// batchers holds the batcher for each keeper.
+	batchers map[netip.AddrPort]*batcher[Call]
+	// failedAt is the time at which each keeper last failed to confirm a batch.
+	failedAt map[netip.AddrPort]time.Time
+	// pending holds the unanswered calls by number.
+	pending map[int64]pendingCall
 }
 
-// waiter waits for the answer to a call.
-type waiter struct {
+// pendingCall is a call that has no answer yet.
+type pendingCall struct {
 	keeper netip.AddrPort
-	// answer takes one answer.
+	// answer receives exactly one answer, unless the caller stops waiting first.
 	answer chan Answer
 }
 
-// NewDispatcher returns a dispatcher without keepers. first is a number above those
-// of all calls of earlier processes of this VM.
-func NewDispatcher(leader netip.AddrPort, first int64, send func(context.Context, netip.AddrPort, Batch) error, log logr.Logger) *Dispatcher {
+// NewDispatcher returns a dispatcher without keepers. leader is the address of this VM.
+// lastNumber must be at least the number of every call of earlier processes of this VM.
+func NewDispatcher(leader netip.AddrPort, lastNumber int64, send func(context.Context, netip.AddrPort, Batch) error, log logr.Logger) *Dispatcher {
 	d := &Dispatcher{
-		leader: leader, send: send, log: log,
-		batches: map[netip.AddrPort]*batcher[Call]{}, failed: map[netip.AddrPort]time.Time{}, waiting: map[int64]waiter{},
+		leaderAddress: leader, send: send, log: log,
+		batchers: map[netip.AddrPort]*batcher[Call]{}, failedAt: map[netip.AddrPort]time.Time{}, pending: map[int64]pendingCall{},
 	}
-	d.number.Store(first)
+	d.lastNumber.Store(lastNumber)
 	return d
 }
 
-// SetRoster puts a roster in force. Calls at VMs that are not keepers any more are
-// given up.
-func (d *Dispatcher) SetRoster(r *Roster) {
-	d.roster.Store(r)
+// SetAssignment replaces the assignment of workers to keepers. Pending calls through VMs
+// that are no longer keepers fail with backend.KindUnknown.
+func (d *Dispatcher) SetAssignment(a *Assignment) {
+	d.assignment.Store(a)
 	d.mutex.Lock()
-	var lost []netip.AddrPort
-	for a := range d.batches {
-		if !r.has(a) {
-			delete(d.batches, a)
-			delete(d.failed, a)
-			lost = append(lost, a)
+	var removed []netip.AddrPort
+	for k := range d.batchers {
+		if !a.hasKeeper(k) {
+			delete(d.batchers, k)
+			delete(d.failedAt, k)
+			removed = append(removed, k)
 		}
 	}
 	d.mutex.Unlock()
-	for _, a := range lost {
-		d.log.Info("keeper_left", "keeper", a.String(), "calls", d.giveUp(a))
+	for _, k := range removed {
+		d.log.Info("keeper_left", "keeper", k.String(), "calls", d.failPending(k))
 	}
 }
 
-// keeperOf returns the VM that carries the calls to a worker; ok is false where the
-// leader makes them itself.
-func (d *Dispatcher) keeperOf(r *backend.Registration) (a netip.AddrPort, ok bool) {
-	m, ok := d.roster.Load().Of(r.Zone, r.Life.ID)
+// keeperOf returns the address of the keeper to call a worker through. ok is false if the
+// leader must call the worker directly: the worker has no keeper, or its keeper failed
+// less than failedKeeperPause ago.
+func (d *Dispatcher) keeperOf(r *backend.Registration) (address netip.AddrPort, ok bool) {
+	m, ok := d.assignment.Load().KeeperFor(r.Zone, r.Life.ID)
 	if !ok {
-		return a, false
+		return address, false
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	at, failed := d.failed[m.Address]
-	return m.Address, !failed || time.Since(at) > failedPause
+	at, failed := d.failedAt[m.Address]
+	return m.Address, !failed || time.Since(at) > failedKeeperPause
 }
 
-// do makes a call through a keeper.
-func (d *Dispatcher) do(ctx context.Context, keeper netip.AddrPort, operation string, c Call) (Answer, error) {
-	c.Number = d.number.Add(1)
-	if until, ok := ctx.Deadline(); ok {
-		c.Timeout = max(time.Until(until)-Margin, 0)
+// call makes a call through a keeper and waits for its answer. The error kind is
+// backend.KindUnknown if no answer arrives before ctx is done.
+func (d *Dispatcher) call(ctx context.Context, keeper netip.AddrPort, operation string, c Call) (Answer, error) {
+	c.Number = d.lastNumber.Add(1)
+	if deadline, ok := ctx.Deadline(); ok {
+		c.Timeout = max(time.Until(deadline)-ForwardingMargin, 0)
 	}
-	w := waiter{keeper: keeper, answer: make(chan Answer, 1)}
+	p := pendingCall{keeper: keeper, answer: make(chan Answer, 1)}
 	d.mutex.Lock()
-	d.waiting[c.Number] = w
-	b := d.batches[keeper]
+	d.pending[c.Number] = p
+	b := d.batchers[keeper]
 	if b == nil {
-		b = newBatcher(0, func(list []Call) { d.deliver(keeper, list) })
-		d.batches[keeper] = b
+		b = newBatcher(0, func(list []Call) { d.sendBatch(keeper, list) })
+		d.batchers[keeper] = b
 	}
 	d.mutex.Unlock()
 	b.add(c)
 	select {
-	case a := <-w.answer:
+	case a := <-p.answer:
 		if a.Kind != "" {
 			return a, fault.Newf(operation, a.Kind, "through %s: %s", keeper, a.Message)
 		}
 		return a, nil
 	case <-ctx.Done():
-		d.forget(c.Number)
+		d.removePending(c.Number)
 		return Answer{}, fault.New(operation, backend.KindUnknown, ctx.Err())
 	}
 }
 
-func (d *Dispatcher) forget(number int64) {
+// removePending stops waiting for the answer to a call.
+func (d *Dispatcher) removePending(number int64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	delete(d.waiting, number)
+	delete(d.pending, number)
 }
 
-// deliver hands a batch to its keeper. A batch that is not confirmed may have arrived,
-// and is not sent again.
-func (d *Dispatcher) deliver(keeper netip.AddrPort, calls []Call) {
+// sendBatch sends a batch to its keeper. It does not retry, since a batch that was not
+// confirmed may have arrived.
+func (d *Dispatcher) sendBatch(keeper netip.AddrPort, calls []Call) {
 	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 	defer cancel()
-	err := d.send(ctx, keeper, Batch{Leader: d.leader, Calls: calls})
+	err := d.send(ctx, keeper, Batch{Leader: d.leaderAddress, Calls: calls})
 	if err == nil {
 		return
 	}
 	d.mutex.Lock()
-	d.failed[keeper] = time.Now()
+	d.failedAt[keeper] = time.Now()
 	d.mutex.Unlock()
-	d.log.Info("keeper_failed", "keeper", keeper.String(), "calls", d.giveUp(keeper), "error", err.Error())
+	d.log.Info("keeper_failed", "keeper", keeper.String(), "calls", d.failPending(keeper), "error", err.Error())
 }
 
-// giveUp ends the wait for all answers of a keeper. The calls may have been made. It
-// returns how many there were.
-func (d *Dispatcher) giveUp(keeper netip.AddrPort) int {
+// failPending fails all pending calls through a keeper with backend.KindUnknown, since
+// they may have been made. It returns the number of calls.
+func (d *Dispatcher) failPending(keeper netip.AddrPort) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	n := 0
-	for number, w := range d.waiting {
-		if w.keeper == keeper {
-			delete(d.waiting, number)
-			w.answer <- Answer{Number: number, Kind: backend.KindUnknown, Message: "the keeper does not answer"}
+	for number, p := range d.pending {
+		if p.keeper == keeper {
+			delete(d.pending, number)
+			p.answer <- Answer{Number: number, Kind: backend.KindUnknown, Message: "the keeper does not answer"}
 			n++
 		}
 	}
 	return n
 }
 
-// Answered takes answers from a keeper. Those that nobody waits for are dropped.
-func (d *Dispatcher) Answered(list []Answer) {
+// HandleAnswers passes answers from a keeper to the waiting callers. It drops an answer
+// to a call that is no longer pending.
+func (d *Dispatcher) HandleAnswers(list []Answer) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for i := range list {
-		if w, ok := d.waiting[list[i].Number]; ok {
-			delete(d.waiting, list[i].Number)
-			w.answer <- list[i]
+		if p, ok := d.pending[list[i].Number]; ok {
+			delete(d.pending, list[i].Number)
+			p.answer <- list[i]
 		}
 	}
 }
--- /dev/null
+++ b/internal/node/keeper/forwarder.go
@@ -0,0 +1,106 @@
+package keeper
+
+import (
+	"context"
+	"net/netip"
+	"sync"
+	"time"
+
+	"github.com/go-logr/logr"
+
+	"github.com/almondpost/almondpost/internal/node/fault"
+	"github.com/almondpost/almondpost/internal/peer/backend"
+)
+
+const (
+	// answerBatchDelay is how long an answer waits for others to share its batch.
+	answerBatchDelay = 8 * time.Millisecond
+	// answerTimeout limits one attempt to send a batch of answers to the leader, and
+	// maxAnswerAttempts is the number of attempts. A second one is needed because
+	// a connection can stop delivering messages without an error.
+	answerTimeout     = 400 * time.Millisecond
+	maxAnswerAttempts = 2
+	// maxCallTimeout is the longest timeout of a call that a leader can request.
+	maxCallTimeout = 10 * time.Second
+)
+
+// Forwarder runs on a keeper: it makes the calls that leaders send and returns the answers.
+type Forwarder struct {
+	ctx  context.Context
+	dial func(r backend.Registration) backend.Worker
+	// send sends answers to a leader and returns once the leader has confirmed them.
+	send func(ctx context.Context, leader netip.AddrPort, a Answers) error
+	log  logr.Logger
+
+	mutex sync.Mutex
+	// answerBatchers has an entry for each leader that ever sent calls. Entries are never
+	// removed, since leaders change rarely.
+	answerBatchers map[netip.AddrPort]*batcher[Answer]
+}
+
+// NewForwarder returns a forwarder that makes calls until ctx is done.
+func NewForwarder(ctx context.Context, dial func(backend.Registration) backend.Worker, send func(context.Context, netip.AddrPort, Answers) error, log logr.Logger) *Forwarder {
+	return &Forwarder{ctx: ctx, dial: dial, send: send, log: log, answerBatchers: map[netip.AddrPort]*batcher[Answer]{}}
+}
+
+// Forward starts the calls of a batch and returns at once. The answers are sent later.
+func (f *Forwarder) Forward(b Batch) {
+	answers := f.answerBatcher(b.Leader)
+	for i := range b.Calls {
+		go func() { answers.add(f.callWorker(&b.Calls[i])) }()
+	}
+}
+
+// answerBatcher returns the batcher of the answers to a leader.
+func (f *Forwarder) answerBatcher(leader netip.AddrPort) *batcher[Answer] {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if b := f.answerBatchers[leader]; b != nil {
+		return b
+	}
+	b := newBatcher(answerBatchDelay, func(list []Answer) { f.sendAnswers(leader, list) })
+	f.answerBatchers[leader] = b
+	return b
+}
+
+// callWorker makes one call. The answer contains the error of a failed call.
+func (f *Forwarder) callWorker(call *Call) Answer {
+	ctx, cancel := context.WithTimeout(f.ctx, min(max(call.Timeout, 0), maxCallTimeout))
+	defer cancel()
+	w := f.dial(backend.Registration{Life: call.Life, Address: call.Address})
+	defer w.Close()
+	a := Answer{Number: call.Number}
+	var err error
+	switch {
+	case call.Start != nil:
+		a.Clock, err = w.Start(ctx, *call.Start)
+	case call.Hold != nil:
+		var report backend.Report
+		report, err = w.Hold(ctx, *call.Hold)
+		a.Report = &report
+	case call.Stop != nil:
+		err = w.Stop(ctx, *call.Stop)
+	case call.Pace != nil:
+		err = w.Pace(ctx, *call.Pace)
+	default:
+		err = fault.Newf("carry", backend.KindInvalid, "call has none of hold, start, stop and pace")
+	}
+	if err != nil {
+		a.Kind, a.Message = fault.KindOr(err, backend.KindUnknown), err.Error()
+	}
+	return a
+}
+
+// sendAnswers sends answers to the leader. The leader ignores an answer that it receives
+// twice.
+func (f *Forwarder) sendAnswers(leader netip.AddrPort, list []Answer) {
+	for try := range maxAnswerAttempts {
+		ctx, cancel := context.WithTimeout(f.ctx, answerTimeout)
+		err := f.send(ctx, leader, Answers{list})
+		cancel()
+		if err == nil || f.ctx.Err() != nil {
+			return
+		}
+		f.log.Info("answers_not_delivered", "leader", leader.String(), "answers", len(list), "try", try+1, "error", err.Error())
+	}
+}
--- a/internal/node/keeper/protocol.go
+++ b/internal/node/keeper/protocol.go
@@ -1,9 +1,15 @@
-// Package keeper carries the calls of a leader to workers through other entry VMs.
+// Package keeper forwards the leader's calls to workers through other entry VMs, so that
+// a leader of a large fleet does not call every worker itself.
 //
-// A keeper is an entry VM of the failure domain of a worker. It decides nothing: the
-// leader records a start before it hands the order over, and the lease and fencing
-// token that go with each call bound what a late one can do. So a keeper may die, be
-// paused or be replaced at any moment, and its leader may be too.
+// A keeper is an entry VM that forwards the leader's calls to workers in its own failure
+// domain. On the leader, a Dispatcher batches the calls and sends them to keepers; on
+// a keeper, a Forwarder makes the calls and returns the answers. An Assignment maps each
+// worker to its keeper.
+//
+// Keepers make no scheduling decisions. The leader stores a start before it sends the
+// order, and each call carries a lease and a fencing token that limit the effect of
+// a late call. A keeper or the leader can therefore crash, pause or be replaced at any
+// time.
 package keeper
 
 import (
@@ -13,15 +19,16 @@
 	"github.com/almondpost/almondpost/internal/peer/backend"
 )
 
-// Call is one call to a worker. Exactly one of the orders is set.
+// Call is one call to a worker. Exactly one of Hold, Start, Stop and Pace is set.
 type Call struct {
-	// Number identifies the call at its leader; numbers are never used again, by
-	// later processes of the VM either.
+	// Number identifies the call on the leader's VM. It is never reused, not even after
+	// the VM restarts.
 	Number int64
-	Life   backend.Life
-	// Address is the worker's.
+	// Life identifies the worker process that the call is meant for.
+	Life backend.Life
+	// Address is the network address of the worker.
 	Address netip.AddrPort
-	// Timeout bounds the call to the worker.
+	// Timeout limits the keeper's call to the worker.
 	Timeout time.Duration
 	Hold    *backend.Hold
 	Start   *backend.Start
@@ -29,24 +36,27 @@
 	Pace    *backend.Pace
 }
 
-// Batch holds calls for one keeper.
+// Batch is a list of calls for one keeper to make.
 type Batch struct {
-	// Leader is where the answers go.
+	// Leader is the address that the keeper sends the answers to.
 	Leader netip.AddrPort
 	Calls  []Call
 }
 
-// Answer is a worker's answer to a call.
+// Answer is a worker's answer to a call, or the error of the call.
 type Answer struct {
-	// Number is that of the call.
+	// Number is the number of the call that is answered.
 	Number int64
-	// Kind is empty on success.
-	Kind    backend.Kind
+	// Kind classifies the error of the call. It is empty on success.
+	Kind backend.Kind
+	// Message is the error text.
 	Message string
-	// Clock is the worker's clock; 0 when unknown. Holds have it in their report.
-	Clock  time.Duration
+	// Clock is the reading of the worker's clock in an answer to a start, or 0 if it is
+	// unknown. An answer to a hold has it in Report.
+	Clock time.Duration
+	// Report is set in an answer to a hold only.
 	Report *backend.Report
 }
 
-// Answers holds answers for one leader.
+// Answers is a list of answers for one leader.
 type Answers struct{ Answers []Answer }
--- a/internal/node/keeper/worker.go
+++ b/internal/node/keeper/worker.go
@@ -8,20 +8,22 @@
 	"github.com/almondpost/almondpost/internal/peer/backend"
 )
 
-// Worker is a worker that is reached through its keeper, or directly where it has
-// none. Contexts must leave Margin for the way there and back.
+// Worker calls a worker through its keeper, or directly if it has no usable keeper.
+// The deadline of each context must include ForwardingMargin, since direct calls get
+// that much less time.
 type Worker struct {
 	dispatcher   *Dispatcher
 	registration backend.Registration
 	direct       backend.Worker
 }
 
-// NewWorker returns a worker. direct is the connection from this VM.
+// NewWorker returns a client for the worker with registration r. direct is the client
+// that calls it directly from this VM.
 func NewWorker(d *Dispatcher, r backend.Registration, direct backend.Worker) *Worker {
 	return &Worker{d, r, direct}
 }
 
-func (w *Worker) call() Call {
+func (w *Worker) newCall() Call {
 	return Call{Life: w.registration.Life, Address: w.registration.Address}
 }
 
@@ -29,13 +31,13 @@
 func (w *Worker) Start(ctx context.Context, s backend.Start) (time.Duration, error) {
 	keeper, ok := w.dispatcher.keeperOf(&w.registration)
 	if !ok {
-		ctx, cancel := withoutMargin(ctx)
+		ctx, cancel := withoutForwardingMargin(ctx)
 		defer cancel()
 		return w.direct.Start(ctx, s)
 	}
-	c := w.call()
+	c := w.newCall()
 	c.Start = &s
-	a, err := w.dispatcher.do(ctx, keeper, "start", c)
+	a, err := w.dispatcher.call(ctx, keeper, "start", c)
 	return a.Clock, err
 }
 
@@ -43,13 +45,13 @@
 func (w *Worker) Stop(ctx context.Context, s backend.Stop) error {
 	keeper, ok := w.dispatcher.keeperOf(&w.registration)
 	if !ok {
-		ctx, cancel := withoutMargin(ctx)
+		ctx, cancel := withoutForwardingMargin(ctx)
 		defer cancel()
 		return w.direct.Stop(ctx, s)
 	}
-	c := w.call()
+	c := w.newCall()
 	c.Stop = &s
-	_, err := w.dispatcher.do(ctx, keeper, "stop", c)
+	_, err := w.dispatcher.call(ctx, keeper, "stop", c)
 	return err
 }
 
@@ -57,13 +59,13 @@
 func (w *Worker) Pace(ctx context.Context, p backend.Pace) error {
 	keeper, ok := w.dispatcher.keeperOf(&w.registration)
 	if !ok {
-		ctx, cancel := withoutMargin(ctx)
+		ctx, cancel := withoutForwardingMargin(ctx)
 		defer cancel()
 		return w.direct.Pace(ctx, p)
 	}
-	c := w.call()
+	c := w.newCall()
 	c.Pace = &p
-	_, err := w.dispatcher.do(ctx, keeper, "pace", c)
+	_, err := w.dispatcher.call(ctx, keeper, "pace", c)
 	return err
 }
 
@@ -71,13 +73,13 @@
 func (w *Worker) Hold(ctx context.Context, h backend.Hold) (backend.Report, error) {
 	keeper, ok := w.dispatcher.keeperOf(&w.registration)
 	if !ok {
-		ctx, cancel := withoutMargin(ctx)
+		ctx, cancel := withoutForwardingMargin(ctx)
 		defer cancel()
 		return w.direct.Hold(ctx, h)
 	}
-	c := w.call()
+	c := w.newCall()
 	c.Hold = &h
-	a, err := w.dispatcher.do(ctx, keeper, "hold", c)
+	a, err := w.dispatcher.call(ctx, keeper, "hold", c)
 	if err != nil {
 		return backend.Report{}, err
 	}
@@ -90,11 +92,12 @@
 // Close implements backend.Worker.
 func (w *Worker) Close() { w.direct.Close() }
 
-// withoutMargin takes the time for the way through a keeper from a context.
-func withoutMargin(ctx context.Context) (context.Context, context.CancelFunc) {
-	until, ok := ctx.Deadline()
+// withoutForwardingMargin returns a copy of ctx whose deadline, if there is one, is
+// ForwardingMargin earlier.
+func withoutForwardingMargin(ctx context.Context) (context.Context, context.CancelFunc) {
+	deadline, ok := ctx.Deadline()
 	if !ok {
 		return context.WithCancel(ctx)
 	}
-	return context.WithDeadline(ctx, until.Add(-Margin))
+	return context.WithDeadline(ctx, deadline.Add(-ForwardingMargin))
 }
