--- a/internal/node/entryvm/commits.go
+++ b/internal/node/entryvm/commits.go
@@ -10,9 +10,9 @@
 	"github.com/almondpost/almondpost/internal/peer/store"
 )
 
-// endsStored reports whether the ends of all runs that a worker has reported are
+// runEndsStored reports whether the ends of all runs that a worker has reported are
 // stored. The channel is closed by the next commit.
-func (l *leader) endsStored(life backend.Life) (bool, chan struct{}) {
+func (l *leader) runEndsStored(life backend.Life) (bool, chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.scheduler.EndsStored(life), l.committed
--- a/internal/node/entryvm/election.go
+++ b/internal/node/entryvm/election.go
@@ -24,7 +24,8 @@
 	// rankDelay is added to leaderTimeout for each VM that should claim first, so that
 	// two VMs rarely claim at the same time.
 	rankDelay = 200 * time.Millisecond
-	// maxRank limits the number of VMs that a VM waits for.
+	// maxRank is the highest rank. It limits how long a VM waits for others to claim
+	// first.
 	maxRank = 8
 	// maxFirstClaimDelay is how long the least fit VM waits before the first claim of a
 	// cell, so that fitter VMs claim first.
@@ -35,8 +36,7 @@
 	minStoreUptime = 2*heartbeatInterval + 100*time.Millisecond
 	// electionPollInterval is the pause between two checks for a silent leader.
 	electionPollInterval = 100 * time.Millisecond
-	// peerCallTimeout limits a call that asks another VM whether it hears the leader, or
-	// to take over.
+	// peerCallTimeout limits a call to another VM during an election or a hand-over.
 	peerCallTimeout = 300 * time.Millisecond
 	// claimKey is the key of the claim record.
 	claimKey = "leader"
@@ -184,14 +184,14 @@
 	if end < 0 || e.node.isLeaving() || e.node.activeLeader() != nil {
 		return false
 	}
-	if c.Name == e.node.settings.Name && c.Process != 0 && c.Process != e.process && !e.node.members.hasMuchFitter() {
+	if c.Name == e.node.settings.Name && c.Process != 0 && c.Process != e.process && !e.node.members.hasMuchFitterVM() {
 		return true // The claim is of an earlier process of this VM, which no longer runs.
 	}
 	own := candidacy{
 		epoch: c.Epoch, silence: silence, storeReachable: e.node.store.reachableFor(now()),
 		rank: e.rank(c.Epoch, c.Name), fitness: e.node.settings.Fitness, majoritySilent: e.majoritySilent(),
 	}
-	if !own.due() {
+	if !own.isDue() {
 		return false
 	}
 	if c.Epoch > 0 && e.othersHearLeader(ctx, c) {
@@ -218,13 +218,13 @@
 	fitness float64
 }
 
-// due reports whether the VM should claim leadership now.
+// isDue reports whether the VM should claim leadership now.
 //
 // A VM that was cut off has heard no leader for seconds. If it claimed as soon as the
 // connection is back, before it hears the leader again, the needless take-over would
 // halt all starts. It therefore waits until the store has been reachable for
 // minStoreUptime.
-func (c candidacy) due() bool {
+func (c candidacy) isDue() bool {
 	wait := leaderTimeout
 	switch {
 	case c.epoch == 0:
@@ -285,8 +285,8 @@
 }
 
 // claimLeadership stores a claim with the next epoch and starts to lead if that
-// succeeds. It does nothing if this VM already leads, or if another claim has become
-// known since decidedEpoch was the highest epoch.
+// succeeds. It does nothing if this VM already leads, or if decidedEpoch is no longer
+// the highest known epoch.
 func (e *election) claimLeadership(ctx context.Context, decidedEpoch int64, reason string) {
 	if e.node.activeLeader() != nil {
 		return
--- a/internal/node/entryvm/election_test.go
+++ b/internal/node/entryvm/election_test.go
@@ -43,6 +43,6 @@
 		{"the store is reachable again and only the leader is silent", candidacy{epoch: 3, silence: 6 * time.Second, storeReachable: 10 * time.Millisecond}, true},
 	}
 	for _, s := range scenarios {
-		t.Run(s.testName, func(t *testing.T) { is.New(t).Equal(s.candidacy.due(), s.due) })
+		t.Run(s.testName, func(t *testing.T) { is.New(t).Equal(s.candidacy.isDue(), s.due) })
 	}
 }
--- a/internal/node/entryvm/heartbeats.go
+++ b/internal/node/entryvm/heartbeats.go
@@ -101,8 +101,8 @@
 
 // outdatedVMs tracks the entry VMs whose configuration is older than the leader's.
 type outdatedVMs struct {
-	// since is when each outdated VM was first seen to be outdated.
-	since map[string]time.Time
+	// outdatedSince is when each outdated VM was first seen to be outdated.
+	outdatedSince map[string]time.Time
 	// sending holds the VMs that the configuration is being sent to.
 	sending map[string]bool
 }
@@ -116,12 +116,12 @@
 // one that it may still be reading from the store or receiving already.
 func (o *outdatedVMs) shouldSend(name string, outdated bool, at time.Time) bool {
 	if !outdated {
-		delete(o.since, name)
+		delete(o.outdatedSince, name)
 		return false
 	}
-	since, known := o.since[name]
+	since, known := o.outdatedSince[name]
 	if !known {
-		o.since[name] = at
+		o.outdatedSince[name] = at
 		return false
 	}
 	if at.Sub(since) < sendConfigurationAfter || o.sending[name] || len(o.sending) >= maxConfigurationSends {
--- a/internal/node/entryvm/isolation.go
+++ b/internal/node/entryvm/isolation.go
@@ -16,9 +16,9 @@
 	// trips between failure domains.
 	isolationCheckInterval = 150 * time.Millisecond
 	isolationCallTimeout   = 200 * time.Millisecond
-	// maxContactAge is how old the last contact outside the failure domain may be without
-	// further checks. It is longer than a heartbeat interval, so that heartbeats from
-	// another domain make the checks unnecessary.
+	// maxContactAge is the age of the last contact outside the failure domain above which
+	// the VM checks whether it is isolated. It is longer than a heartbeat interval, so
+	// that heartbeats from another domain make the checks unnecessary.
 	maxContactAge = heartbeatInterval + 200*time.Millisecond
 )
 
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -272,7 +272,7 @@
 	l.update(func(s *scheduler.Scheduler, at time.Time) { s.AdviceAnswered(a.Number, answer, err != nil, at) })
 }
 
-// status returns the state of a job for the reply to a caller.
+// status returns the reply to a question about the state of a job.
 func (l *leader) status(id string) StateReply {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -283,7 +283,8 @@
 	return StateReply{Leading: true, Known: known, State: state, Fresh: l.jobsUpToDate()}
 }
 
-// pending returns the number of jobs of a queue that have not started.
+// pending returns the reply to a question about the number of jobs of a queue that
+// have not started.
 func (l *leader) pending(queue string) PendingReply {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/node/entryvm/members.go
+++ b/internal/node/entryvm/members.go
@@ -41,8 +41,8 @@
 	// longPollWait is how long the store may delay the answer to a read until a record is
 	// appended, on topics that rarely change.
 	longPollWait = 20 * time.Second
-	// retryPause is the pause after a failed call to the store.
-	retryPause = 200 * time.Millisecond
+	// storeRetryPause is the pause after a failed call to the store.
+	storeRetryPause = 200 * time.Millisecond
 	// storeTimeout limits a call to the store, in addition to the wait of a long poll.
 	storeTimeout = 1500 * time.Millisecond
 	// snapshotTimeout limits the read of a snapshot: several megabytes over the slowest
@@ -65,7 +65,7 @@
 		callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 		_, err := m.node.store.Append(callCtx, store.Append{Topic: store.VMs, Records: []store.Record{{Key: m.node.settings.Name, Value: value}}})
 		cancel()
-		if err == nil || !sleep(ctx, retryPause+rand.N(retryPause)) {
+		if err == nil || !sleep(ctx, storeRetryPause+rand.N(storeRetryPause)) {
 			return
 		}
 	}
@@ -114,9 +114,9 @@
 // one.
 const fitterFactor = 1.5
 
-// hasMuchFitter reports whether the fitness of another VM is more than fitterFactor
+// hasMuchFitterVM reports whether the fitness of another VM is more than fitterFactor
 // times that of this one.
-func (m *members) hasMuchFitter() bool {
+func (m *members) hasMuchFitterVM() bool {
 	return slices.ContainsFunc(m.others(), func(vm member) bool { return vm.Fitness > fitterFactor*m.node.settings.Fitness })
 }
 
@@ -139,7 +139,7 @@
 			if ctx.Err() == nil {
 				n.log.Info("follow_failed", "topic", string(topic), "error", err.Error())
 			}
-			sleep(ctx, retryPause+rand.N(retryPause))
+			sleep(ctx, storeRetryPause+rand.N(storeRetryPause))
 			continue
 		}
 		if len(records) > 0 || from < 0 {
--- a/internal/node/entryvm/relay.go
+++ b/internal/node/entryvm/relay.go
@@ -24,8 +24,8 @@
 	// unreachable one.
 	readProbeTimeout = 450 * time.Millisecond
 	// slowStoreFactor is the ratio of the append timeout of a slow store to the duration
-	// of that read. An append takes longer, since it waits for the earlier ones in its
-	// partition.
+	// of the probing read. An append takes longer, since it waits for the earlier ones in
+	// its partition.
 	slowStoreFactor = 6
 	// relayTimeout limits a call to the store through another VM.
 	relayTimeout = 800 * time.Millisecond
@@ -33,12 +33,12 @@
 	probeInterval = 300 * time.Millisecond
 	// partitionCheckTimeout limits the check of other partitions after failed appends.
 	partitionCheckTimeout = 300 * time.Millisecond
-	// failuresUntilDown is the number of consecutive direct appends without an answer
+	// failuresUntilCheck is the number of consecutive direct appends without an answer
 	// after which the VM checks whether it still reaches the store. A single one may be a
 	// lost answer.
-	failuresUntilDown = 2
-	// emptyReadPause follows a relayed read without records, instead of the store's long
-	// poll.
+	failuresUntilCheck = 2
+	// emptyReadPause is the pause after a relayed read that returned no records. It
+	// replaces the long poll of a direct read.
 	emptyReadPause = 300 * time.Millisecond
 	// maxRelayAttempts limits the number of VMs that are tried for one call.
 	maxRelayAttempts = 2
@@ -51,6 +51,7 @@
 // relayedStore calls the store directly, or through other entry VMs while this one
 // does not reach it.
 type relayedStore struct {
+	// direct calls the store without other VMs.
 	direct store.Store
 	node   *Node
 	// down is true while the store is not reached directly.
@@ -93,19 +94,19 @@
 }
 
 // isUnreachable reports whether an error means that the store refused the call or did
-// not answer, so that another VM may have more success.
+// not answer, so that the call may succeed through another VM.
 func isUnreachable(err error) bool {
 	k := storeKind(err)
 	return err != nil && (k == store.KindRefused || k == store.KindUnknown)
 }
 
-// appendTimeout returns the longest duration of a direct append to a healthy store.
+// appendTimeout returns how long a direct append may take while the store is healthy.
 func (s *relayedStore) appendTimeout() time.Duration {
 	return min(max(appendTimeoutFactor*time.Duration(s.latency.Load()), minAppendTimeout), maxAppendTimeout)
 }
 
 // recordAppend updates the metrics, the average latency and the failure count with the
-// result of a direct append. After failuresUntilDown failures, or one refusal, it
+// result of a direct append. After failuresUntilCheck failures, or one refusal, it
 // starts a check whether the store is down.
 func (s *relayedStore) recordAppend(ctx context.Context, err error, took time.Duration) {
 	if ctx.Err() == context.Canceled {
@@ -121,7 +122,7 @@
 	if storeKind(err) == store.KindUnknown && took >= minAppendTimeout {
 		s.latency.Store(min(2*max(s.latency.Load(), int64(minAppendTimeout/appendTimeoutFactor)), int64(maxAppendTimeout/appendTimeoutFactor)))
 	}
-	if s.failures.Add(1) < failuresUntilDown && storeKind(err) == store.KindUnknown {
+	if s.failures.Add(1) < failuresUntilCheck && storeKind(err) == store.KindUnknown {
 		return
 	}
 	if !s.down.Load() && s.checkingPartitions.CompareAndSwap(false, true) {
@@ -130,8 +131,8 @@
 }
 
 // checkPartitions finds out whether this VM has lost the whole store or only some of
-// its partitions. In the second case the store does not count as down, since other VMs
-// cannot reach the failed partitions either.
+// its partitions. If only some are lost, the store does not count as down, since other
+// VMs cannot reach them either.
 func (s *relayedStore) checkPartitions(cause error) {
 	defer s.checkingPartitions.Store(false)
 	if s.anyPartitionAnswers(partitionCheckTimeout, probedPartitions[:]...) {
--- a/internal/node/entryvm/session.go
+++ b/internal/node/entryvm/session.go
@@ -24,16 +24,17 @@
 	// fencedPause is the pause after a worker has refused a hold for its fencing token.
 	// The leader renews its claim in the meantime, to find out whether it was superseded.
 	fencedPause = 300 * time.Millisecond
-	// maxStoredWait limits the wait for the ends of runs to be stored. Afterwards the
+	// maxCommitWait limits the wait for the ends of runs to be stored. Afterwards the
 	// next hold extends the lease without acknowledging them.
-	maxStoredWait = 400 * time.Millisecond
+	maxCommitWait = 400 * time.Millisecond
 )
 
-// session is the leader's connection to one worker process. It sends holds, one after
-// the other, and orders. A hold is a long poll that extends the lease of all runs on
+// session is the leader's connection to one worker process. It sends orders, and one
+// hold after the other. A hold is a long poll that extends the lease of all runs on
 // the worker and returns which runs have ended.
 type session struct {
 	leader *leader
+	// life identifies the worker process.
 	life   backend.Life
 	worker backend.Worker
 	ctx    context.Context
@@ -115,18 +116,18 @@
 	}
 	s.leader.update(func(c *scheduler.Scheduler, at time.Time) { c.HoldAnswered(s.life, sent, &report, at) })
 	if len(report.Ended) > 0 {
-		s.awaitEndsStored()
+		s.awaitRunEndsStored()
 	}
 	return true
 }
 
-// awaitEndsStored waits until the ends of runs in the last report are stored, so that
-// the next hold can acknowledge them.
-func (s *session) awaitEndsStored() {
-	timer := time.NewTimer(maxStoredWait)
+// awaitRunEndsStored waits until the ends of runs in the last report are stored, so
+// that the next hold can acknowledge them.
+func (s *session) awaitRunEndsStored() {
+	timer := time.NewTimer(maxCommitWait)
 	defer timer.Stop()
 	for {
-		done, next := s.leader.endsStored(s.life)
+		done, next := s.leader.runEndsStored(s.life)
 		if done {
 			return
 		}
--- a/internal/node/entryvm/tail.go
+++ b/internal/node/entryvm/tail.go
@@ -112,9 +112,9 @@
 	}
 }
 
-// applyRegistrations records registrations of workers. It reports whether a change
-// matters to the scheduler: a worker came or went, or one of the fields that are
-// compared below differs.
+// applyRegistrations records registrations of workers. It reports whether the
+// scheduler must learn of a change: a worker was added or removed, or one of the
+// fields that are compared below differs.
 func (l *leader) applyRegistrations(records []store.Record) bool {
 	newest := map[string]*store.Record{}
 	for i := range records {
--- a/internal/node/entryvm/takeover.go
+++ b/internal/node/entryvm/takeover.go
@@ -26,11 +26,11 @@
 // storedState is the state of the cell as read from the store.
 type storedState struct {
 	progress []store.Record
-	// jobs holds the records of each partition, and jobsEnd the offset from which to
-	// continue reading it.
-	jobs    [][]store.Record
-	jobsEnd []int64
-	workers []store.Record
+	// jobs holds the records of each partition of jobs, and nextJobOffsets the offset
+	// from which to continue reading it.
+	jobs           [][]store.Record
+	nextJobOffsets []int64
+	registrations  []store.Record
 }
 
 // restore fences the previous leader and restores the scheduler from the store. It
@@ -39,7 +39,7 @@
 	begun := now()
 	saved, err := l.readStored()
 	if err != nil {
-		return saved.jobsEnd, err
+		return saved.nextJobOffsets, err
 	}
 	progress := make(map[string]*work.Progress, len(saved.progress))
 	for i := range saved.progress {
@@ -53,7 +53,7 @@
 	}
 	l.update(func(s *scheduler.Scheduler, at time.Time) {
 		s.Confirmed(begun)
-		l.applyRegistrations(saved.workers)
+		l.applyRegistrations(saved.registrations)
 		s.SetWorkers(l.registrationList(), at)
 		for part, records := range saved.jobs {
 			l.recordJobPartitions(part, records)
@@ -69,7 +69,7 @@
 	})
 	l.node.measures.Observe(measure.Key{Name: "take_over"}, now().Sub(begun))
 	l.node.log.Info("take_over_done", "epoch", l.epoch, "partitions", len(saved.jobs), "progress", len(saved.progress), "workers", len(l.registrations), "took_ms", now().Sub(begun).Milliseconds())
-	return saved.jobsEnd, nil
+	return saved.nextJobOffsets, nil
 }
 
 // readStored reads the stored state with concurrent calls. It reads jobs and progress
@@ -77,11 +77,11 @@
 // are submitted during the take-over.
 func (l *leader) readStored() (storedState, error) {
 	parts := l.node.settings.Partitions
-	saved := storedState{jobs: make([][]store.Record, parts), jobsEnd: make([]int64, parts)}
+	saved := storedState{jobs: make([][]store.Record, parts), nextJobOffsets: make([]int64, parts)}
 	var g, afterFence errgroup.Group
 	g.Go(func() error {
 		s, err := l.readSnapshot(store.Workers, 0)
-		saved.workers = s.Records
+		saved.registrations = s.Records
 		return err
 	})
 	g.Go(func() error {
@@ -96,7 +96,7 @@
 		for part := range parts {
 			afterFence.Go(func() error {
 				s, err := l.readSnapshot(store.Jobs, part)
-				saved.jobs[part], saved.jobsEnd[part] = s.Records, s.End
+				saved.jobs[part], saved.nextJobOffsets[part] = s.Records, s.End
 				return err
 			})
 		}
@@ -115,6 +115,6 @@
 		if err == nil || l.ctx.Err() != nil {
 			return s, err
 		}
-		sleep(l.ctx, retryPause)
+		sleep(l.ctx, storeRetryPause)
 	}
 }
--- a/internal/node/entryvm/writer.go
+++ b/internal/node/entryvm/writer.go
@@ -44,10 +44,12 @@
 // pendingWrite is a record that a caller waits to be stored.
 type pendingWrite struct {
 	record store.Record
+	// stored is closed when the record is stored.
 	stored chan struct{}
 	// deadline is when the caller needs an answer.
 	deadline time.Time
-	// expired is closed when too little time is left for another append.
+	// expired is closed when the record is given up: too little time is left for another
+	// append, or this VM is isolated.
 	expired chan struct{}
 	// inFlight is true while an append with the record has no answer.
 	inFlight bool
--- a/internal/node/keeper/bench_test.go
+++ b/internal/node/keeper/bench_test.go
@@ -27,8 +27,8 @@
 // benchWorker is the state of a simulated worker in BenchmarkRun.
 type benchWorker struct {
 	life backend.Life
-	// ends is the number of runs that have ended on the worker.
-	ends int64
+	// endedRuns is the number of runs that have ended on the worker.
+	endedRuns int64
 	// sent identifies the last hold that was sent to the worker.
 	sent scheduler.HoldSent
 }
@@ -69,8 +69,8 @@
 			s.StartAnswered(w.life, &o.Order, "", time.Second, now)
 			hold, sent, _ := s.HoldRequest(w.life, now)
 			_ = batches.Encode(keeper.Batch{Leader: leaderAddress, Calls: []keeper.Call{{Number: int64(runs), Life: w.life, Hold: &hold}}})
-			w.ends++
-			s.HoldAnswered(w.life, sent, &backend.Report{Life: w.life, Clock: time.Second, Ended: []backend.End{{Number: w.ends, Task: o.Order.Task, Run: o.Order.Run, Outcome: backend.Done}}}, now)
+			w.endedRuns++
+			s.HoldAnswered(w.life, sent, &backend.Report{Life: w.life, Clock: time.Second, Ended: []backend.End{{Number: w.endedRuns, Task: o.Order.Task, Run: o.Order.Run, Outcome: backend.Done}}}, now)
 		}
 		s.Committed(s.NextCommit(now), now)
 		s.Tick(now)
--- a/internal/node/keeper/keeper_test.go
+++ b/internal/node/keeper/keeper_test.go
@@ -21,8 +21,8 @@
 
 var leaderAddress = netip.MustParseAddrPort("10.0.0.1:7000")
 
-// member returns an entry VM whose address is derived from the number in its name.
-func member(name, domain string, fitness float64) keeper.Member {
+// newMember returns an entry VM whose address is derived from the number in its name.
+func newMember(name, domain string, fitness float64) keeper.Member {
 	var number byte
 	_, _ = fmt.Sscanf(name, "vm-%d", &number)
 	return keeper.Member{Name: name, Domain: domain, Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 0, number}), 7000), Fitness: fitness}
@@ -30,7 +30,7 @@
 
 func TestAssignment(t *testing.T) {
 	members := []keeper.Member{
-		member("vm-1", "a", 0.8), member("vm-2", "a", 0.8), member("vm-3", "a", 0.1), member("vm-4", "b", 0.2), member("vm-5", "b", 0.2),
+		newMember("vm-1", "a", 0.8), newMember("vm-2", "a", 0.8), newMember("vm-3", "a", 0.1), newMember("vm-4", "b", 0.2), newMember("vm-5", "b", 0.2),
 	}
 	scenarios := []struct {
 		testName string
@@ -67,7 +67,7 @@
 	workers := map[string]int{"a": 400}
 	var all []keeper.Member
 	for i := range 6 {
-		all = append(all, member(fmt.Sprintf("vm-%d", i), "a", 0.8))
+		all = append(all, newMember(fmt.Sprintf("vm-%d", i), "a", 0.8))
 	}
 	before, after := keeper.NewAssignment(all, workers), keeper.NewAssignment(all[1:], workers)
 	for i := range 400 {
@@ -150,7 +150,7 @@
 		l.forwarder.Forward(b)
 		return nil
 	}, logr.Discard())
-	l.dispatcher.SetAssignment(keeper.NewAssignment([]keeper.Member{member("vm-1", "a", 1)}, map[string]int{"a": 200}))
+	l.dispatcher.SetAssignment(keeper.NewAssignment([]keeper.Member{newMember("vm-1", "a", 1)}, map[string]int{"a": 200}))
 	return l
 }
 
@@ -160,6 +160,8 @@
 
 var startOrder = backend.Start{Task: work.TaskID{StepID: work.StepID{Job: "j"}}, Run: 1, Token: 7}
 
+// A call through a keeper must return the worker's answer or the right error kind, and
+// an order must never be sent twice.
 func TestCallsThroughAKeeper(t *testing.T) {
 	scenarios := []struct {
 		testName string
--- a/internal/node/keeper/worker.go
+++ b/internal/node/keeper/worker.go
@@ -14,7 +14,8 @@
 type Worker struct {
 	dispatcher   *Dispatcher
 	registration backend.Registration
-	direct       backend.Worker
+	// direct calls the worker from this VM, without a keeper.
+	direct backend.Worker
 }
 
 // NewWorker returns a client for the worker with registration r. direct is the client
@@ -23,6 +24,7 @@
 	return &Worker{d, r, direct}
 }
 
+// newCall returns a call to the worker that has no order yet.
 func (w *Worker) newCall() Call {
 	return Call{Life: w.registration.Life, Address: w.registration.Address}
 }
