--- a/internal/node/owner/calls.go
+++ b/internal/node/owner/calls.go
@@ -10,22 +10,28 @@
 	"github.com/almondpost/almondpost/internal/peer/worker"
 )
 
-// MaxWait bounds how long one call waits for an attempt.
+// MaxWait is the longest time that one Run or Await call waits for the end of
+// an attempt.
 const MaxWait = 15 * time.Second
 
-// retryAfterBusy is the hint with refusals that pass by themselves.
+// retryAfterBusy is the retry hint for refusals whose cause is temporary, such
+// as a full queue.
 const retryAfterBusy = time.Second
 
-// Run admits an attempt and waits for its end. An attempt that is already
-// known is joined.
+// Run admits an attempt and waits until it ends or until the wait time of the
+// call is over. If this owner already has the attempt, Run only waits; for a
+// task of a gang whose capacity is reserved it starts the attempt first. A
+// refused attempt is returned with the state NotRun and a reason. The only
+// error is entry.ErrEpoch, for a call that was meant for another epoch of this
+// owner.
 func (o *Owner) Run(r entry.RunArgs) (entry.Status, error) {
 	o.mutex.Lock()
-	o.noticePause(time.Now())
+	o.detectPause(time.Now())
 	if r.Epoch != o.epoch {
 		o.mutex.Unlock()
 		return entry.Status{}, entry.ErrEpoch
 	}
-	if o.generations[r.Task.Name].generation > r.Task.Generation {
+	if o.fencedTasks[r.Task.Name].generation > r.Task.Generation {
 		o.mutex.Unlock()
 		return entry.Status{State: entry.NotRun, Reason: entry.ReasonFenced}, nil
 	}
@@ -38,14 +44,16 @@
 			return entry.Status{State: entry.NotRun, Reason: string(kind), RetryAfter: retryAfter(kind)}, nil
 		}
 	}
-	a.asked = time.Now()
-	if !a.heldUntil.IsZero() && a.status.State == entry.Waiting {
-		o.commit(a)
+	a.lastHolderCall = time.Now()
+	if !a.reservedUntil.IsZero() && a.status.State == entry.Waiting {
+		o.startReserved(a)
 	}
 	o.mutex.Unlock()
-	return o.await(a, r.Wait), nil
+	return o.waitForEnd(a, r.Wait), nil
 }
 
+// retryAfter returns the retry hint for a refusal, or zero when a retry is of
+// no use.
 func retryAfter(k allocator.Kind) time.Duration {
 	switch k {
 	case allocator.KindQueueFull, allocator.KindShed, allocator.KindNoWorkers, allocator.KindDraining:
@@ -54,42 +62,46 @@
 	return 0
 }
 
+// admit puts an attempt into the queue of its plan. It fails with an error of
+// the allocator when the attempt is refused. The caller holds the lock.
 func (o *Owner) admit(t entry.Task) (*attempt, error) {
 	now := time.Now()
 	size := int64(len(t.Payload))
-	if o.payload+size > o.payloadLimit {
-		return nil, fault.Newf("admit", allocator.KindQueueFull, "payloads take %d bytes", o.payload)
+	if o.payloadBytes+size > o.payloadLimit {
+		return nil, fault.Newf("admit", allocator.KindQueueFull, "payloads of attempts take %d bytes", o.payloadBytes)
 	}
-	waiting := &allocator.Task{
+	task := &allocator.Task{
 		Attempt: t.Attempt, Plan: t.Plan, Class: t.Class, Size: t.Size, Spread: t.Spread,
 		Repeatable: t.Repeatable, RunTime: t.RunTime, Resumed: t.Resumed,
 	}
 	if t.Remaining > 0 {
-		waiting.Deadline = now.Add(t.Remaining)
+		task.Deadline = now.Add(t.Remaining)
 	}
-	shed, err := o.alloc.Enqueue(now, waiting)
+	shed, err := o.alloc.Enqueue(now, task)
 	if err != nil {
 		return nil, err
 	}
 	if shed != nil {
-		o.refuse(*shed)
+		o.applyRefusal(*shed)
 	}
 	a := &attempt{task: t, status: entry.Status{State: entry.Waiting}, changed: make(chan struct{})}
 	o.attempts[t.Attempt] = a
-	o.payload += size
-	o.kick()
+	o.payloadBytes += size
+	o.wakeLoop()
 	return a, nil
 }
 
-// waitingPoll bounds how long one call waits for an attempt that is queued, so
-// that its holder is heard well within entry.HolderLease.
-const waitingPoll = entry.HolderLease / 2
+// maxQueuedWait is the longest time that one call waits while the attempt stays
+// in the queue. It is well below entry.HolderLease, so that the next call of
+// the holder arrives before the lease ends.
+const maxQueuedWait = entry.HolderLease / 2
 
-// await waits until the attempt has ended or the time is over.
-func (o *Owner) await(a *attempt, wait time.Duration) entry.Status {
+// waitForEnd returns the status of an attempt once the attempt has ended or the
+// wait time is over.
+func (o *Owner) waitForEnd(a *attempt, wait time.Duration) entry.Status {
 	timer := time.NewTimer(min(wait, MaxWait))
 	defer timer.Stop()
-	queued := time.NewTimer(waitingPoll)
+	queued := time.NewTimer(maxQueuedWait)
 	defer queued.Stop()
 	for {
 		o.mutex.Lock()
@@ -106,16 +118,19 @@
 			if status.State == entry.Waiting {
 				return status
 			}
-		case <-o.run.Done():
+		case <-o.ctx.Done():
 			return status
 		}
 	}
 }
 
-// Await waits for the end of a known attempt; an unknown one is fenced.
+// Await waits until an attempt that was admitted before ends or until the wait
+// time of the call is over. An unknown attempt is fenced: a later Run does not
+// start it. The only error is entry.ErrEpoch, for a call that was meant for
+// another epoch of this owner.
 func (o *Owner) Await(r entry.AwaitArgs) (entry.Status, error) {
 	o.mutex.Lock()
-	o.noticePause(time.Now())
+	o.detectPause(time.Now())
 	if r.Epoch != o.epoch {
 		o.mutex.Unlock()
 		return entry.Status{}, entry.ErrEpoch
@@ -124,32 +139,34 @@
 	if a == nil {
 		a = o.fence(r.Attempt)
 	}
-	a.asked = time.Now()
+	a.lastHolderCall = time.Now()
 	o.mutex.Unlock()
-	return o.await(a, r.Wait), nil
+	return o.waitForEnd(a, r.Wait), nil
 }
 
-// fence remembers an attempt as never run, so that a late call can not start
-// it here.
+// fence records an attempt that this owner does not know as not run, so that a
+// Run call that is delivered late does not start it. The caller holds the lock.
 func (o *Owner) fence(id string) *attempt {
 	a := &attempt{
-		task:   entry.Task{Attempt: id},
-		status: entry.Status{State: entry.NotRun, Reason: entry.ReasonFenced},
-		ended:  time.Now(), changed: make(chan struct{}),
+		task:    entry.Task{Attempt: id},
+		status:  entry.Status{State: entry.NotRun, Reason: entry.ReasonFenced},
+		endedAt: time.Now(), changed: make(chan struct{}),
 	}
 	o.attempts[id] = a
 	return a
 }
 
-// verifyAfter is the age of the last answer of a worker past which a Resolve
-// makes the owner ask the worker again.
-const verifyAfter = 300 * time.Millisecond
+// resyncAfter is the age of the last answer of a worker above which Resolve
+// makes the owner sync with the worker at once.
+const resyncAfter = 300 * time.Millisecond
 
-// Resolve tells what this owner knows of attempts whose former owner is gone.
+// Resolve returns the statuses of attempts whose former owner is gone, and how
+// recently each adopted worker has answered. Attempts that this owner does not
+// know are fenced, unless the call only peeks. The error is always nil.
 func (o *Owner) Resolve(r entry.ResolveArgs) (entry.ResolveReply, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.noticePause(time.Now())
+	o.detectPause(time.Now())
 	reply := entry.ResolveReply{Found: map[string]entry.Status{}, Verified: map[string]time.Duration{}, Epoch: o.epoch}
 	for _, id := range r.Attempts {
 		a := o.attempts[id]
@@ -168,41 +185,44 @@
 		if !s.adopted {
 			continue
 		}
-		age := time.Since(s.heard)
+		age := time.Since(s.lastAnswered)
 		reply.Verified[name] = age
-		if age > verifyAfter && s.interrupt != nil {
-			s.verify = true
-			s.interrupt()
+		if age > resyncAfter && s.interruptSync != nil {
+			s.syncNow = true
+			s.interruptSync()
 		}
 	}
 	return reply, nil
 }
 
-// resolveTasks fences older generations of tasks and finds their attempts.
-// One that has ended well goes before one that runs, and that before others.
+// resolveTasks fences the generations of tasks below the given ones and adds
+// one attempt of each task to the reply. A finished attempt is preferred to one
+// that waits or runs, and that to one that failed or was stopped.
 func (o *Owner) resolveTasks(tasks map[string]int, reply *entry.ResolveReply) {
 	if len(tasks) == 0 {
 		return
 	}
 	reply.FoundTasks = map[string]entry.FoundAttempt{}
 	for name, generation := range tasks {
-		if o.generations[name].generation < generation {
-			o.generations[name] = fencedTask{generation, time.Now()}
+		if o.fencedTasks[name].generation < generation {
+			o.fencedTasks[name] = fencedTask{generation, time.Now()}
 		}
 	}
 	for id, a := range o.attempts {
 		name, _, _ := strings.Cut(id, "/")
-		if _, asked := tasks[name]; !asked || a.status.State == entry.Moved || a.status.State == entry.NotRun {
+		if _, requested := tasks[name]; !requested || a.status.State == entry.Moved || a.status.State == entry.NotRun {
 			continue
 		}
-		before, found := reply.FoundTasks[name]
-		if !found || rankOf(a.status.State) > rankOf(before.Status.State) {
+		best, found := reply.FoundTasks[name]
+		if !found || stateRank(a.status.State) > stateRank(best.Status.State) {
 			reply.FoundTasks[name] = entry.FoundAttempt{Attempt: id, Status: a.status}
 		}
 	}
 }
 
-func rankOf(s entry.State) int {
+// stateRank orders the states by which resolveTasks chooses an attempt; a
+// higher rank is preferred.
+func stateRank(s entry.State) int {
 	switch s {
 	case entry.Finished:
 		return 3
@@ -212,7 +232,9 @@
 	return 1
 }
 
-// Cancel stops an attempt, whether it waits or runs.
+// Cancel drops a waiting attempt or stops a running one. An unknown attempt is
+// fenced. An attempt whose start is in flight is stopped once it has started.
+// The error is always nil.
 func (o *Owner) Cancel(r entry.CancelArgs) error {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -222,52 +244,54 @@
 		return nil
 	}
 	a.cancelled = true
-	if !a.heldUntil.IsZero() && a.status.State == entry.Waiting {
-		o.end(r.Attempt, entry.Status{State: entry.NotRun, Reason: entry.ReasonCancelled})
+	if !a.reservedUntil.IsZero() && a.status.State == entry.Waiting {
+		o.endAttempt(r.Attempt, entry.Status{State: entry.NotRun, Reason: entry.ReasonCancelled})
 		return nil
 	}
 	if o.alloc.Cancel(r.Attempt) != nil {
-		o.set(a, entry.Status{State: entry.NotRun, Reason: entry.ReasonCancelled})
+		o.setStatus(a, entry.Status{State: entry.NotRun, Reason: entry.ReasonCancelled})
 		return nil
 	}
 	if a.status.State == entry.Running {
-		go o.stop(r.Attempt, worker.Stop)
+		go o.stopOnWorker(r.Attempt, worker.Stop)
 	}
 	return nil
 }
 
-// preemptPatience is how long a milder way of stopping may take.
-const preemptPatience = 300 * time.Millisecond
+// preemptGracePeriod is how long an attempt may take to end after one stop mode
+// before the next, harsher mode is used.
+const preemptGracePeriod = 300 * time.Millisecond
 
-// preempt takes an attempt off its worker: by checkpoint, else by throttle and
-// then by stop.
+// preempt takes an attempt off its worker: by checkpoint and, while the attempt
+// goes on, by throttle and then by stop.
 func (o *Owner) preempt(id string) {
 	for _, mode := range []worker.StopMode{worker.Checkpoint, worker.Throttle, worker.Stop} {
-		if o.stop(id, mode) || !o.pause(preemptPatience) {
+		if o.stopOnWorker(id, mode) || !o.sleep(preemptGracePeriod) {
 			return
 		}
 	}
 }
 
-// stop asks the worker of an attempt to stop it and reports whether it ended.
-func (o *Owner) stop(id string, mode worker.StopMode) bool {
+// stopOnWorker makes one stop call to the worker of an attempt and reports
+// whether the attempt has ended.
+func (o *Owner) stopOnWorker(id string, mode worker.StopMode) bool {
 	o.mutex.Lock()
-	r := o.alloc.Ledger().Reservation(id)
-	if r == nil {
+	reservation := o.alloc.Ledger().Reservation(id)
+	if reservation == nil {
 		o.mutex.Unlock()
 		return true
 	}
-	s := o.sessions[r.Worker.Name]
+	s := o.sessions[reservation.Worker.Name]
 	o.mutex.Unlock()
 	if s == nil {
 		return false
 	}
-	reply, err := s.peer.Stop(o.run, worker.StopRequest{Token: s.token, Attempt: id, Mode: mode})
+	reply, err := s.peer.Stop(o.ctx, worker.StopRequest{Token: s.token, Attempt: id, Mode: mode})
 	if err != nil || !reply.Record.Phase.Ended() {
 		return false
 	}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.end(id, statusOf(reply.Record))
+	o.endAttempt(id, statusOf(reply.Record))
 	return true
 }
--- a/internal/node/owner/gang.go
+++ b/internal/node/owner/gang.go
@@ -7,103 +7,112 @@
 	"github.com/almondpost/almondpost/internal/peer/entry"
 )
 
-// gang is the one gang that may collect room at this owner over time. The slot
-// is a lease, so that a holder that is gone does not block others.
-type gang struct {
-	id    string
-	until time.Time
-	// wanted are the tasks that have no room yet.
-	wanted []entry.Task
+// collectingGang is the gang that collects capacity at this owner: capacity
+// that becomes free is reserved for its tasks before any queue. At most one
+// gang collects at a time. The right to collect is a lease, so that a gang
+// whose holder is gone does not block others.
+type collectingGang struct {
+	id        string
+	expiresAt time.Time
+	// unplaced are the tasks without reserved capacity.
+	unplaced []entry.Task
 }
 
-// maxGangLease bounds how long room is held for a gang without a renewal.
+// maxGangLease is the longest time that capacity stays reserved for a gang
+// without a renewal.
 const maxGangLease = 5 * time.Second
 
-// Reserve holds room for tasks of a gang, as many as fit. With Collect, room
-// that comes free goes to the gang before any queue, and the reply tells what
-// is held so far; only one gang may collect at a time.
+// Reserve reserves capacity for as many tasks of a gang as fit, and renews the
+// reservations that the gang already has. If r.Collect is set, capacity that
+// becomes free later is reserved for the other tasks before any queue; the
+// reply says Busy when another gang collects. The only error is entry.ErrEpoch,
+// for a call that was meant for another epoch of this owner.
 func (o *Owner) Reserve(r entry.ReserveArgs) (entry.ReserveReply, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	now := time.Now()
-	o.noticePause(now)
+	o.detectPause(now)
 	if r.Epoch != o.epoch {
 		return entry.ReserveReply{}, entry.ErrEpoch
 	}
 	until := now.Add(min(r.Lease, maxGangLease))
 	if r.Collect {
-		if o.collecting.id != r.Gang && now.Before(o.collecting.until) {
+		if o.collecting.id != r.Gang && now.Before(o.collecting.expiresAt) {
 			return entry.ReserveReply{Busy: true}, nil
 		}
-		o.collecting = gang{id: r.Gang, until: until}
+		o.collecting = collectingGang{id: r.Gang, expiresAt: until}
 	}
 	var reply entry.ReserveReply
 	for _, t := range r.Tasks {
 		switch a := o.attempts[t.Attempt]; {
 		case a == nil:
-			if o.hold(t, until) {
+			if o.reserveTask(t, until) {
 				reply.Held = append(reply.Held, t.Attempt)
 			} else if r.Collect {
-				o.collecting.wanted = append(o.collecting.wanted, t)
+				o.collecting.unplaced = append(o.collecting.unplaced, t)
 			}
-		case !a.heldUntil.IsZero() && !a.status.State.Ended():
-			a.heldUntil = until
+		case !a.reservedUntil.IsZero() && !a.status.State.Ended():
+			a.reservedUntil = until
 			reply.Held = append(reply.Held, t.Attempt)
 		}
 	}
 	return reply, nil
 }
 
-// hold reserves room for one task until a time.
-func (o *Owner) hold(t entry.Task, until time.Time) bool {
-	o.measure(time.Now())
+// reserveTask reserves capacity for one task of a gang until the given time. It
+// returns false when no worker has enough.
+func (o *Owner) reserveTask(t entry.Task, until time.Time) bool {
+	o.advanceMeter(time.Now())
 	worker, ok := o.alloc.Hold(&allocator.Task{
 		Attempt: t.Attempt, Plan: t.Plan, Class: t.Class, Size: t.Size, Spread: t.Spread, RunTime: t.RunTime,
 	})
 	if !ok {
 		return false
 	}
-	o.payload += int64(len(t.Payload))
+	o.payloadBytes += int64(len(t.Payload))
 	o.attempts[t.Attempt] = &attempt{
 		task: t, status: entry.Status{State: entry.Waiting, Worker: worker}, changed: make(chan struct{}),
-		heldUntil: until, asked: time.Now(),
+		reservedUntil: until, lastHolderCall: time.Now(),
 	}
 	return true
 }
 
-// collect gives free room to the gang that collects.
-func (o *Owner) collect(now time.Time) {
-	if now.After(o.collecting.until) {
-		o.collecting = gang{}
+// collectForGang reserves free capacity for the tasks of the collecting gang.
+// When the lease of the gang has ended, the gang stops collecting.
+func (o *Owner) collectForGang(now time.Time) {
+	if now.After(o.collecting.expiresAt) {
+		o.collecting = collectingGang{}
 		return
 	}
-	var left []entry.Task
-	for _, t := range o.collecting.wanted {
-		if !o.hold(t, o.collecting.until) {
-			left = append(left, t)
+	var remaining []entry.Task
+	for _, t := range o.collecting.unplaced {
+		if !o.reserveTask(t, o.collecting.expiresAt) {
+			remaining = append(remaining, t)
 		}
 	}
-	o.collecting.wanted = left
+	o.collecting.unplaced = remaining
 }
 
-// commit starts an attempt whose room is held.
-func (o *Owner) commit(a *attempt) {
+// startReserved starts an attempt on the worker that has capacity reserved for
+// it. If the worker was lost, the attempt ends as not run.
+func (o *Owner) startReserved(a *attempt) {
 	s := o.sessions[a.status.Worker]
 	if s == nil || !s.adopted {
-		o.end(a.task.Attempt, entry.Status{State: entry.NotRun, Reason: entry.ReasonFenced})
+		o.endAttempt(a.task.Attempt, entry.Status{State: entry.NotRun, Reason: entry.ReasonFenced})
 		return
 	}
-	a.heldUntil = time.Time{}
+	a.reservedUntil = time.Time{}
 	o.observer.Started(a.task, 0)
 	o.meter.Started(a.task.Customer, a.task.Plan, string(a.task.Class), 0)
-	go o.start(s.peer, startRequest(s.token, a), a)
+	go o.startOnWorker(s.peer, newStartRequest(s.token, a), a)
 }
 
-// lapseHolds gives back room whose gang did not come.
-func (o *Owner) lapseHolds(now time.Time) {
+// expireReservations gives back capacity that was reserved for a gang and
+// neither renewed nor used in time.
+func (o *Owner) expireReservations(now time.Time) {
 	for id, a := range o.attempts {
-		if !a.heldUntil.IsZero() && now.After(a.heldUntil) && !a.status.State.Ended() {
-			o.end(id, entry.Status{State: entry.NotRun, Reason: reasonHolderGone})
+		if !a.reservedUntil.IsZero() && now.After(a.reservedUntil) && !a.status.State.Ended() {
+			o.endAttempt(id, entry.Status{State: entry.NotRun, Reason: reasonHolderGone})
 		}
 	}
 }
--- a/internal/node/owner/owner.go
+++ b/internal/node/owner/owner.go
@@ -1,6 +1,13 @@
-// Package owner allocates tasks on the workers that this entry VM has adopted.
-// It drives the allocator with real workers: adoption with a fencing token,
-// starts, records of ended attempts, preemption and loss of a worker.
+// Package owner runs attempts on the workers that this entry VM has adopted. An
+// attempt is one try to run a task.
+//
+// The allocator decides which attempt starts on which worker. This package makes
+// the calls that follow: it adopts workers with a fencing token, renews their
+// leases, starts, stops and preempts attempts, and handles the loss of a worker.
+//
+// An owner gets its attempts from holders. The holder of a request or job is the
+// entry VM that follows its attempts to their end on behalf of the caller. A
+// holder may use owners on other entry VMs as well as its own.
 package owner
 
 import (
@@ -21,153 +28,173 @@
 	"github.com/almondpost/almondpost/internal/state/usage"
 )
 
-// Timing is how an owner deals with its workers.
+// Timing holds the intervals and time limits of an owner.
 type Timing struct {
-	// Lease is how long tasks go on without a call of the owner.
+	// Lease is how long a worker runs its attempts without a renewal.
 	Lease time.Duration
-	// LeaseMargin covers drift between clocks.
+	// LeaseMargin allows for clock drift between the owner and a worker.
 	LeaseMargin time.Duration
-	// SyncWait is how long one sync waits for news; it is well below Lease.
+	// SyncWait is how long a worker may delay its reply to a sync while it has no
+	// new records. It is well below Lease, since each sync renews the lease.
 	SyncWait time.Duration
-	// Retry is the pause after a failed call.
-	Retry time.Duration
-	// Contested is the pause after another owner has fenced this one.
-	Contested time.Duration
-	// Tick is the interval of expiry and reclaim.
-	Tick time.Duration
-	// Retention is how long ended attempts are remembered.
+	// RetryPause is the pause before a failed call to a worker is repeated.
+	RetryPause time.Duration
+	// FencedPause is the pause before a worker that another owner has adopted is
+	// adopted again.
+	FencedPause time.Duration
+	// TickInterval is the interval of the periodic work: expiry, dispatch and
+	// preemption.
+	TickInterval time.Duration
+	// Retention is how long an attempt is kept after its end.
 	Retention time.Duration
-	// UrgentWait bounds how long an urgent attempt waits for its start.
+	// UrgentWait is the longest time that an urgent attempt waits for its start;
+	// after it the attempt is dropped without having run.
 	UrgentWait time.Duration
 }
 
-// DefaultTiming suits workers on the same site.
+// DefaultTiming is for workers on the same site as the entry VM.
 var DefaultTiming = Timing{
-	Lease:       20 * time.Second,
-	LeaseMargin: time.Second,
-	SyncWait:    8 * time.Second,
-	Retry:       250 * time.Millisecond,
-	Contested:   2 * time.Second,
-	Tick:        100 * time.Millisecond,
-	Retention:   2 * time.Minute,
-	UrgentWait:  1800 * time.Millisecond,
+	Lease:        20 * time.Second,
+	LeaseMargin:  time.Second,
+	SyncWait:     8 * time.Second,
+	RetryPause:   250 * time.Millisecond,
+	FencedPause:  2 * time.Second,
+	TickInterval: 100 * time.Millisecond,
+	Retention:    2 * time.Minute,
+	UrgentWait:   1800 * time.Millisecond,
 }
 
-// Limits bound the memory of an owner.
+// Limits bounds the memory that an owner uses for attempts.
 type Limits struct {
-	// Waiting bounds the waiting attempts.
+	// Waiting is the maximum number of waiting attempts.
 	Waiting int
-	// PayloadBytes bounds the payloads of attempts that wait or run.
+	// PayloadBytes is the maximum total size of the payloads of attempts that
+	// have not ended.
 	PayloadBytes int64
 }
 
-// Dial returns the peer of a worker VM.
+// Dial returns a client for a worker VM.
 type Dial func(v vmlist.VM) worker.Peer
 
-// Observer is told of outcomes, for metrics.
+// Observer receives the events of an owner that metrics count.
 type Observer interface {
-	// Started tells how long a task was queued before its start.
+	// Started is called when an attempt is about to be started; waited is how
+	// long it was queued.
 	Started(t entry.Task, waited time.Duration)
 }
 
-// Owner is the allocator of the adopted workers of one entry VM.
+// Owner manages the workers that one entry VM has adopted and the attempts that
+// wait for them or run on them. Its methods are safe for concurrent use.
 type Owner struct {
-	name     string
-	timing   Timing
-	dial     Dial
-	observer Observer
-	log      logr.Logger
-	run      context.Context
-	wake     chan struct{}
-	gained   chan struct{}
+	name        string
+	timing      Timing
+	dial        Dial
+	observer    Observer
+	log         logr.Logger
+	ctx         context.Context
+	wake        chan struct{}
+	firstWorker chan struct{}
 
 	mutex sync.Mutex
-	// epoch rises when the process was paused, so that calls which were sent
-	// before are refused.
+	// epoch is increased after the process was paused, so that calls sent before
+	// the pause are refused.
 	epoch uint64
-	// ticked is when the loop last ran.
-	ticked time.Time
-	alloc  *allocator.Allocator
-	// attempts holds every attempt that was given to this owner, runs on an
-	// adopted worker, or was fenced here, until Retention after its end.
+	// lastTick is when the loop last ran its periodic work.
+	lastTick time.Time
+	alloc    *allocator.Allocator
+	// attempts holds, by ID, every attempt that was admitted or fenced here or
+	// that runs on an adopted worker. It is kept until Retention after its end.
 	attempts map[string]*attempt
+	// sessions holds the session of each worker by its name.
 	sessions map[string]*session
-	// payload is the sum of the payloads in attempts, in bytes. It is at most
-	// payloadLimit.
-	payload, payloadLimit int64
-	ejected               *ejection.Tracker
-	meter                 *usage.Meter
-	// generations holds the lowest generation that may start, by task of a job
-	// that was taken over.
-	generations map[string]fencedTask
-	collecting  gang
+	// payloadBytes is the total size of the payloads in attempts. Attempts that
+	// would raise it above payloadLimit are not admitted.
+	payloadBytes, payloadLimit int64
+	ejection                   *ejection.Tracker
+	meter                      *usage.Meter
+	// fencedTasks holds, by name, the tasks of jobs that another holder has taken
+	// over.
+	fencedTasks map[string]fencedTask
+	collecting  collectingGang
 	draining    bool
 }
 
-// fencedTask is a task of a job that has another holder now.
+// fencedTask is a task of a job that another holder has taken over.
 type fencedTask struct {
+	// generation is that of the new holder; attempts of lower generations are
+	// not started.
 	generation int
-	at         time.Time
+	fencedAt   time.Time
 }
 
+// attempt is the state of one attempt at this owner.
 type attempt struct {
-	task    entry.Task
-	status  entry.Status
+	task   entry.Task
+	status entry.Status
+	// changed is closed and replaced whenever status changes.
 	changed chan struct{}
-	ended   time.Time
-	// cancelled is set when the caller asked to stop the attempt.
+	// endedAt is zero until the attempt has ended.
+	endedAt time.Time
+	// cancelled is true once Cancel was called for the attempt.
 	cancelled bool
-	// asked is when the holder last asked for the attempt. A waiting attempt
-	// starts only within HolderLease of it.
-	asked time.Time
-	// heldUntil is set while room is held for a gang that has not started.
-	heldUntil time.Time
+	// lastHolderCall is when the holder last called Run or Await for the attempt,
+	// or when capacity was reserved for it. A waiting attempt starts only within
+	// entry.HolderLease of this time.
+	lastHolderCall time.Time
+	// reservedUntil is when the capacity reserved for a task of a gang is given
+	// back unless the reservation is renewed. It is zero for other attempts and
+	// after the start.
+	reservedUntil time.Time
 }
 
-// New returns an owner without workers. It works until ctx ends.
+// New returns an owner without workers. Its goroutines run until ctx ends.
+// incarnation is the first epoch of the owner.
 func New(ctx context.Context, name string, incarnation uint64, t Timing, limits Limits, dial Dial, o Observer, log logr.Logger) *Owner {
 	w := &Owner{
-		name: name, epoch: incarnation, ticked: time.Now(), timing: t, dial: dial, observer: o, log: log, run: ctx,
-		wake:     make(chan struct{}, 1),
-		gained:   make(chan struct{}, 1),
-		alloc:    allocator.New(placement.Balanced{}, allocator.Limits{Waiting: limits.Waiting, UrgentWait: t.UrgentWait}),
-		attempts: map[string]*attempt{}, sessions: map[string]*session{}, payloadLimit: limits.PayloadBytes, ejected: ejection.New(), meter: usage.New(name, time.Now()), generations: map[string]fencedTask{},
+		name: name, epoch: incarnation, lastTick: time.Now(), timing: t, dial: dial, observer: o, log: log, ctx: ctx,
+		wake:        make(chan struct{}, 1),
+		firstWorker: make(chan struct{}, 1),
+		alloc:       allocator.New(placement.Balanced{}, allocator.Limits{Waiting: limits.Waiting, UrgentWait: t.UrgentWait}),
+		attempts:    map[string]*attempt{}, sessions: map[string]*session{}, payloadLimit: limits.PayloadBytes, ejection: ejection.New(), meter: usage.New(name, time.Now()), fencedTasks: map[string]fencedTask{},
 	}
 	go w.loop()
 	return w
 }
 
-// SetPlans takes over a configuration.
+// SetPlans replaces the plans by those of a new configuration.
 func (o *Owner) SetPlans(x *plan.Index) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.alloc.SetPlans(x)
-	o.kick()
+	o.wakeLoop()
 }
 
-// Advertise summarises the load.
+// Advertise returns the load that this owner advertises to its peers.
 func (o *Owner) Advertise() allocator.Advertisement {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.alloc.Advertise()
 }
 
-// Gained signals that the first worker was adopted, so that peers should be
-// told of it at once.
-func (o *Owner) Gained() <-chan struct{} { return o.gained }
-func (o *Owner) kick() {
+// Gained returns a channel that receives a value when the owner adopts its first
+// worker, so that the entry VM can advertise it to its peers at once.
+func (o *Owner) Gained() <-chan struct{} { return o.firstWorker }
+
+// wakeLoop makes the loop dispatch attempts without waiting for the next tick.
+func (o *Owner) wakeLoop() {
 	select {
 	case o.wake <- struct{}{}:
 	default:
 	}
 }
 
+// loop dispatches attempts and does the periodic work until the owner ends.
 func (o *Owner) loop() {
-	tick := time.NewTicker(o.timing.Tick)
+	tick := time.NewTicker(o.timing.TickInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-o.run.Done():
+		case <-o.ctx.Done():
 			return
 		case <-o.wake:
 			o.dispatch()
@@ -179,13 +206,14 @@
 	}
 }
 
+// dispatch starts every waiting attempt for which the allocator finds a worker.
 func (o *Owner) dispatch() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.collect(time.Now())
+	o.collectForGang(time.Now())
 	for {
 		now := time.Now()
-		o.measure(now)
+		o.advanceMeter(now)
 		d, ok := o.alloc.Next(now)
 		if !ok {
 			return
@@ -195,40 +223,42 @@
 			o.alloc.Release(d.Task.Attempt)
 			continue
 		}
-		if time.Since(a.asked) > entry.HolderLease {
-			o.end(d.Task.Attempt, entry.Status{State: entry.NotRun, Reason: reasonHolderGone})
+		if time.Since(a.lastHolderCall) > entry.HolderLease {
+			o.endAttempt(d.Task.Attempt, entry.Status{State: entry.NotRun, Reason: reasonHolderGone})
 			continue
 		}
 		a.status.Worker, a.status.Waited = d.Worker, d.Waited
 		o.observer.Started(a.task, d.Waited)
 		o.meter.Started(a.task.Customer, a.task.Plan, string(a.task.Class), d.Waited)
-		o.ejected.Started(d.Worker)
+		o.ejection.Started(d.Worker)
 		o.updateAccepting(s)
-		go o.start(s.peer, startRequest(s.token, a), a)
+		go o.startOnWorker(s.peer, newStartRequest(s.token, a), a)
 	}
 }
 
-// set changes the status of an attempt and wakes who waits for it. The caller
-// holds the lock.
-func (o *Owner) set(a *attempt, s entry.Status) {
+// setStatus changes the status of an attempt that has not ended and wakes the
+// calls that wait for it. An end releases the payload. The caller holds the lock.
+func (o *Owner) setStatus(a *attempt, s entry.Status) {
 	if a.status.State.Ended() {
 		return
 	}
 	s.Worker, s.Waited = a.status.Worker, a.status.Waited
 	a.status = s
 	if s.State.Ended() {
-		a.ended = time.Now()
-		o.payload -= int64(len(a.task.Payload))
+		a.endedAt = time.Now()
+		o.payloadBytes -= int64(len(a.task.Payload))
 		a.task.Payload = nil
 	}
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-func (o *Owner) end(id string, s entry.Status) {
-	o.measure(time.Now())
+// endAttempt releases the capacity of an attempt and sets its final status. The
+// caller holds the lock.
+func (o *Owner) endAttempt(id string, s entry.Status) {
+	o.advanceMeter(time.Now())
 	if o.alloc.Release(id) {
-		o.kick()
+		o.wakeLoop()
 	}
 	a := o.attempts[id]
 	if a == nil || a.status.State.Ended() {
@@ -237,19 +267,20 @@
 	if a.cancelled && s.State == entry.Stopped {
 		s.Reason = entry.ReasonCancelled
 	}
-	o.judge(a, s)
-	o.set(a, s)
+	o.recordOutcome(a, s)
+	o.setStatus(a, s)
 }
 
-// judge feeds the outcome of an attempt into the ejection of bad workers.
-func (o *Owner) judge(a *attempt, s entry.Status) {
+// recordOutcome passes the success or failure of an attempt to the ejection
+// tracker, which takes failing workers out of use.
+func (o *Owner) recordOutcome(a *attempt, s entry.Status) {
 	if s.State != entry.Finished && s.State != entry.Failed {
 		return
 	}
 	name := a.status.Worker
-	before := o.ejected.StateOf(name)
-	o.ejected.Outcome(time.Now(), name, a.task.Kind, s.State == entry.Finished)
-	if after := o.ejected.StateOf(name); after != before {
+	before := o.ejection.StateOf(name)
+	o.ejection.Outcome(time.Now(), name, a.task.Kind, s.State == entry.Finished)
+	if after := o.ejection.StateOf(name); after != before {
 		o.log.Info("worker_ejection", "worker", name, "ejected", after == ejection.Open)
 	}
 	if session := o.sessions[name]; session != nil {
@@ -257,92 +288,102 @@
 	}
 }
 
-// start starts an attempt on its worker. The call is repeated until its
-// outcome is known, since starts are idempotent per attempt. The request is that
-// of the moment of the decision: a later adoption by the same owner must not
-// revive a start that was given up in between.
-func (o *Owner) start(peer worker.Peer, request worker.StartRequest, a *attempt) {
+// startOnWorker starts an attempt on its worker. It repeats the call until the
+// outcome is known; starts are idempotent per attempt. The request keeps the
+// fencing token of the session in which the allocator chose the worker. If the
+// same owner adopts the worker again later, a start that was given up in between
+// is therefore refused.
+func (o *Owner) startOnWorker(peer worker.Peer, request worker.StartRequest, a *attempt) {
 	id := request.Attempt.ID
-	for first := true; ; first = false {
-		record, err := peer.Start(o.run, request)
+	for isFirstCall := true; ; isFirstCall = false {
+		record, err := peer.Start(o.ctx, request)
 		o.mutex.Lock()
 		if o.attempts[id] != a || a.status.State.Ended() {
-			// The worker was lost in the meantime; if it was adopted again, the
-			// attempt is known from its list and this start says nothing of it.
+			// The worker was lost during the call. If it was adopted again, the
+			// attempt now has the status that the worker reported then, and the
+			// result of this start is obsolete.
 			o.mutex.Unlock()
 			return
 		}
 		switch fault.KindOr(err, worker.KindUnreachable) {
 		case "":
-			o.started(a, record)
+			o.handleStarted(a, record)
 			o.mutex.Unlock()
 			return
 		case worker.KindFenced, worker.KindRefused:
-			o.notStarted(a, err, first)
+			o.handleStartRefused(a, err, isFirstCall)
 			o.mutex.Unlock()
 			return
 		}
-		o.suspect(a.status.Worker)
+		o.markUnresponsive(a.status.Worker)
 		o.mutex.Unlock()
-		if !o.pause(o.timing.Retry) {
+		if !o.sleep(o.timing.RetryPause) {
 			return
 		}
 	}
 }
 
-// suspect stops placing work on a worker that gave no answer until it does.
-func (o *Owner) suspect(worker string) {
+// markUnresponsive stops the placement of attempts on a worker that did not
+// answer a call, until it answers a sync. The sync in flight is repeated at once.
+func (o *Owner) markUnresponsive(worker string) {
 	s := o.sessions[worker]
-	if s == nil || s.silent {
+	if s == nil || s.unresponsive {
 		return
 	}
-	s.silent, s.verify = true, true
+	s.unresponsive, s.syncNow = true, true
 	o.updateAccepting(s)
-	if s.interrupt != nil {
-		s.interrupt()
+	if s.interruptSync != nil {
+		s.interruptSync()
 	}
 }
 
-func (o *Owner) started(a *attempt, r worker.Record) {
+// handleStarted applies the record that a worker returned for a start. An attempt
+// that was cancelled during the start is stopped.
+func (o *Owner) handleStarted(a *attempt, r worker.Record) {
 	if r.Phase.Ended() {
-		o.end(a.task.Attempt, statusOf(r))
+		o.endAttempt(a.task.Attempt, statusOf(r))
 		return
 	}
-	o.set(a, entry.Status{State: entry.Running})
+	o.setStatus(a, entry.Status{State: entry.Running})
 	if a.cancelled {
-		go o.stop(a.task.Attempt, worker.Stop)
+		go o.stopOnWorker(a.task.Attempt, worker.Stop)
 	}
 }
 
-// notStarted handles a refusal. When an answer to an earlier try was lost, the
-// attempt may run all the same, so a fenced owner leaves it to the new one.
-func (o *Owner) notStarted(a *attempt, err error, first bool) {
+// handleStartRefused ends an attempt whose start was refused. If the owner is
+// fenced and the reply to an earlier call was lost, that call may have started
+// the attempt; its status then becomes Moved and the holder asks the new owner.
+func (o *Owner) handleStartRefused(a *attempt, err error, isFirstCall bool) {
 	o.log.Info("start_refused", "attempt", a.task.Attempt, "worker", a.status.Worker, "reason", err.Error())
-	if fault.KindOf[worker.Kind](err) == worker.KindFenced && !first {
-		o.end(a.task.Attempt, entry.Status{State: entry.Moved, Reason: entry.ReasonFenced})
+	if fault.KindOf[worker.Kind](err) == worker.KindFenced && !isFirstCall {
+		o.endAttempt(a.task.Attempt, entry.Status{State: entry.Moved, Reason: entry.ReasonFenced})
 		return
 	}
-	o.end(a.task.Attempt, entry.Status{State: entry.NotRun, Reason: string(worker.KindRefused)})
+	o.endAttempt(a.task.Attempt, entry.Status{State: entry.NotRun, Reason: string(worker.KindRefused)})
 }
 
-// reasonHolderGone is given for waiting attempts that nobody asked for.
+// reasonHolderGone is the reason of attempts that did not start because their
+// holder stopped calling.
 const reasonHolderGone = "holder_gone"
 
-func (o *Owner) pause(d time.Duration) bool {
+// sleep waits for d. It returns false when the owner ended before.
+func (o *Owner) sleep(d time.Duration) bool {
 	select {
-	case <-o.run.Done():
+	case <-o.ctx.Done():
 		return false
 	case <-time.After(d):
 		return true
 	}
 }
 
-func (o *Owner) refuse(r allocator.Refusal) {
+// applyRefusal ends an attempt that the allocator dropped from its queue.
+func (o *Owner) applyRefusal(r allocator.Refusal) {
 	if a := o.attempts[r.Task.Attempt]; a != nil {
-		o.set(a, entry.Status{State: entry.NotRun, Reason: string(r.Reason)})
+		o.setStatus(a, entry.Status{State: entry.NotRun, Reason: string(r.Reason)})
 	}
 }
 
+// statusOf converts the record of a worker to the status for the holder.
 func statusOf(r worker.Record) entry.Status {
 	switch r.Phase {
 	case worker.Running:
@@ -361,8 +402,9 @@
 	return entry.Status{State: entry.Stopped, Reason: reason}
 }
 
-// startRequest is built under the lock of the owner.
-func startRequest(token worker.Token, a *attempt) worker.StartRequest {
+// newStartRequest returns the call that starts an attempt. The caller holds the
+// lock of the owner, since the payload is released when the attempt ends.
+func newStartRequest(token worker.Token, a *attempt) worker.StartRequest {
 	t := a.task
 	return worker.StartRequest{Token: token, Attempt: worker.Attempt{
 		ID: t.Attempt, Customer: t.Customer, Plan: t.Plan, Class: string(t.Class), Size: t.Size,
--- a/internal/node/owner/owner_test.go
+++ b/internal/node/owner/owner_test.go
@@ -22,9 +22,9 @@
 
 // idleWorker accepts everything and ends nothing.
 type idleWorker struct {
-	started int
-	// startTime is how long a start takes.
-	startTime time.Duration
+	starts int
+	// startDelay is how long a start takes.
+	startDelay time.Duration
 }
 
 func (w *idleWorker) Adopt(context.Context, worker.AdoptRequest) (worker.AdoptReply, error) {
@@ -32,8 +32,8 @@
 }
 
 func (w *idleWorker) Start(_ context.Context, q worker.StartRequest) (worker.Record, error) {
-	w.started++
-	time.Sleep(w.startTime)
+	w.starts++
+	time.Sleep(w.startDelay)
 	return worker.Record{Attempt: q.Attempt, Phase: worker.Running}, nil
 }
 
@@ -49,9 +49,9 @@
 	return worker.StopReply{}, nil
 }
 
-type silentObserver struct{}
+type noopObserver struct{}
 
-func (silentObserver) Started(entry.Task, time.Duration) {}
+func (noopObserver) Started(entry.Task, time.Duration) {}
 
 // TestWorkerIsUsedUntilItIsFenced assigns a worker away whose new owner has not
 // adopted it yet.
@@ -59,29 +59,29 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := &idleWorker{}
-		o, stop := start(is, w, silentObserver{})
+		o, stop := startOwner(is, w, noopObserver{})
 		o.Assign(nil)
 		time.Sleep(time.Second)
-		s, err := o.Run(arguments(o.Epoch(), "t/1"))
+		s, err := o.Run(runArgs(o.Epoch(), "t/1"))
 		is.NoErr(err)
 		is.Equal(s.State, entry.Running)
-		is.Equal(w.started, 1)
+		is.Equal(w.starts, 1)
 		stop()
 		time.Sleep(time.Minute)
 	})
 }
 
-// pausingObserver stops the owner's loop at the first start, as a freeze of the
+// blockingObserver stops the owner's loop at the first start, as a freeze of the
 // process does.
-type pausingObserver struct {
-	pause time.Duration
-	done  bool
+type blockingObserver struct {
+	duration   time.Duration
+	hasBlocked bool
 }
 
-func (p *pausingObserver) Started(entry.Task, time.Duration) {
-	if !p.done {
-		p.done = true
-		time.Sleep(p.pause)
+func (p *blockingObserver) Started(entry.Task, time.Duration) {
+	if !p.hasBlocked {
+		p.hasBlocked = true
+		time.Sleep(p.duration)
 	}
 }
 
@@ -90,24 +90,24 @@
 func TestPausedOwnerRefusesEarlierCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := &idleWorker{startTime: time.Minute}
-		o, stop := start(is, w, &pausingObserver{pause: entry.HolderLease})
+		w := &idleWorker{startDelay: time.Minute}
+		o, stop := startOwner(is, w, &blockingObserver{duration: entry.HolderLease})
 		before := o.Epoch()
-		_, err := o.Run(arguments(before, "first/1"))
+		_, err := o.Run(runArgs(before, "first/1"))
 		is.NoErr(err)
 		time.Sleep(2 * entry.HolderLease)
-		_, err = o.Run(arguments(before, "late/1"))
+		_, err = o.Run(runArgs(before, "late/1"))
 		is.True(errors.Is(err, entry.ErrEpoch))
 		is.True(o.Epoch() > before)
-		_, err = o.Run(arguments(o.Epoch(), "new/1"))
+		_, err = o.Run(runArgs(o.Epoch(), "new/1"))
 		is.NoErr(err)
 		stop()
 		time.Sleep(5 * time.Minute)
 	})
 }
 
-// start returns an owner that has adopted a worker, and how to stop it.
-func start(is *is.I, w worker.Peer, observer owner.Observer) (*owner.Owner, context.CancelFunc) {
+// startOwner returns an owner that has adopted a worker, and how to stop it.
+func startOwner(is *is.I, w worker.Peer, observer owner.Observer) (*owner.Owner, context.CancelFunc) {
 	is.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	o := owner.New(ctx, "o", 1, owner.DefaultTiming, owner.Limits{Waiting: 10, PayloadBytes: 1000}, func(vmlist.VM) worker.Peer { return w }, observer, logr.Discard())
@@ -122,7 +122,7 @@
 	return o, cancel
 }
 
-func arguments(epoch uint64, attempt string) entry.RunArgs {
+func runArgs(epoch uint64, attempt string) entry.RunArgs {
 	return entry.RunArgs{Epoch: epoch, Wait: time.Millisecond, Task: entry.Task{Attempt: attempt, Plan: "p", Class: plan.Urgent, Size: capacity}}
 }
 
@@ -130,9 +130,9 @@
 func TestPayloadsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		o, stop := start(is, &idleWorker{}, silentObserver{})
+		o, stop := startOwner(is, &idleWorker{}, noopObserver{})
 		large := func(attempt string) entry.RunArgs {
-			a := arguments(o.Epoch(), attempt)
+			a := runArgs(o.Epoch(), attempt)
 			a.Task.Payload = make([]byte, 400)
 			return a
 		}
--- a/internal/node/owner/session.go
+++ b/internal/node/owner/session.go
@@ -12,96 +12,105 @@
 	"github.com/almondpost/almondpost/internal/state/plan"
 )
 
-// session is the work with one worker. Its fields are guarded by the lock of
-// the Owner, except vm.Name and peer, which do not change.
+// session is the state of the exchange with one worker. Its fields are guarded
+// by the lock of the Owner, except vm.Name and peer, which do not change.
 type session struct {
 	vm   vmlist.VM
 	peer worker.Peer
-	// token is that of the last adoption. Only the goroutine of the session
-	// writes it.
+	// token is the fencing token of the last adoption. Only the goroutine of
+	// the session writes it.
 	token worker.Token
-	// adopted is true from a successful adoption until the worker is fenced or
-	// lost.
+	// adopted is true from a successful adoption until the owner is fenced or
+	// the worker is lost.
 	adopted bool
-	// wanted is false once the assignment names another owner.
-	wanted   bool
-	sequence uint64
-	// heard is when the last answered call was sent.
-	heard time.Time
-	// renewed is when the last call that may have renewed the lease was sent.
-	renewed time.Time
-	// interrupt ends the sync under way, so that the worker is asked anew.
-	interrupt context.CancelFunc
-	// silent is true while calls get no answer.
-	silent bool
-	// verify makes the next sync return at once.
-	verify bool
+	// assigned is false once Assign no longer names the worker. The owner then
+	// keeps the worker until another owner adopts it.
+	assigned bool
+	// lastSequence is the highest sequence of the records received from the
+	// worker.
+	lastSequence uint64
+	// lastAnswered is when the last call that the worker answered was sent.
+	lastAnswered time.Time
+	// lastRenewal is when the last call that may have renewed the lease was
+	// sent.
+	lastRenewal time.Time
+	// interruptSync cancels the sync in flight, which is then sent again.
+	interruptSync context.CancelFunc
+	// unresponsive is true while the worker does not answer calls.
+	unresponsive bool
+	// syncNow makes the worker answer the next sync without waiting for
+	// records.
+	syncNow bool
 }
 
-// Assign names the workers that this owner should have. Workers that it holds
-// beyond these are used until their new owner fences them, so that no worker
-// stands idle while views of the membership differ.
+// Assign sets the workers that this owner should adopt. An adopted worker that
+// is no longer assigned gets attempts until its new owner fences this one, so
+// that no worker is idle while the entry VMs disagree on the membership.
 func (o *Owner) Assign(workers []vmlist.VM) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	wanted := map[string]vmlist.VM{}
+	byName := map[string]vmlist.VM{}
 	for _, v := range workers {
-		wanted[v.Name] = v
+		byName[v.Name] = v
 	}
 	for name, s := range o.sessions {
-		v, ok := wanted[name]
+		v, ok := byName[name]
 		if ok {
 			s.vm.Leaving = v.Leaving
 		}
-		s.wanted = ok
+		s.assigned = ok
 		o.updateAccepting(s)
 	}
-	for name, v := range wanted {
+	for name, v := range byName {
 		if o.sessions[name] == nil && !o.draining {
-			s := &session{vm: v, peer: o.dial(v), wanted: true}
+			s := &session{vm: v, peer: o.dial(v), assigned: true}
 			o.sessions[name] = s
-			go o.serve(s)
+			go o.runSession(s)
 		}
 	}
-	o.kick()
+	o.wakeLoop()
 }
 
+// updateAccepting tells the allocator whether it may place attempts on a
+// worker. The caller holds the lock.
 func (o *Owner) updateAccepting(s *session) {
 	if !s.adopted {
 		return
 	}
-	o.alloc.SetAccepting(s.vm.Name, !s.silent && !s.vm.Leaving && !o.draining && o.ejected.Allows(time.Now(), s.vm.Name))
+	o.alloc.SetAccepting(s.vm.Name, !s.unresponsive && !s.vm.Leaving && !o.draining && o.ejection.Allows(time.Now(), s.vm.Name))
 }
 
-// serve works with one worker until it is given up.
-func (o *Owner) serve(s *session) {
-	var known worker.Token
+// runSession adopts a worker and syncs with it, again and again, until the
+// worker is no longer assigned or the owner drains or ends.
+func (o *Owner) runSession(s *session) {
+	var highest worker.Token
 	for {
-		if !o.keep(s) {
+		if !o.continueOrRemove(s) {
 			return
 		}
-		current, ok := o.adopt(s, known)
-		if current.Epoch > known.Epoch {
-			known = current
+		current, ok := o.adopt(s, highest)
+		if current.Epoch > highest.Epoch {
+			highest = current
 		}
 		if !ok {
-			if !o.pause(o.timing.Retry) {
+			if !o.sleep(o.timing.RetryPause) {
 				return
 			}
 			continue
 		}
-		fenced := o.follow(s)
-		if fenced && !o.pause(o.timing.Contested) {
+		fenced := o.syncUntilLost(s)
+		if fenced && !o.sleep(o.timing.FencedPause) {
 			return
 		}
 	}
 }
 
-// keep reports whether the session goes on, and forgets it otherwise.
-func (o *Owner) keep(s *session) bool {
+// continueOrRemove returns true when the worker is still to be adopted.
+// Otherwise it removes the session and returns false.
+func (o *Owner) continueOrRemove(s *session) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if s.wanted && !o.draining && o.run.Err() == nil {
+	if s.assigned && !o.draining && o.ctx.Err() == nil {
 		return true
 	}
 	if o.sessions[s.vm.Name] == s {
@@ -110,37 +119,40 @@
 	return false
 }
 
-// adopt tries to take the worker over with a token above every known one.
-func (o *Owner) adopt(s *session, known worker.Token) (current worker.Token, ok bool) {
-	token := worker.Token{Epoch: known.Epoch + 1, Owner: o.name}
+// adopt tries to adopt the worker with a token above the highest one known. It
+// returns the token that the worker has now, or the given one if the worker did
+// not answer, and whether the adoption succeeded.
+func (o *Owner) adopt(s *session, highest worker.Token) (current worker.Token, ok bool) {
+	token := worker.Token{Epoch: highest.Epoch + 1, Owner: o.name}
 	sent := time.Now()
-	reply, err := s.peer.Adopt(o.run, worker.AdoptRequest{Token: token, Lease: o.timing.Lease})
+	reply, err := s.peer.Adopt(o.ctx, worker.AdoptRequest{Token: token, Lease: o.timing.Lease})
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if err != nil {
-		return known, false
+		return highest, false
 	}
 	if !reply.Accepted {
 		return reply.Current, false
 	}
-	s.token, s.adopted, s.sequence, s.heard, s.renewed = token, true, reply.Sequence, sent, sent
-	s.silent = false
-	o.ejected.Add(s.vm.Name)
-	o.takeOver(s, reply)
+	s.token, s.adopted, s.lastSequence, s.lastAnswered, s.lastRenewal = token, true, reply.Sequence, sent, sent
+	s.unresponsive = false
+	o.ejection.Add(s.vm.Name)
+	o.restoreAttempts(s, reply)
 	return token, true
 }
 
-// takeOver builds the ledger of a worker from its own list.
-func (o *Owner) takeOver(s *session, reply worker.AdoptReply) {
+// restoreAttempts adds an adopted worker and the attempts that it reports to
+// the allocator. The caller holds the lock.
+func (o *Owner) restoreAttempts(s *session, reply worker.AdoptReply) {
 	var running []allocator.Running
 	for _, r := range reply.Records {
 		a := o.attempts[r.Attempt.ID]
 		if a == nil || a.status.Reason == entry.ReasonFenced || a.status.State == entry.Moved {
-			a = &attempt{task: fromWorker(r.Attempt), status: entry.Status{State: entry.Running, Worker: s.vm.Name}, changed: make(chan struct{})}
+			a = &attempt{task: taskFromWorker(r.Attempt), status: entry.Status{State: entry.Running, Worker: s.vm.Name}, changed: make(chan struct{})}
 			o.attempts[r.Attempt.ID] = a
 		}
 		if r.Phase.Ended() {
-			o.end(r.Attempt.ID, statusOf(r))
+			o.endAttempt(r.Attempt.ID, statusOf(r))
 			continue
 		}
 		running = append(running, allocator.Running{
@@ -151,123 +163,131 @@
 	err := o.alloc.AddWorker(s.vm.Name, reply.Rack, reply.Capacity, running)
 	o.log.Info("worker_adopted", "worker", s.vm.Name, "epoch", s.token.Epoch, "running", len(running), "ok", err == nil)
 	o.updateAccepting(s)
-	o.kick()
+	o.wakeLoop()
 	if o.alloc.Ledger().Len() > 1 {
 		return
 	}
 	select {
-	case o.gained <- struct{}{}:
+	case o.firstWorker <- struct{}{}:
 	default:
 	}
 }
 
-func fromWorker(a worker.Attempt) entry.Task {
+// taskFromWorker converts an attempt as a worker reports it.
+func taskFromWorker(a worker.Attempt) entry.Task {
 	return entry.Task{
 		Attempt: a.ID, Customer: a.Customer, Plan: a.Plan, Class: plan.Class(a.Class), Size: a.Size,
 		Kind: a.Kind, Repeatable: a.Repeatable, RunTime: a.RunTime,
 	}
 }
 
-// follow renews the lease and takes in records until the worker is fenced or
-// lost; it reports which. After a call without answer the worker is only
-// probed, so that the time at which its lease lapses is known.
-func (o *Owner) follow(s *session) (fenced bool) {
+// syncUntilLost renews the lease of an adopted worker and receives its records.
+// It returns when another owner has adopted the worker (fenced is true), when
+// the lease has ended because the worker did not answer, or when the owner
+// ends. After a call without an answer the syncs do not renew the lease until
+// one is answered, so that the owner knows when the lease ends at the worker.
+func (o *Owner) syncUntilLost(s *session) (fenced bool) {
 	lease := o.timing.Lease
-	for o.run.Err() == nil {
+	for o.ctx.Err() == nil {
 		reply, sent, err := o.sync(s, lease)
 		o.mutex.Lock()
 		switch fault.KindOr(err, worker.KindUnreachable) {
 		case "":
 			lease = o.timing.Lease
-			o.takeRecords(s, reply, sent)
+			o.applyRecords(s, reply, sent)
 			o.mutex.Unlock()
 			continue
 		case worker.KindFenced:
-			o.lose(s, entry.Status{State: entry.Moved, Reason: entry.ReasonFenced})
+			o.dropWorker(s, entry.Status{State: entry.Moved, Reason: entry.ReasonFenced})
 			o.mutex.Unlock()
 			return true
 		}
 		lease = 0
-		s.silent = true
+		s.unresponsive = true
 		o.updateAccepting(s)
-		if time.Since(s.renewed) > o.lapsedAfter() {
-			o.lose(s, entry.Status{State: entry.Stopped, Reason: entry.ReasonLeaseLapsed})
+		if time.Since(s.lastRenewal) > o.maxRenewalAge() {
+			o.dropWorker(s, entry.Status{State: entry.Stopped, Reason: entry.ReasonLeaseLapsed})
 			o.mutex.Unlock()
 			return false
 		}
 		o.mutex.Unlock()
-		o.pause(o.timing.Retry)
+		o.sleep(o.timing.RetryPause)
 	}
 	return false
 }
 
-// lapsedAfter is the age of the last renewal past which the lease has lapsed
-// at the worker, also when the call was delivered as late as it can be.
-func (o *Owner) lapsedAfter() time.Duration {
+// maxRenewalAge is the time after the last renewal was sent at which the lease
+// has certainly ended at the worker, even if the call was delivered as late as
+// possible.
+func (o *Owner) maxRenewalAge() time.Duration {
 	return o.timing.Lease + o.timing.LeaseMargin + o.timing.SyncWait + worker.CallTimeout
 }
 
-// sync makes one sync call. A lease of zero renews nothing.
+// sync sends a sync and returns the reply and when the call was sent. A lease
+// of zero does not renew the lease. If the call is interrupted, it is sent
+// again.
 func (o *Owner) sync(s *session, lease time.Duration) (reply worker.SyncReply, sent time.Time, err error) {
-	ctx, cancel := context.WithCancel(o.run)
+	ctx, cancel := context.WithCancel(o.ctx)
 	defer cancel()
 	sent = time.Now()
 	o.mutex.Lock()
 	if lease > 0 {
-		s.renewed = sent
+		s.lastRenewal = sent
 	}
 	wait := o.timing.SyncWait
-	if s.verify {
-		s.verify, wait = false, 0
+	if s.syncNow {
+		s.syncNow, wait = false, 0
 	}
-	s.interrupt = cancel
-	request := worker.SyncRequest{Token: s.token, Lease: lease, After: s.sequence, Wait: wait}
+	s.interruptSync = cancel
+	request := worker.SyncRequest{Token: s.token, Lease: lease, After: s.lastSequence, Wait: wait}
 	o.mutex.Unlock()
 	reply, err = s.peer.Sync(ctx, request)
-	interrupted := err != nil && ctx.Err() != nil && o.run.Err() == nil
+	interrupted := err != nil && ctx.Err() != nil && o.ctx.Err() == nil
 	if interrupted {
 		return o.sync(s, lease)
 	}
 	return reply, sent, err
 }
 
-func (o *Owner) takeRecords(s *session, reply worker.SyncReply, sent time.Time) {
-	s.heard, s.silent = sent, false
-	s.sequence = max(s.sequence, reply.Sequence)
+// applyRecords ends the attempts that a worker reports as ended.
+func (o *Owner) applyRecords(s *session, reply worker.SyncReply, sent time.Time) {
+	s.lastAnswered, s.unresponsive = sent, false
+	s.lastSequence = max(s.lastSequence, reply.Sequence)
 	for _, r := range reply.Records {
-		o.end(r.Attempt.ID, statusOf(r))
+		o.endAttempt(r.Attempt.ID, statusOf(r))
 	}
 	o.updateAccepting(s)
 }
 
-// lose drops a worker and ends what it held with a status.
-func (o *Owner) lose(s *session, status entry.Status) {
+// dropWorker removes a worker from the allocator, ends its attempts with the
+// given status and refuses waiting attempts that fit none of the other workers.
+func (o *Owner) dropWorker(s *session, status entry.Status) {
 	s.adopted = false
-	held := o.alloc.RemoveWorker(s.vm.Name)
-	o.log.Info("worker_lost", "worker", s.vm.Name, "reason", status.Reason, "attempts", len(held))
-	for _, id := range held {
-		o.end(id, status)
+	attempts := o.alloc.RemoveWorker(s.vm.Name)
+	o.log.Info("worker_lost", "worker", s.vm.Name, "reason", status.Reason, "attempts", len(attempts))
+	for _, id := range attempts {
+		o.endAttempt(id, status)
 	}
 	for _, r := range o.alloc.Unplaceable() {
-		o.refuse(r)
+		o.applyRefusal(r)
 	}
 }
 
-// Drain stops placing work: what waits is refused, what runs stays with the
-// workers, and their new owners take them over.
+// Drain stops the placement of attempts and refuses the waiting ones. Running
+// attempts stay on their workers until other owners adopt them.
 func (o *Owner) Drain() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.draining = true
 	for _, r := range o.alloc.Drain() {
-		o.refuse(r)
+		o.applyRefusal(r)
 	}
 	for _, s := range o.sessions {
 		o.updateAccepting(s)
 	}
 }
 
-// Held returns the number of adopted workers.
+// Held returns the number of workers that this owner has adopted.
 func (o *Owner) Held() int {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/node/request/gang.go
+++ b/internal/node/request/gang.go
@@ -12,76 +12,82 @@
 )
 
 const (
-	// gangLease is how long room is held without a renewal.
+	// gangLease is how long capacity stays reserved without a renewal.
 	gangLease = 3 * time.Second
-	// gangPatience is how long a gang tries to find room at once before it
-	// collects room over time.
-	gangPatience = 3 * time.Second
-	// collectTime bounds one try to collect, so that a gang that does not fit
-	// gives way to others.
-	collectTime  = 10 * time.Second
-	collectPause = 100 * time.Millisecond
-	// The pause between tries is drawn between these bounds.
-	gangPauseLow  = 100 * time.Millisecond
-	gangPauseHigh = 600 * time.Millisecond
+	// collectAfter is how long a gang tries to reserve all its capacity at once
+	// before it collects capacity as it becomes free.
+	collectAfter = 3 * time.Second
+	// maxCollectTime is the longest time that a gang collects without a break,
+	// so that a gang that does not fit lets others collect.
+	maxCollectTime = 10 * time.Second
+	collectPause   = 100 * time.Millisecond
+	// The pause between two tries is random within these limits.
+	minGangPause = 100 * time.Millisecond
+	maxGangPause = 600 * time.Millisecond
 )
 
-// Placed is a task of a gang whose room is held.
-type Placed struct {
+// ReservedTask is a task of a gang with the owner that has reserved capacity
+// for it.
+type ReservedTask struct {
 	Task  entry.Task
 	Owner Target
 }
 
-// Gang holds room for all tasks of a job at once, in the owners of one failure
-// domain, in the order of their names. It returns when the gang is whole or ctx
-// ends; nothing is held in the latter case. The caller commits each task with
-// Run.
-func (r *Runner) Gang(ctx context.Context, domain string, works []Work) ([]Placed, error) {
+// Gang reserves capacity for all tasks of a job, at the owners of one failure
+// domain in the order of their names. It tries until all tasks have capacity;
+// the caller then starts each one with Commit. It fails when ctx ends or the
+// job is abandoned, and then gives all capacity back.
+func (r *Runner) Gang(ctx context.Context, domain string, works []Work) ([]ReservedTask, error) {
 	began := time.Now()
 	for try := 1; ctx.Err() == nil && !works[0].isAbandoned(); try++ {
 		if works[0].isPermitted() {
-			aged := time.Since(began) > gangPatience
-			if placed := r.gather(ctx, domain, works, try, aged); placed != nil {
-				return placed, nil
+			collect := time.Since(began) > collectAfter
+			if reserved := r.tryReserveGang(ctx, domain, works, try, collect); reserved != nil {
+				return reserved, nil
 			}
 		}
-		pause := gangPauseLow + rand.N(gangPauseHigh-gangPauseLow)
+		pause := minGangPause + rand.N(maxGangPause-minGangPause)
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
 		}
 	}
-	return nil, errNoGang
+	return nil, errGangNotReserved
 }
 
-// errNoGang means that the job was cancelled or has another holder.
-var errNoGang = errors.New("gang given up")
+// errGangNotReserved means that the job was cancelled or that another holder
+// has taken it over.
+var errGangNotReserved = errors.New("gang not reserved: the job was cancelled or has another holder")
 
-// gather makes one try. An aged gang keeps what it has and collects for a
-// bounded time; the slot of the first owner in name order lets one gang collect
-// at a time, so that two never wait for each other.
-func (r *Runner) gather(ctx context.Context, domain string, works []Work, try int, aged bool) []Placed {
-	owners := r.owners(domain)
+// tryReserveGang makes one try to reserve capacity for all tasks, and returns
+// nil if it fails. If collect is set, the try lasts up to maxCollectTime and
+// keeps what is reserved. Owners let one gang collect at a time and are asked
+// in name order, so the first owner decides which gang collects, and two gangs
+// never wait for each other.
+func (r *Runner) tryReserveGang(ctx context.Context, domain string, works []Work, try int, collect bool) []ReservedTask {
+	owners := r.usableOwners(domain)
 	deadline := time.Now()
-	if aged {
-		deadline = deadline.Add(collectTime)
+	if collect {
+		deadline = deadline.Add(maxCollectTime)
 	}
-	held := map[string]Placed{}
+	held := map[string]ReservedTask{}
 	for {
-		whole, busy := r.reserveAll(ctx, owners, works, try, aged, held)
-		if whole != nil {
-			r.releaseOthers(held, whole)
-			return whole
+		gang, busy := r.reserveAll(ctx, owners, works, try, collect, held)
+		if gang != nil {
+			r.releaseUnused(held, gang)
+			return gang
 		}
 		if busy || !time.Now().Before(deadline) || ctx.Err() != nil || works[0].isAbandoned() {
-			r.releaseOthers(held, nil)
+			r.releaseUnused(held, nil)
 			return nil
 		}
 		time.Sleep(collectPause)
 	}
 }
 
-func (r *Runner) owners(domain string) []Target {
+// usableOwners returns the usable owners of a failure domain in the order of
+// their names.
+func (r *Runner) usableOwners(domain string) []Target {
 	var out []Target
 	for _, t := range r.peers.Targets() {
 		if t.Domain == domain && t.Usable {
@@ -92,13 +98,14 @@
 	return out
 }
 
-// reserveAll asks the owners in turn for the tasks that have no room yet. It
-// notes in held what is held anywhere, and returns the gang when it is whole.
-func (r *Runner) reserveAll(ctx context.Context, owners []Target, works []Work, try int, collect bool, held map[string]Placed) (whole []Placed, busy bool) {
-	placed := make([]Placed, len(works))
+// reserveAll asks the owners in turn to reserve capacity for the tasks that
+// have none yet. It adds every reservation to held, by attempt, and returns the
+// gang when each task has one. busy is true when another gang collects.
+func (r *Runner) reserveAll(ctx context.Context, owners []Target, works []Work, try int, collect bool, held map[string]ReservedTask) (gang []ReservedTask, busy bool) {
+	reserved := make([]ReservedTask, len(works))
 	missing := len(works)
 	for _, o := range owners {
-		offers := gangOffers(works, placed, try, o, collect)
+		offers := gangOffers(works, reserved, try, o, collect)
 		if len(offers) == 0 {
 			break
 		}
@@ -111,9 +118,9 @@
 		}
 		for _, attempt := range reply.Held {
 			offer := offers[attempt]
-			held[attempt] = offer.placed
-			if placed[offer.index].Task.Attempt == "" {
-				placed[offer.index] = offer.placed
+			held[attempt] = offer.reserved
+			if reserved[offer.index].Task.Attempt == "" {
+				reserved[offer.index] = offer.reserved
 				missing--
 			}
 		}
@@ -121,35 +128,37 @@
 	if missing > 0 {
 		return nil, false
 	}
-	return placed, false
+	return reserved, false
 }
 
-// gangOffer is a task of a gang that one owner is asked for.
+// gangOffer is a task of a gang that one owner is asked to reserve capacity
+// for.
 type gangOffer struct {
-	// index is that of the task in the gang.
-	index  int
-	placed Placed
+	// index is the position of the task in the gang.
+	index    int
+	reserved ReservedTask
 }
 
-// gangOffers returns the tasks to ask an owner for, by attempt: those without
-// room, or all of them for a gang that collects.
-func gangOffers(works []Work, placed []Placed, try int, o Target, collect bool) map[string]gangOffer {
+// gangOffers returns the tasks to offer to an owner, by attempt: those without
+// reserved capacity, or all of them if the gang collects.
+func gangOffers(works []Work, reserved []ReservedTask, try int, o Target, collect bool) map[string]gangOffer {
 	out := map[string]gangOffer{}
 	for i, w := range works {
-		if placed[i].Task.Attempt != "" && !collect {
+		if reserved[i].Task.Attempt != "" && !collect {
 			continue
 		}
-		t := w.task(fmt.Sprintf("%s/%d.g%d-%s", w.ID, w.Generation, try, o.Name), 0)
-		out[t.Attempt] = gangOffer{i, Placed{t, o}}
+		t := w.newTask(fmt.Sprintf("%s/%d.g%d-%s", w.ID, w.Generation, try, o.Name), 0)
+		out[t.Attempt] = gangOffer{i, ReservedTask{t, o}}
 	}
 	return out
 }
 
+// reserve makes one Reserve call to an owner.
 func (r *Runner) reserve(ctx context.Context, o Target, w Work, offers map[string]gangOffer, collect bool) (entry.ReserveReply, error) {
 	tasks := make([]entry.Task, len(offers))
 	position := 0
 	for _, offer := range offers {
-		tasks[position] = offer.placed.Task
+		tasks[position] = offer.reserved.Task
 		position++
 	}
 	sort.Slice(tasks, func(i, j int) bool { return tasks[i].Attempt < tasks[j].Attempt })
@@ -160,27 +169,29 @@
 	})
 }
 
-// releaseOthers gives back what is held beside the chosen tasks.
-func (r *Runner) releaseOthers(held map[string]Placed, chosen []Placed) {
-	keep := map[string]bool{}
-	for _, p := range chosen {
-		keep[p.Task.Attempt] = true
+// releaseUnused cancels the reservations in held that are not among the chosen
+// tasks.
+func (r *Runner) releaseUnused(held map[string]ReservedTask, chosen []ReservedTask) {
+	isChosen := map[string]bool{}
+	for _, t := range chosen {
+		isChosen[t.Task.Attempt] = true
 	}
-	for attempt, p := range held {
-		if !keep[attempt] {
-			r.cancel(p.Owner, attempt)
+	for attempt, t := range held {
+		if !isChosen[attempt] {
+			r.cancelAttempt(t.Owner, attempt)
 		}
 	}
 }
 
-// Commit starts a task whose room is held, and returns it as an attempt that
-// Run can follow.
-func (r *Runner) Commit(p Placed) (entry.FoundAttempt, Target) {
+// Commit starts a task whose capacity is reserved. It returns the attempt and
+// its owner, to be set as Known and KnownAt of a Work that Run follows. If the
+// call fails, the state of the attempt is Moved, so that Run resolves it.
+func (r *Runner) Commit(t ReservedTask) (entry.FoundAttempt, Target) {
 	ctx, cancel := context.WithTimeout(context.Background(), entry.CallTimeout)
 	defer cancel()
-	status, err := r.peers.Run(ctx, p.Owner, entry.RunArgs{Epoch: p.Owner.Epoch, Task: p.Task})
+	status, err := r.peers.Run(ctx, t.Owner, entry.RunArgs{Epoch: t.Owner.Epoch, Task: t.Task})
 	if err != nil {
 		status = entry.Status{State: entry.Moved}
 	}
-	return entry.FoundAttempt{Attempt: p.Task.Attempt, Status: status}, p.Owner
+	return entry.FoundAttempt{Attempt: t.Task.Attempt, Status: status}, t.Owner
 }
--- a/internal/node/request/request.go
+++ b/internal/node/request/request.go
@@ -1,6 +1,10 @@
-// Package request carries one piece of work from its caller to its whole
-// answer: routing to owners, retries, resolution of unknown outcomes and
-// cancellation.
+// Package request runs the tasks of requests and jobs on behalf of callers. It
+// routes each task to an owner, an entry VM that has adopted workers, retries
+// it, resolves unknown outcomes and cancels it.
+//
+// Each try to run a task is an attempt with an ID of its own. The entry VM that
+// follows the attempts of a request or job is its holder. Another holder may
+// take a job over; it then has a higher generation.
 package request
 
 import (
@@ -14,36 +18,37 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// Spec is what a caller asks for.
+// Spec is a request of a caller for one task.
 type Spec struct {
 	Plan  string     `json:"plan"`
 	Class plan.Class `json:"class"`
-	// Kind names the service or program that does the work.
+	// Kind names the service or program that runs the task.
 	Kind string          `json:"kind"`
 	Size resource.Vector `json:"size"`
-	// RunTimeMilliseconds is the declared run time.
+	// RunTimeMilliseconds is the expected run time that the caller declares.
 	RunTimeMilliseconds int64 `json:"run_time_milliseconds"`
-	// DeadlineMilliseconds counts from the submission; zero means none.
+	// DeadlineMilliseconds is the time from the submission to the deadline;
+	// zero means no deadline.
 	DeadlineMilliseconds int64 `json:"deadline_milliseconds"`
-	// Repeatable work may run more than once.
+	// Repeatable tasks may run more than once, for example after a preemption.
 	Repeatable bool `json:"repeatable"`
-	// Key is an idempotency key in the form of a ULID. Work that is not
-	// repeatable needs one.
+	// Key is an idempotency key in the form of a ULID. It is required for tasks
+	// that are not repeatable.
 	Key string `json:"key,omitempty"`
-	// Spread names a group whose tasks should be on different racks.
+	// Spread names a group of tasks that should run on different racks.
 	Spread  string `json:"spread,omitempty"`
 	Payload []byte `json:"payload"`
 }
 
-// Bounds of a Spec.
+// Limits on the fields of a Spec.
 const (
 	MaxPayloadBytes = 1 << 20
 	MaxRunTime      = 365 * 24 * time.Hour
 	maxNameBytes    = 128
 )
 
-// Validate returns a message that names the first bad field, or the empty
-// string.
+// Validate returns a message about the first invalid field, or the empty string
+// when all are valid.
 func (s Spec) Validate() string {
 	switch {
 	case s.Plan == "":
@@ -76,11 +81,12 @@
 const (
 	Pending State = "pending"
 	Done    State = "done"
-	// Failed means that the work ran and failed.
+	// Failed means that the task ran and failed.
 	Failed State = "failed"
-	// NotRun means that the work did not run and never will.
+	// NotRun means that the task did not run and never will.
 	NotRun State = "not_run"
-	// MayHaveRun means that the outcome is not known.
+	// MayHaveRun means that the outcome is unknown or that the task was stopped
+	// before its end.
 	MayHaveRun State = "may_have_run"
 	Cancelled  State = "cancelled"
 )
@@ -88,31 +94,35 @@
 // Ended reports whether the state is final.
 func (s State) Ended() bool { return s != Pending }
 
-// Outcome is what a caller gets.
+// Outcome is the result of a request as its caller receives it.
 type Outcome struct {
 	ID     string `json:"id"`
 	State  State  `json:"state"`
 	Reason string `json:"reason,omitempty"`
-	// RetryAfterMilliseconds is a hint for work that was not run.
+	// RetryAfterMilliseconds says when a task that was not run may be submitted
+	// again; zero means no hint.
 	RetryAfterMilliseconds int64 `json:"retry_after_milliseconds,omitempty"`
-	// WaitedMilliseconds is the time from submission to the last start.
+	// WaitedMilliseconds is how long the last attempt was queued before its
+	// start.
 	WaitedMilliseconds int64 `json:"waited_milliseconds"`
-	Attempts           int   `json:"attempts"`
-	// NextAttempt is the first attempt number that was not used.
+	// Attempts counts the attempts that ran or may have run.
+	Attempts int `json:"attempts"`
+	// NextAttempt is the lowest attempt number that was not used.
 	NextAttempt int `json:"-"`
-	// Answer is whole exactly if AnswerBytes and AnswerDigest match it.
+	// Answer is the result of the task. It is intact if its length is
+	// AnswerBytes and its digest is AnswerDigest.
 	Answer       []byte `json:"answer,omitempty"`
 	AnswerBytes  int    `json:"answer_bytes"`
 	AnswerDigest string `json:"answer_digest,omitempty"`
 }
 
-// SetAnswer fills in an answer with its length and SHA-256 digest.
+// SetAnswer sets the answer, its length and its SHA-256 digest in hexadecimal.
 func (o *Outcome) SetAnswer(answer []byte) {
 	digest := sha256.Sum256(answer)
 	o.Answer, o.AnswerBytes, o.AnswerDigest = answer, len(answer), hex.EncodeToString(digest[:])
 }
 
-// Whole reports whether the answer matches its length and digest.
+// Whole reports whether the answer has the stated length and digest.
 func (o *Outcome) Whole() bool {
 	digest := sha256.Sum256(o.Answer)
 	return len(o.Answer) == o.AnswerBytes && hex.EncodeToString(digest[:]) == o.AnswerDigest
--- a/internal/node/request/resolve.go
+++ b/internal/node/request/resolve.go
@@ -9,78 +9,85 @@
 	"github.com/almondpost/almondpost/internal/peer/entry"
 )
 
-// resolve finds out what became of an attempt whose owner gave no answer or
-// has lost its worker. It ends in one of three ways: an owner knows the
+// resolveAttempt finds out what became of an attempt whose owner did not answer
+// or has lost its worker. It ends in one of three ways: an owner knows the
 // attempt; the original owner fences it; or every worker of the failure domain
-// is proved to be held by another owner since the moment from which the
-// original owner can not start it any more, and none lists it.
-func (r *Runner) resolve(ctx context.Context, t Target, attempt string, asked time.Time) (Target, entry.Status) {
-	// Past barrier the original owner drops the attempt if it still waits.
-	barrier := asked.Add(entry.HolderLease + r.timing.Margin)
+// is proved to be held by another owner since a time at which the original
+// owner could no longer start the attempt, and no owner knows the attempt. If
+// ctx has ended, it gives up after maxResolveAfterCancel.
+func (r *Runner) resolveAttempt(ctx context.Context, t Target, attempt string, lastCall time.Time) (Target, entry.Status) {
+	// After the barrier the original owner does not start the attempt if it still
+	// waits there, since its holder lease has ended.
+	barrier := lastCall.Add(entry.HolderLease + r.timing.ClockMargin)
 	reported := time.Now()
 	for {
-		// A call to the original owner may renew its interest in the attempt
-		// even when the answer is lost.
+		// A call to the original owner renews the holder lease of the attempt
+		// even if the reply is lost, and so moves the barrier.
 		sent := time.Now()
-		word := r.askOriginal(t, attempt)
-		if word.known {
-			return word.target, word.status
+		reply := r.askOriginalOwner(t, attempt)
+		if reply.found {
+			return reply.target, reply.status
 		}
-		if word.lost {
-			barrier = sent.Add(entry.HolderLease + entry.CallTimeout + r.timing.Margin)
+		if reply.unanswered {
+			barrier = sent.Add(entry.HolderLease + entry.CallTimeout + r.timing.ClockMargin)
 		}
-		answers := r.askAll(t.Domain, entry.ResolveArgs{Attempts: []string{attempt}})
-		if target, status, ok := known(answers, attempt); ok {
+		answers := r.askAllOwners(t.Domain, entry.ResolveArgs{Attempts: []string{attempt}})
+		if target, status, ok := findAttempt(answers, attempt); ok {
 			return target, status
 		}
-		former := t
-		if word.gaveUp {
-			// The original owner will not start the attempt any more, so what it
-			// holds by now proves as much as what others hold.
-			former = Target{Domain: t.Domain}
+		excluded := t
+		if reply.workerLost {
+			// The original owner will no longer start the attempt, so a worker that
+			// it holds proves as much as one that another owner holds.
+			excluded = Target{Domain: t.Domain}
 		}
-		missing := r.uncovered(former, answers, barrier)
-		if len(missing) == 0 {
+		unproved := r.unprovedWorkers(excluded, answers, barrier)
+		if len(unproved) == 0 {
 			return t, entry.Status{State: entry.NotRun, Reason: entry.ReasonFenced, RetryAfter: time.Second}
 		}
-		if ctx.Err() != nil && time.Since(asked) > maxResolveAfterCancel {
+		if ctx.Err() != nil && time.Since(lastCall) > maxResolveAfterCancel {
 			return t, entry.Status{State: entry.Stopped, Reason: reasonUnresolved}
 		}
-		if time.Since(reported) > reportUnresolved {
+		if time.Since(reported) > reportInterval {
 			reported = time.Now()
-			r.log.Info("outcome_unresolved", "attempt", attempt, "owner", t.Name, "uncovered", strings.Join(missing[:min(len(missing), maxReported)], ","))
+			r.log.Info("outcome_unresolved", "attempt", attempt, "owner", t.Name, "uncovered", strings.Join(unproved[:min(len(unproved), maxReportedWorkers)], ","))
 		}
-		time.Sleep(r.timing.Retry)
+		time.Sleep(r.timing.RetryPause)
 	}
 }
 
 const (
-	// reportUnresolved is how often an outcome that is not found out is logged.
-	reportUnresolved = 5 * time.Second
-	// maxReported bounds the workers that are named then.
-	maxReported = 5
+	// reportInterval is the interval at which an unresolved outcome is logged.
+	reportInterval = 5 * time.Second
+	// maxReportedWorkers is how many workers such a log line names.
+	maxReportedWorkers = 5
 )
 
-// maxResolveAfterCancel bounds how long a cancelled attempt is looked for.
+// maxResolveAfterCancel is how long the outcome of a cancelled attempt is
+// searched for.
 const maxResolveAfterCancel = time.Minute
 
-// reasonUnresolved is given when the outcome could not be found out.
+// reasonUnresolved is the reason of attempts whose outcome could not be found
+// out.
 const reasonUnresolved = "unresolved"
 
-// word is what the original owner of an attempt says.
-type word struct {
+// ownerReply is the result of a call to the original owner of an attempt.
+type ownerReply struct {
 	target Target
 	status entry.Status
-	// known is true when status is to be followed.
-	known bool
-	// gaveUp is true when the owner has lost the attempt's worker.
-	gaveUp bool
-	// lost is true when a call was made and not answered.
-	lost bool
+	// found is true when the owner knows the attempt; target and status are
+	// set.
+	found bool
+	// workerLost is true when the owner has lost the worker of the attempt.
+	workerLost bool
+	// unanswered is true when the call was sent and no reply was received.
+	unanswered bool
 }
 
-// askOriginal asks the owner that was given the attempt, if it still lives.
-func (r *Runner) askOriginal(t Target, attempt string) word {
+// askOriginalOwner asks the owner that was given the attempt for its status.
+// The result is empty when that owner is gone, is not reachable or has another
+// epoch.
+func (r *Runner) askOriginalOwner(t Target, attempt string) ownerReply {
 	for _, o := range r.peers.Targets() {
 		if o.Name != t.Name || o.Epoch != t.Epoch || !o.Reachable {
 			continue
@@ -90,27 +97,30 @@
 		s, err := r.peers.Await(ctx, o, entry.AwaitArgs{Epoch: o.Epoch, Attempt: attempt})
 		switch {
 		case err != nil:
-			return word{lost: true}
+			return ownerReply{unanswered: true}
 		case s.State == entry.Moved:
-			return word{gaveUp: true}
+			return ownerReply{workerLost: true}
 		}
-		return word{target: o, status: s, known: true}
+		return ownerReply{target: o, status: s, found: true}
 	}
-	return word{}
+	return ownerReply{}
 }
 
-// answer is the reply of one owner and when it was asked.
-type answer struct {
+// resolveAnswer is the reply of one owner to a Resolve call.
+type resolveAnswer struct {
 	target Target
 	reply  entry.ResolveReply
-	asked  time.Time
+	sent   time.Time
 }
 
-func (r *Runner) askAll(domain string, args entry.ResolveArgs) []answer {
+// askAllOwners sends a Resolve call to every reachable owner of a failure
+// domain at the same time. It returns the replies; owners that do not answer
+// are left out.
+func (r *Runner) askAllOwners(domain string, args entry.ResolveArgs) []resolveAnswer {
 	var (
 		group   sync.WaitGroup
 		mutex   sync.Mutex
-		answers []answer
+		answers []resolveAnswer
 	)
 	for _, o := range r.peers.Targets() {
 		if o.Domain != domain || !o.Reachable {
@@ -119,22 +129,23 @@
 		group.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), entry.CallTimeout)
 			defer cancel()
-			asked := time.Now()
+			sent := time.Now()
 			reply, err := r.peers.Resolve(ctx, o, args)
 			if err != nil {
 				return
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
-			answers = append(answers, answer{target: o, reply: reply, asked: asked})
+			answers = append(answers, resolveAnswer{target: o, reply: reply, sent: sent})
 		})
 	}
 	group.Wait()
 	return answers
 }
 
-// known returns the owner that knows the attempt, one that saw its end first.
-func known(answers []answer, attempt string) (target Target, status entry.Status, ok bool) {
+// findAttempt returns the owner that knows the attempt and the status there. An
+// owner that knows the end of the attempt is preferred.
+func findAttempt(answers []resolveAnswer, attempt string) (target Target, status entry.Status, ok bool) {
 	for _, a := range answers {
 		s, found := a.reply.Found[attempt]
 		if !found {
@@ -148,63 +159,69 @@
 	return target, status, ok
 }
 
-// uncovered returns the listed workers of the domain that were not proved, after
-// the barrier, to be held by an owner other than the original one.
-func (r *Runner) uncovered(t Target, answers []answer, barrier time.Time) []string {
+// unprovedWorkers returns the workers of the failure domain of t that may still
+// be held by the owner t with its epoch: those that no other owner has proved
+// to hold at a time after the barrier. It returns the word "unknown" when the
+// platform lists no workers for the domain.
+func (r *Runner) unprovedWorkers(t Target, answers []resolveAnswer, barrier time.Time) []string {
 	held := map[string]bool{}
 	for _, a := range answers {
 		if a.target.Name == t.Name && a.reply.Epoch == t.Epoch {
 			continue
 		}
 		for w, age := range a.reply.Verified {
-			if a.asked.Add(-age).After(barrier) {
+			if a.sent.Add(-age).After(barrier) {
 				held[w] = true
 			}
 		}
 	}
-	var missing []string
+	var unproved []string
 	workers := r.peers.Workers(t.Domain)
 	for _, w := range workers {
 		if !held[w] {
-			missing = append(missing, w)
+			unproved = append(unproved, w)
 		}
 	}
 	if len(workers) == 0 {
 		return []string{"unknown"}
 	}
-	return missing
+	return unproved
 }
 
-// Found is what became of a task under its former holder.
+// Found is an attempt of a task that a former holder left behind, and its
+// owner.
 type Found struct {
 	Attempt entry.FoundAttempt
 	Owner   Target
 }
 
-// TakeOver fences the former generations of tasks in a failure domain and
-// finds their attempts. It returns once every task was found or is proved never
-// to run again under a former generation, or when ctx ends.
+// TakeOver finds the attempts that former holders left for the given tasks in a
+// failure domain. tasks maps each task to the generation of its new holder;
+// lower generations are fenced. It returns once each task has an attempt or is
+// proved never to start under a former generation, which needs every worker of
+// the domain to be proved held after the barrier. The error is that of ctx,
+// when ctx ends first.
 func (r *Runner) TakeOver(ctx context.Context, domain string, tasks map[string]int, barrier time.Time) (map[string]Found, error) {
 	for {
 		found := map[string]Found{}
-		answers := r.askAll(domain, entry.ResolveArgs{Tasks: tasks})
+		answers := r.askAllOwners(domain, entry.ResolveArgs{Tasks: tasks})
 		for _, a := range answers {
 			for name, f := range a.reply.FoundTasks {
-				before, ok := found[name]
-				if ok && (before.Attempt.Status.State.Ended() || !f.Status.State.Ended()) {
+				best, ok := found[name]
+				if ok && (best.Attempt.Status.State.Ended() || !f.Status.State.Ended()) {
 					continue
 				}
 				a.target.Epoch = a.reply.Epoch
 				found[name] = Found{f, a.target}
 			}
 		}
-		if len(found) == len(tasks) || len(r.uncovered(Target{Domain: domain}, answers, barrier)) == 0 {
+		if len(found) == len(tasks) || len(r.unprovedWorkers(Target{Domain: domain}, answers, barrier)) == 0 {
 			return found, nil
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(r.timing.Retry):
+		case <-time.After(r.timing.RetryPause):
 		}
 	}
 }
--- a/internal/node/request/resolve_test.go
+++ b/internal/node/request/resolve_test.go
@@ -21,38 +21,38 @@
 	"github.com/almondpost/almondpost/internal/state/plan"
 )
 
-// lostOwner loses the answer of the first owner, which is then gone; the other
+// lostReplyPeers loses the answer of the first owner, which is then gone; the other
 // owner proves at once that it holds every worker.
-type lostOwner struct {
+type lostReplyPeers struct {
 	domain
-	offered int
+	runCalls int
 }
 
-func (p *lostOwner) Targets() []request.Target {
+func (p *lostReplyPeers) Targets() []request.Target {
 	return []request.Target{
-		{Name: "gone", Epoch: 1, Domain: "d", Free: 1, Usable: p.offered == 0, Reachable: false},
+		{Name: "gone", Epoch: 1, Domain: "d", Free: 1, Usable: p.runCalls == 0, Reachable: false},
 		{Name: "other", Epoch: 1, Domain: "d", Free: 1, Usable: true, Reachable: true},
 	}
 }
 
-func (p *lostOwner) Workers(string) []string { return []string{"w"} }
+func (p *lostReplyPeers) Workers(string) []string { return []string{"w"} }
 
-func (p *lostOwner) Run(_ context.Context, t request.Target, _ entry.RunArgs) (entry.Status, error) {
-	p.offered++
+func (p *lostReplyPeers) Run(_ context.Context, t request.Target, _ entry.RunArgs) (entry.Status, error) {
+	p.runCalls++
 	if t.Name == "gone" {
 		return entry.Status{}, fault.New("Run", entry.KindUnknown, errors.New("lost"))
 	}
 	return entry.Status{State: entry.Finished, Answer: []byte("answer")}, nil
 }
 
-func (p *lostOwner) Resolve(context.Context, request.Target, entry.ResolveArgs) (entry.ResolveReply, error) {
+func (p *lostReplyPeers) Resolve(context.Context, request.Target, entry.ResolveArgs) (entry.ResolveReply, error) {
 	return entry.ResolveReply{Epoch: 1, Verified: map[string]time.Duration{"w": 0}}, nil
 }
 
-// firstTarget routes to the first usable target that was not tried.
-type firstTarget struct{}
+// firstUsableRouter routes to the first usable target that was not tried.
+type firstUsableRouter struct{}
 
-func (firstTarget) Route(targets []request.Target, _ plan.Class, tried map[string]bool) (request.Target, bool) {
+func (firstUsableRouter) Route(targets []request.Target, _ plan.Class, tried map[string]bool) (request.Target, bool) {
 	for _, t := range targets {
 		if t.Usable && !tried[t.Name] {
 			return t, true
@@ -66,26 +66,26 @@
 func TestSecondAttemptWaitsOutTheFormerOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := &lostOwner{}
-		r := request.New(p, firstTarget{}, retry.New(1, 1), request.DefaultTiming, logr.Discard())
+		p := &lostReplyPeers{}
+		r := request.New(p, firstUsableRouter{}, retry.New(1, 1), request.DefaultTiming, logr.Discard())
 		began := time.Now()
 		o := r.Run(context.Background(), request.Work{ID: "t", Spec: request.Spec{Repeatable: true, Class: plan.Urgent}})
 		is.Equal(o.State, request.Done)
-		is.Equal(p.offered, 2)
+		is.Equal(p.runCalls, 2)
 		is.True(time.Since(began) >= entry.HolderLease)
 	})
 }
 
-// TestWaitingAttemptNeedsItsHolder checks that an owner never starts a waiting
+// TestWaitingAttemptIsDroppedWithoutItsHolder checks that an owner never starts a waiting
 // attempt that nobody has asked for within the lease.
-func TestWaitingAttemptNeedsItsHolder(t *testing.T) {
+func TestWaitingAttemptIsDroppedWithoutItsHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := &history{running: map[string]int{}, runs: map[string]int{}, events: map[string][]string{}, began: time.Now()}
-		net := &network{random: rand.New(rand.NewPCG(1, 1)), history: h, quiet: true}
+		net := &network{random: rand.New(rand.NewPCG(1, 1)), history: h, reliable: true}
 		w := &fakeWorker{network: net, name: "w", records: map[string]*worker.Record{}, changed: make(chan struct{})}
 		ctx, cancel := context.WithCancel(context.Background())
-		o := owner.New(ctx, "o", 1, owner.DefaultTiming, owner.Limits{Waiting: 10, PayloadBytes: 1 << 20}, func(vmlist.VM) worker.Peer { return link{w, "o"} }, silentObserver{}, logr.Discard())
+		o := owner.New(ctx, "o", 1, owner.DefaultTiming, owner.Limits{Waiting: 10, PayloadBytes: 1 << 20}, func(vmlist.VM) worker.Peer { return link{w, "o"} }, noopObserver{}, logr.Discard())
 		x, err := plan.NewIndex(plan.Lists{
 			Customers:    plan.Customers{Customers: []plan.Customer{{Name: "c", Plans: []string{"p"}}}},
 			Entitlements: plan.Entitlements{Plans: []plan.Entitlement{{Plan: "p", PromisedShare: 1, LimitShare: 1, QueueLimit: 10, Classes: plan.Classes[:]}}},
@@ -110,20 +110,20 @@
 	})
 }
 
-// elsewhere has its only owner in another failure domain.
-type elsewhere struct{ lostOwner }
+// remoteDomainPeers has its only owner in another failure domain.
+type remoteDomainPeers struct{ lostReplyPeers }
 
-func (p *elsewhere) Targets() []request.Target {
+func (p *remoteDomainPeers) Targets() []request.Target {
 	return []request.Target{{Name: "other", Epoch: 1, Domain: "far", Free: 1, Usable: true, Reachable: true}}
 }
 
 func TestWorkOfADomainStaysThere(t *testing.T) {
 	is := is.New(t)
-	p := &elsewhere{}
-	r := request.New(p, firstTarget{}, retry.New(1, 1), request.DefaultTiming, logr.Discard())
+	p := &remoteDomainPeers{}
+	r := request.New(p, firstUsableRouter{}, retry.New(1, 1), request.DefaultTiming, logr.Discard())
 	o := r.Run(context.Background(), request.Work{ID: "t", Domain: "near", Spec: request.Spec{Class: plan.Normal}})
 	is.Equal(o.State, request.NotRun)
-	is.Equal(p.offered, 0)
+	is.Equal(p.runCalls, 0)
 	o = r.Run(context.Background(), request.Work{ID: "t", Spec: request.Spec{Class: plan.Normal}})
 	is.Equal(o.State, request.Done)
 }
--- a/internal/node/request/route.go
+++ b/internal/node/request/route.go
@@ -7,11 +7,12 @@
 	"github.com/almondpost/almondpost/internal/state/plan"
 )
 
-// TwoChoices keeps work on the own entry VM while its workers have room, since
-// the balancer spreads callers already and every hop costs control. Else it
-// routes to the better of two random owners of the own failure domain by
-// advertised load, and to other domains when the own one has none left to try,
-// or when it queues while another has room.
+// TwoChoices is a Router. While the workers of its own entry VM have free
+// capacity and no queue, it keeps tasks there, since the load balancer already
+// spreads the callers and each hop costs control traffic. Otherwise it chooses
+// the less loaded of two random owners of its own failure domain. It chooses an
+// owner of another failure domain when its own has no owner left to try, or has
+// a queue while the other has free capacity.
 type TwoChoices struct {
 	mutex  sync.Mutex
 	random *rand.Rand
@@ -19,17 +20,19 @@
 	domain string
 }
 
-// NewTwoChoices returns a router for an entry VM of a failure domain.
+// NewTwoChoices returns a router for the entry VM with the given name in the
+// given failure domain.
 func NewTwoChoices(name, domain string, random *rand.Rand) *TwoChoices {
 	return &TwoChoices{random: random, name: name, domain: domain}
 }
 
-// keepFree is the free fraction of the own workers above which work stays.
-const keepFree = 0.25
+// minLocalFree is the free fraction of the workers of the own entry VM above
+// which tasks stay there.
+const minLocalFree = 0.25
 
-// spillFree is the free fraction that another failure domain must advertise to
-// get work while the own domain queues.
-const spillFree = 0.2
+// minRemoteFree is the free fraction that an owner in another failure domain
+// must advertise to get tasks while the own domain has a queue.
+const minRemoteFree = 0.2
 
 // Route implements Router.
 func (c *TwoChoices) Route(targets []Target, _ plan.Class, tried map[string]bool) (Target, bool) {
@@ -37,7 +40,7 @@
 	for _, t := range targets {
 		switch {
 		case !t.Usable || tried[t.Name]:
-		case t.Name == c.name && t.Free > keepFree && t.Waiting == 0:
+		case t.Name == c.name && t.Free > minLocalFree && t.Waiting == 0:
 			return t, true
 		case t.Domain == c.domain:
 			own = append(own, t)
@@ -45,21 +48,23 @@
 			other = append(other, t)
 		}
 	}
-	best, ok := c.pick(own)
+	best, ok := c.pickLessLoaded(own)
 	if ok && (best.Waiting == 0 || best.Free > 0) {
 		return best, true
 	}
-	away, found := c.pick(other)
+	remote, found := c.pickLessLoaded(other)
 	switch {
 	case !ok:
-		return away, found
-	case found && away.Free > spillFree && away.Waiting == 0:
-		return away, true
+		return remote, found
+	case found && remote.Free > minRemoteFree && remote.Waiting == 0:
+		return remote, true
 	}
 	return best, true
 }
 
-func (c *TwoChoices) pick(from []Target) (Target, bool) {
+// pickLessLoaded returns the less loaded of two random targets, or false when
+// there are none.
+func (c *TwoChoices) pickLessLoaded(from []Target) (Target, bool) {
 	if len(from) == 0 {
 		return Target{}, false
 	}
--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -15,29 +15,33 @@
 	"github.com/almondpost/almondpost/internal/state/plan"
 )
 
-// Target is an entry VM that owns workers.
+// Target is an entry VM that owns workers, with the state that it last
+// advertised.
 type Target struct {
 	Name   string
 	Epoch  uint64
 	Domain string
-	// Free is the scarcest free fraction of its workers, 0 to 1.
-	Free    float64
+	// Free is the free fraction, 0 to 1, of the scarcest resource over all its
+	// workers.
+	Free float64
+	// Waiting is the number of attempts in its queues.
 	Waiting int
-	// Usable targets are alive and neither suspect nor leaving.
+	// Usable targets are alive and neither suspected of a failure nor leaving.
 	Usable bool
-	// Reachable targets are alive, also while they leave.
+	// Reachable targets are alive; they may be leaving.
 	Reachable bool
 }
 
-// Peers is the runner's access to the owners.
+// Peers gives a Runner access to the owners, including that on its own entry
+// VM.
 type Peers interface {
-	// Targets returns every known entry VM that may own workers, the own one
-	// included.
+	// Targets returns every known entry VM that may own workers, including the
+	// own one.
 	Targets() []Target
-	// Workers returns the names of the workers of a failure domain that the
-	// platform lists.
+	// Workers returns the names of all workers of a failure domain in the VM
+	// list of the platform.
 	Workers(domain string) []string
-	// Run, Await and Resolve return errors of package entry.
+	// Run, Await and Resolve return errors with a kind of package entry.
 	Run(ctx context.Context, t Target, a entry.RunArgs) (entry.Status, error)
 	Await(ctx context.Context, t Target, a entry.AwaitArgs) (entry.Status, error)
 	Resolve(ctx context.Context, t Target, a entry.ResolveArgs) (entry.ResolveReply, error)
@@ -45,26 +49,31 @@
 	Cancel(ctx context.Context, t Target, a entry.CancelArgs) error
 }
 
-// Router orders the targets to try for a task.
+// Router chooses the owner that an attempt is offered to.
 type Router interface {
+	// Route returns the target to try next, or false when every usable target is
+	// in tried.
 	Route(targets []Target, class plan.Class, tried map[string]bool) (Target, bool)
 }
 
-// Timing of the runner.
+// Timing holds the intervals and margins of a Runner.
 type Timing struct {
-	// Poll is how long one call waits for the end of an attempt.
-	Poll time.Duration
-	// Retry is the pause between tries to resolve an unknown outcome.
-	Retry time.Duration
-	// Margin covers drift between clocks.
-	Margin time.Duration
+	// PollWait is how long one call to an owner waits for the end of an
+	// attempt.
+	PollWait time.Duration
+	// RetryPause is the pause between two rounds of calls that resolve an
+	// unknown outcome.
+	RetryPause time.Duration
+	// ClockMargin allows for clock drift between entry VMs.
+	ClockMargin time.Duration
 }
 
-// DefaultTiming suits entry VMs on the same site.
-var DefaultTiming = Timing{Poll: 10 * time.Second, Retry: 200 * time.Millisecond, Margin: 500 * time.Millisecond}
+// DefaultTiming is for entry VMs on the same site.
+var DefaultTiming = Timing{PollWait: 10 * time.Second, RetryPause: 200 * time.Millisecond, ClockMargin: 500 * time.Millisecond}
 
-// maxHops bounds how many owners are asked for one attempt.
-const maxHops = 4
+// maxOffers is the number of owners that a task is offered to before it is
+// given back as not run.
+const maxOffers = 4
 
 // Runner runs tasks on behalf of callers.
 type Runner struct {
@@ -75,36 +84,38 @@
 	log    logr.Logger
 }
 
-// New returns a runner.
+// New returns a Runner. The budget limits retries to a fraction of the tasks.
 func New(p Peers, r Router, b *retry.Budget, t Timing, log logr.Logger) *Runner {
 	return &Runner{peers: p, router: r, budget: b, timing: t, log: log}
 }
 
-// Work is one task of a request or job.
+// Work is one task of a request or job, as its holder runs it.
 type Work struct {
-	// ID is unique over all tasks; attempts append their number.
+	// ID is unique over all tasks. The ID of an attempt is this ID and a
+	// number.
 	ID       string
 	Customer string
 	Spec     Spec
 	// Submitted is when the caller submitted the work.
 	Submitted time.Time
-	// Domain restricts the work to one failure domain, so that whoever takes it
-	// over has to ask the owners of that domain only; empty means any.
+	// Domain restricts the task to the owners of one failure domain, so that a new
+	// holder has to ask only these; empty means any.
 	Domain string
-	// FirstAttempt numbers the first attempt; 0 means 1.
+	// FirstAttempt is the number of the first attempt; 0 means 1.
 	FirstAttempt int
-	// Generation is that of the holder of a job; 0 for requests.
+	// Generation is that of the holder of a job; it is 0 for requests.
 	Generation int
-	// Permit reports whether the holder may start the work now; nil means
-	// always. It is asked before every offer and while an attempt waits.
+	// Permit reports whether the holder may still start the task; nil means
+	// always. It is called before the task is offered to an owner and while an
+	// attempt waits.
 	Permit func() bool
-	// Abandoned is closed when another holder has taken the work over. What
-	// runs then goes on.
+	// Abandoned is closed when another holder has taken the task over. A
+	// running attempt is not stopped.
 	Abandoned <-chan struct{}
-	// resumed is set once an attempt ran and was stopped or failed.
+	// resumed is true once an attempt ran and was stopped or failed.
 	resumed bool
-	// Known is an attempt that a former holder left running; it is followed
-	// before a new one is made.
+	// Known is an attempt that a former holder left behind. It is followed to
+	// its end before a new attempt is made.
 	Known entry.FoundAttempt
 	// KnownAt is the owner of Known.
 	KnownAt Target
@@ -121,7 +132,9 @@
 
 func (w Work) isPermitted() bool { return w.Permit == nil || w.Permit() }
 
-// attemptID names the n-th attempt.
+// attemptID returns the ID of attempt number n. It contains the generation of
+// the holder, if there is one, so that attempts of different holders have
+// different IDs.
 func (w Work) attemptID(n int) string {
 	if w.Generation == 0 {
 		return AttemptID(w.ID, n)
@@ -129,15 +142,16 @@
 	return fmt.Sprintf("%s/%d.%d", w.ID, w.Generation, n)
 }
 
-// maxAttempts bounds the attempts of one piece of work that fails.
+// maxAttempts is how many attempts of a task may fail before the task has
+// failed.
 const maxAttempts = 4
 
-// AttemptID names the n-th attempt of a task.
+// AttemptID returns the ID of attempt number n of a task of a request.
 func AttemptID(task string, n int) string { return fmt.Sprintf("%s/%d", task, n) }
 
-// Run runs a task to its outcome. When ctx ends before, the work is cancelled.
-// At most one attempt exists at a time: the next one starts only when the last
-// one is known to have ended or never to have started.
+// Run runs a task and returns its outcome. If ctx ends first, the task is
+// cancelled. At most one attempt exists at a time: the next one is made only
+// when the last one has ended or is proved never to start.
 func (r *Runner) Run(ctx context.Context, w Work) Outcome {
 	r.budget.First()
 	out := Outcome{ID: w.ID}
@@ -146,19 +160,19 @@
 	for {
 		var status entry.Status
 		if w.Known.Attempt != "" {
-			status = r.follow(ctx, w, w.KnownAt, w.Known.Attempt, w.Known.Status, time.Now())
+			status = r.followAttempt(ctx, w, w.KnownAt, w.Known.Attempt, w.Known.Status, time.Now())
 			w.Known = entry.FoundAttempt{}
 		} else {
-			status = r.attempt(ctx, w, &n)
+			status = r.tryOwners(ctx, w, &n)
 		}
 		if status.State != entry.NotRun {
 			out.Attempts++
 		}
-		if r.isRetried(ctx, w, status, &failures) {
+		if r.shouldRetry(ctx, w, status, &failures) {
 			w.resumed = true
 			continue
 		}
-		fill(ctx, &out, status)
+		fillOutcome(ctx, &out, status)
 		if out.Attempts > 0 && out.State == NotRun {
 			out.State, out.Reason = MayHaveRun, entry.ReasonInterrupted
 		}
@@ -167,8 +181,10 @@
 	}
 }
 
-// isRetried decides whether another attempt follows an ended one.
-func (r *Runner) isRetried(ctx context.Context, w Work, s entry.Status, failures *int) bool {
+// shouldRetry reports whether another attempt follows the one that ended with
+// status s. It counts a failed attempt in failures. Retries after a preemption
+// do not use the retry budget.
+func (r *Runner) shouldRetry(ctx context.Context, w Work, s entry.Status, failures *int) bool {
 	if ctx.Err() != nil || w.isAbandoned() || !w.Spec.Repeatable {
 		return false
 	}
@@ -182,7 +198,9 @@
 	return false
 }
 
-func fill(ctx context.Context, out *Outcome, s entry.Status) {
+// fillOutcome sets the state and the other results of an outcome from the
+// status of the last attempt.
+func fillOutcome(ctx context.Context, out *Outcome, s entry.Status) {
 	out.Reason = s.Reason
 	out.RetryAfterMilliseconds = s.RetryAfter.Milliseconds()
 	switch s.State {
@@ -207,27 +225,29 @@
 	out.WaitedMilliseconds = s.Waited.Milliseconds()
 }
 
-// attempt offers the work to owners in turn until one takes it, and follows it
-// to its end. Each offer is an attempt with a number of its own.
-func (r *Runner) attempt(ctx context.Context, w Work, n *int) entry.Status {
+// tryOwners offers the task to one owner after another until one accepts it,
+// and follows the attempt to its end. Each offer is an attempt with its own
+// number, taken from n. It returns the last status when no owner accepts the
+// task.
+func (r *Runner) tryOwners(ctx context.Context, w Work, n *int) entry.Status {
 	tried := map[string]bool{}
 	last := entry.Status{State: entry.NotRun, Reason: reasonNoOwner, RetryAfter: time.Second}
-	for hop := 0; hop < maxHops && ctx.Err() == nil && !w.isAbandoned(); hop++ {
+	for offers := 0; offers < maxOffers && ctx.Err() == nil && !w.isAbandoned(); offers++ {
 		if !w.isPermitted() {
 			return entry.Status{State: entry.NotRun, Reason: reasonNotPermitted, RetryAfter: time.Second}
 		}
-		target, ok := r.router.Route(r.targets(w), w.Spec.Class, tried)
+		target, ok := r.router.Route(r.eligibleTargets(w), w.Spec.Class, tried)
 		if !ok {
 			return last
 		}
 		tried[target.Name] = true
 		attempt := w.attemptID(*n)
 		*n++
-		remaining, ok := w.remaining(time.Now())
+		remaining, ok := w.remainingTime(time.Now())
 		if !ok {
 			return entry.Status{State: entry.NotRun, Reason: reasonDeadline}
 		}
-		status := r.offer(ctx, w, target, w.task(attempt, remaining))
+		status := r.offer(ctx, w, target, w.newTask(attempt, remaining))
 		if status.State != entry.NotRun || isFinalRefusal(status.Reason) {
 			return status
 		}
@@ -236,8 +256,8 @@
 	return last
 }
 
-// targets returns the owners that may run the work.
-func (r *Runner) targets(w Work) []Target {
+// eligibleTargets returns the owners that the task may be offered to.
+func (r *Runner) eligibleTargets(w Work) []Target {
 	all := r.peers.Targets()
 	if w.Domain == "" {
 		return all
@@ -245,15 +265,20 @@
 	return slices.DeleteFunc(all, func(t Target) bool { return t.Domain != w.Domain })
 }
 
+// Reasons that a Runner gives, besides those of the owners.
 const (
-	reasonNoOwner      = "no_owner"
-	reasonDeadline     = string(allocator.KindDeadlineOver)
+	// reasonNoOwner means that there was no usable owner to offer the task to.
+	reasonNoOwner = "no_owner"
+	// reasonDeadline means that the deadline passed before the task was offered.
+	reasonDeadline = string(allocator.KindDeadlineOver)
+	// reasonNotPermitted means that Permit did not let the holder start the task.
 	reasonNotPermitted = "holder_not_confirmed"
-	reasonAbandoned    = "abandoned"
+	// reasonAbandoned means that another holder has taken the task over.
+	reasonAbandoned = "abandoned"
 )
 
-// IsPermanent reports whether work that was not run for a reason would not run
-// later either.
+// IsPermanent reports whether a task that was refused for the given reason
+// would be refused again later.
 func IsPermanent(reason string) bool {
 	switch reason {
 	case entry.ReasonCancelled, string(allocator.KindUnknownPlan), string(allocator.KindClass),
@@ -264,8 +289,9 @@
 	return false
 }
 
-// isFinalRefusal reports whether no other owner would decide otherwise. Others
-// may have larger workers; what was shed in one queue is not pushed into the
+// isFinalRefusal reports whether the task is not offered to other owners after
+// a refusal. A task that is too large for the workers of one owner may fit
+// those of another. A task that was shed from one queue is not put into the
 // next.
 func isFinalRefusal(reason string) bool {
 	if reason == string(allocator.KindTooLarge) {
@@ -274,15 +300,19 @@
 	return reason == string(allocator.KindShed) || IsPermanent(reason)
 }
 
-func (w Work) remaining(now time.Time) (time.Duration, bool) {
+// remainingTime returns the time to the deadline, zero without one, and whether
+// the deadline is still ahead.
+func (w Work) remainingTime(now time.Time) (time.Duration, bool) {
 	if w.Spec.DeadlineMilliseconds == 0 {
 		return 0, true
 	}
-	left := w.Submitted.Add(time.Duration(w.Spec.DeadlineMilliseconds) * time.Millisecond).Sub(now)
-	return left, left > 0
+	remaining := w.Submitted.Add(time.Duration(w.Spec.DeadlineMilliseconds) * time.Millisecond).Sub(now)
+	return remaining, remaining > 0
 }
 
-func (w Work) task(attempt string, remaining time.Duration) entry.Task {
+// newTask returns the task as it is sent to an owner, with the ID of the
+// attempt and the time to the deadline.
+func (w Work) newTask(attempt string, remaining time.Duration) entry.Task {
 	return entry.Task{
 		Attempt: attempt, Customer: w.Customer, Plan: w.Spec.Plan, Class: w.Spec.Class, Size: w.Spec.Size,
 		Name: w.ID, Generation: w.Generation, Resumed: w.resumed,
@@ -292,25 +322,26 @@
 	}
 }
 
-// offer gives an attempt to one owner and follows it to its end.
+// offer sends an attempt to one owner and follows it to its end. If the owner
+// did not receive the call or refused its epoch, the attempt is not run.
 func (r *Runner) offer(ctx context.Context, w Work, t Target, task entry.Task) entry.Status {
-	asked := time.Now()
-	callContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.timing.Poll+entry.CallTimeout)
+	lastCall := time.Now()
+	callContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.timing.PollWait+entry.CallTimeout)
 	defer cancel()
-	stop := context.AfterFunc(ctx, func() { r.cancel(t, task.Attempt) })
+	stop := context.AfterFunc(ctx, func() { r.cancelAttempt(t, task.Attempt) })
 	defer stop()
-	status, err := r.peers.Run(callContext, t, entry.RunArgs{Epoch: t.Epoch, Task: task, Wait: r.timing.Poll})
+	status, err := r.peers.Run(callContext, t, entry.RunArgs{Epoch: t.Epoch, Task: task, Wait: r.timing.PollWait})
 	switch fault.KindOr(err, entry.KindUnknown) {
 	case "":
 	case entry.KindNotSent, entry.KindEpoch:
 		return entry.Status{State: entry.NotRun, Reason: string(fault.KindOf[entry.Kind](err)), RetryAfter: time.Second}
 	default:
-		status, asked = entry.Status{State: entry.Moved}, time.Now()
+		status, lastCall = entry.Status{State: entry.Moved}, time.Now()
 	}
-	return r.follow(ctx, w, t, task.Attempt, status, asked)
+	return r.followAttempt(ctx, w, t, task.Attempt, status, lastCall)
 }
 
-func (r *Runner) cancel(t Target, attempt string) {
+func (r *Runner) cancelAttempt(t Target, attempt string) {
 	ctx, cancel := context.WithTimeout(context.Background(), entry.CallTimeout)
 	defer cancel()
 	if err := r.peers.Cancel(ctx, t, entry.CancelArgs{Attempt: attempt}); err != nil {
@@ -318,35 +349,37 @@
 	}
 }
 
-// follow asks the owner of an attempt until it has ended. When the owner is
-// gone or has lost the worker, the other owners are asked.
-func (r *Runner) follow(ctx context.Context, w Work, t Target, attempt string, status entry.Status, asked time.Time) entry.Status {
+// followAttempt polls the owner of an attempt until the attempt has ended, and
+// returns the final status. If the owner does not answer or has lost the
+// worker, the attempt is resolved with the other owners. lastCall is when the
+// last call about the attempt was sent to its owner.
+func (r *Runner) followAttempt(ctx context.Context, w Work, t Target, attempt string, status entry.Status, lastCall time.Time) entry.Status {
 	for {
 		switch {
 		case w.isAbandoned():
 			return entry.Status{State: entry.Moved, Reason: reasonAbandoned}
 		case status.State == entry.Moved:
-			t, status = r.resolve(ctx, t, attempt, asked)
-			asked = time.Now()
+			t, status = r.resolveAttempt(ctx, t, attempt, lastCall)
+			lastCall = time.Now()
 			continue
 		case status.State.Ended():
 			return status
 		}
 		if ctx.Err() != nil || status.State == entry.Waiting && !w.isPermitted() {
-			r.cancel(t, attempt)
+			r.cancelAttempt(t, attempt)
 		}
 		sent := time.Now()
-		next, err := r.await(t, attempt)
+		next, err := r.awaitAttempt(t, attempt)
 		if err != nil {
 			next, sent = entry.Status{State: entry.Moved}, time.Now()
 		}
-		asked = sent
+		lastCall = sent
 		status = next
 	}
 }
 
-func (r *Runner) await(t Target, attempt string) (entry.Status, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), r.timing.Poll+entry.CallTimeout)
+func (r *Runner) awaitAttempt(t Target, attempt string) (entry.Status, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), r.timing.PollWait+entry.CallTimeout)
 	defer cancel()
-	return r.peers.Await(ctx, t, entry.AwaitArgs{Epoch: t.Epoch, Attempt: attempt, Wait: r.timing.Poll})
+	return r.peers.Await(ctx, t, entry.AwaitArgs{Epoch: t.Epoch, Attempt: attempt, Wait: r.timing.PollWait})
 }
--- a/internal/node/request/runner_test.go
+++ b/internal/node/request/runner_test.go
@@ -49,7 +49,7 @@
 
 	mutex    sync.Mutex
 	token    worker.Token
-	lease    time.Time
+	leaseEnd time.Time
 	records  map[string]*worker.Record
 	sequence uint64
 	used     resource.Vector
@@ -58,45 +58,45 @@
 
 // history is what the workers saw, as an outside checker records it.
 type history struct {
-	mutex   sync.Mutex
-	running map[string]int
-	runs    map[string]int
-	faults  []string
+	mutex      sync.Mutex
+	running    map[string]int
+	runs       map[string]int
+	violations []string
 	// events is the trace of each task, for the report of a failure.
 	events map[string][]string
 	began  time.Time
 }
 
-func (h *history) note(attempt, format string, args ...any) {
+func (h *history) recordEvent(attempt, format string, args ...any) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.noteLocked(attempt, format, args...)
+	h.recordEventLocked(attempt, format, args...)
 }
 
-func (h *history) noteLocked(attempt, format string, args ...any) {
+func (h *history) recordEventLocked(attempt, format string, args ...any) {
 	name := taskOf(attempt)
 	h.events[name] = append(h.events[name], fmt.Sprintf("%s %s: ", time.Since(h.began), attempt)+fmt.Sprintf(format, args...))
 }
 
-// fault records what must not be, with the trace of the task.
-func (h *history) fault(name, format string, args ...any) {
-	h.faults = append(h.faults, fmt.Sprintf(format, args...)+"\n\t"+strings.Join(h.events[name], "\n\t"))
+// addViolation records what must not be, with the trace of the task.
+func (h *history) addViolation(name, format string, args ...any) {
+	h.violations = append(h.violations, fmt.Sprintf(format, args...)+"\n\t"+strings.Join(h.events[name], "\n\t"))
 }
 
 // network decides the fate of each call from a seeded source.
 type network struct {
-	mutex   sync.Mutex
-	random  *rand.Rand
-	loss    float64
-	history *history
-	quiet   bool
+	mutex    sync.Mutex
+	random   *rand.Rand
+	loss     float64
+	history  *history
+	reliable bool
 }
 
-func (n *network) draw() (lostBefore, lostAfter bool, delay time.Duration) {
+func (n *network) drawFaults() (requestLost, replyLost bool, delay time.Duration) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	delay = time.Duration(n.random.IntN(20)) * time.Millisecond
-	if n.quiet {
+	if n.reliable {
 		return false, false, delay
 	}
 	if n.random.IntN(20) == 0 {
@@ -111,9 +111,9 @@
 	owner  string
 }
 
-func through[Q, A any](ctx context.Context, l link, q Q, f func(context.Context, Q) (A, error)) (A, error) {
+func callWorker[Q, A any](ctx context.Context, l link, q Q, f func(context.Context, Q) (A, error)) (A, error) {
 	var none A
-	before, after, delay := l.worker.network.draw()
+	before, after, delay := l.worker.network.drawFaults()
 	deadline := 3 * time.Second
 	done := make(chan struct{})
 	var reply A
@@ -148,34 +148,34 @@
 }
 
 func (l link) Adopt(ctx context.Context, q worker.AdoptRequest) (worker.AdoptReply, error) {
-	return through(ctx, l, q, l.worker.adopt)
+	return callWorker(ctx, l, q, l.worker.adopt)
 }
 
 func (l link) Start(ctx context.Context, q worker.StartRequest) (worker.Record, error) {
-	return through(ctx, l, q, l.worker.start)
+	return callWorker(ctx, l, q, l.worker.start)
 }
 
 func (l link) Sync(ctx context.Context, q worker.SyncRequest) (worker.SyncReply, error) {
-	return through(ctx, l, q, l.worker.sync)
+	return callWorker(ctx, l, q, l.worker.sync)
 }
 
 func (l link) Stop(ctx context.Context, q worker.StopRequest) (worker.StopReply, error) {
-	return through(ctx, l, q, l.worker.stop)
+	return callWorker(ctx, l, q, l.worker.stop)
 }
 
-func (w *fakeWorker) set(r *worker.Record, p worker.Phase, reason string) {
+func (w *fakeWorker) setPhase(r *worker.Record, p worker.Phase, reason string) {
 	task := taskOf(r.Attempt.ID)
 	h := w.network.history
 	h.mutex.Lock()
-	h.noteLocked(r.Attempt.ID, "%s on %s (token %v) %s", p, w.name, w.token, reason)
+	h.recordEventLocked(r.Attempt.ID, "%s on %s (token %v) %s", p, w.name, w.token, reason)
 	if p == worker.Running {
 		h.running[task]++
 		h.runs[task]++
 		if h.running[task] > 1 {
-			h.fault(task, "task %s runs in two places", task)
+			h.addViolation(task, "task %s runs in two places", task)
 		}
 		if !r.Attempt.Repeatable && h.runs[task] > 1 {
-			h.fault(task, "task %s, which may not repeat, ran twice", task)
+			h.addViolation(task, "task %s, which may not repeat, ran twice", task)
 		}
 	} else if r.Phase == worker.Running {
 		h.running[task]--
@@ -197,32 +197,32 @@
 	return attempt
 }
 
-func (w *fakeWorker) lapse() {
-	if time.Now().Before(w.lease) {
+func (w *fakeWorker) stopIfLeaseExpired() {
+	if time.Now().Before(w.leaseEnd) {
 		return
 	}
 	for _, r := range w.records {
 		if r.Phase == worker.Running {
-			w.set(r, worker.Stopped, "lease_lapsed")
+			w.setPhase(r, worker.Stopped, "lease_lapsed")
 		}
 	}
 }
 
-func (w *fakeWorker) renew(lease time.Duration) {
+func (w *fakeWorker) renewLease(lease time.Duration) {
 	if lease <= 0 {
 		return
 	}
 	until := time.Now().Add(lease)
-	w.lease = until
+	w.leaseEnd = until
 	time.AfterFunc(lease, func() {
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		w.lapse()
+		w.stopIfLeaseExpired()
 	})
 }
 
-func (w *fakeWorker) check(t worker.Token) error {
-	w.lapse()
+func (w *fakeWorker) checkToken(t worker.Token) error {
+	w.stopIfLeaseExpired()
 	if t != w.token {
 		return fault.Newf("call", worker.KindFenced, "adopted by %v", w.token)
 	}
@@ -232,12 +232,12 @@
 func (w *fakeWorker) adopt(_ context.Context, q worker.AdoptRequest) (worker.AdoptReply, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.lapse()
+	w.stopIfLeaseExpired()
 	if !w.token.Less(q.Token) {
 		return worker.AdoptReply{Current: w.token}, nil
 	}
 	w.token = q.Token
-	w.renew(q.Lease)
+	w.renewLease(q.Lease)
 	reply := worker.AdoptReply{Accepted: true, Current: w.token, Capacity: capacity, Rack: "r", Sequence: w.sequence}
 	for _, r := range w.records {
 		reply.Records = append(reply.Records, *r)
@@ -250,13 +250,13 @@
 func (w *fakeWorker) start(_ context.Context, q worker.StartRequest) (worker.Record, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if err := w.check(q.Token); err != nil {
+	if err := w.checkToken(q.Token); err != nil {
 		return worker.Record{}, err
 	}
 	if r := w.records[q.Attempt.ID]; r != nil {
 		return *r, nil
 	}
-	if !time.Now().Before(w.lease) {
+	if !time.Now().Before(w.leaseEnd) {
 		return worker.Record{}, fault.Newf("start", worker.KindRefused, "lease lapsed")
 	}
 	r := &worker.Record{Attempt: q.Attempt}
@@ -264,17 +264,17 @@
 	w.used = w.used.Add(q.Attempt.Size)
 	if !w.used.Fits(capacity) {
 		w.network.history.mutex.Lock()
-		w.network.history.fault("", "worker %s holds more than it can: %v", w.name, w.used)
+		w.network.history.addViolation("", "worker %s holds more than it can: %v", w.name, w.used)
 		w.network.history.mutex.Unlock()
 	}
-	w.set(r, worker.Running, "")
+	w.setPhase(r, worker.Running, "")
 	time.AfterFunc(q.Attempt.RunTime, func() {
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		w.lapse()
+		w.stopIfLeaseExpired()
 		if r.Phase == worker.Running {
 			r.Answer = []byte(taskOf(r.Attempt.ID))
-			w.set(r, worker.Finished, "")
+			w.setPhase(r, worker.Finished, "")
 		}
 	})
 	return *r, nil
@@ -285,12 +285,12 @@
 	defer timer.Stop()
 	for first := true; ; first = false {
 		w.mutex.Lock()
-		if err := w.check(q.Token); err != nil {
+		if err := w.checkToken(q.Token); err != nil {
 			w.mutex.Unlock()
 			return worker.SyncReply{}, err
 		}
 		if first {
-			w.renew(q.Lease)
+			w.renewLease(q.Lease)
 		}
 		reply := worker.SyncReply{Sequence: w.sequence}
 		for _, r := range w.records {
@@ -316,7 +316,7 @@
 func (w *fakeWorker) stop(_ context.Context, q worker.StopRequest) (worker.StopReply, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if err := w.check(q.Token); err != nil {
+	if err := w.checkToken(q.Token); err != nil {
 		return worker.StopReply{}, err
 	}
 	r := w.records[q.Attempt]
@@ -324,29 +324,29 @@
 	case r == nil:
 		r = &worker.Record{Attempt: worker.Attempt{ID: q.Attempt}}
 		w.records[q.Attempt] = r
-		w.set(r, worker.Fenced, "")
+		w.setPhase(r, worker.Fenced, "")
 	case r.Phase == worker.Running:
-		w.set(r, worker.Stopped, string(q.Mode))
+		w.setPhase(r, worker.Stopped, string(q.Mode))
 	}
 	return worker.StopReply{Record: *r}, nil
 }
 
 // domain is one failure domain: owners over fake workers, and a runner.
 type domain struct {
-	network *network
-	workers []*fakeWorker
-	mutex   sync.Mutex
-	owners  map[string]*owner.Owner
-	alive   map[string]uint64
-	stops   map[string]context.CancelFunc
-	// hidden owners live, but calls of holders do not reach them.
-	hidden map[string]bool
-	serial uint64
+	network      *network
+	workers      []*fakeWorker
+	mutex        sync.Mutex
+	owners       map[string]*owner.Owner
+	incarnations map[string]uint64
+	cancels      map[string]context.CancelFunc
+	// unreachable owners live, but calls of holders do not reach them.
+	unreachable     map[string]bool
+	lastIncarnation uint64
 }
 
-type silentObserver struct{}
+type noopObserver struct{}
 
-func (silentObserver) Started(entry.Task, time.Duration) {}
+func (noopObserver) Started(entry.Task, time.Duration) {}
 
 func (d *domain) vms() []vmlist.VM {
 	var out []vmlist.VM
@@ -359,7 +359,7 @@
 func (d *domain) startOwner(ctx context.Context, name string, x *plan.Index) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.serial++
+	d.lastIncarnation++
 	ctx, cancel := context.WithCancel(ctx)
 	dial := func(v vmlist.VM) worker.Peer {
 		for _, w := range d.workers {
@@ -369,28 +369,28 @@
 		}
 		return nil
 	}
-	o := owner.New(ctx, name, d.serial, owner.DefaultTiming, owner.Limits{Waiting: 1000, PayloadBytes: 1 << 20}, dial, silentObserver{}, logr.Discard())
+	o := owner.New(ctx, name, d.lastIncarnation, owner.DefaultTiming, owner.Limits{Waiting: 1000, PayloadBytes: 1 << 20}, dial, noopObserver{}, logr.Discard())
 	o.SetPlans(x)
-	d.owners[name], d.alive[name], d.stops[name] = o, d.serial, cancel
+	d.owners[name], d.incarnations[name], d.cancels[name] = o, d.lastIncarnation, cancel
 }
 
 // kill ends an owner; nothing of it goes on.
 func (d *domain) kill(name string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.stops[name]()
+	d.cancels[name]()
 	delete(d.owners, name)
-	delete(d.alive, name)
+	delete(d.incarnations, name)
 }
 
 // assign gives every worker to one owner that lives, or to two at once, as when
 // their views of the membership differ.
-func (d *domain) assign(random *rand.Rand, both bool) {
+func (d *domain) assign(random *rand.Rand, contested bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	names := make([]string, 0, len(d.owners))
 	for name := range d.owners {
-		if !d.hidden[name] {
+		if !d.unreachable[name] {
 			names = append(names, name)
 		}
 	}
@@ -399,26 +399,26 @@
 	for _, v := range d.vms() {
 		i := random.IntN(len(names))
 		mine[names[i]] = append(mine[names[i]], v)
-		if other := random.IntN(len(names)); both && other != i {
+		if other := random.IntN(len(names)); contested && other != i {
 			mine[names[other]] = append(mine[names[other]], v)
 		}
 	}
 	for name, o := range d.owners {
-		if !d.hidden[name] {
+		if !d.unreachable[name] {
 			o.Assign(mine[name])
 		}
 	}
 }
 
-// hide cuts an owner off from the holders. It goes on with its workers, which
+// setUnreachable cuts an owner off from the holders. It goes on with its workers, which
 // the others claim.
-func (d *domain) hide(name string, hidden bool) {
+func (d *domain) setUnreachable(name string, unreachable bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.hidden[name] = hidden
+	d.unreachable[name] = unreachable
 }
 
-func (w *fakeWorker) mute(muted bool) {
+func (w *fakeWorker) setMuted(muted bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.muted = muted
@@ -431,7 +431,7 @@
 	for name, o := range d.owners {
 		load := o.Advertise()
 		out = append(out, request.Target{
-			Name: name, Epoch: o.Epoch(), Domain: "d", Free: load.FreeFraction, Usable: load.Workers > 0 && !d.hidden[name], Reachable: !d.hidden[name],
+			Name: name, Epoch: o.Epoch(), Domain: "d", Free: load.FreeFraction, Usable: load.Workers > 0 && !d.unreachable[name], Reachable: !d.unreachable[name],
 		})
 	}
 	slices.SortFunc(out, func(a, b request.Target) int {
@@ -451,21 +451,21 @@
 	return out
 }
 
-// call carries a call to an owner over the faulty network.
-func call[A any](ctx context.Context, d *domain, t request.Target, method string, f func(o *owner.Owner) (A, error)) (A, error) {
+// callOwner carries a callOwner to an owner over the faulty network.
+func callOwner[A any](ctx context.Context, d *domain, t request.Target, method string, f func(o *owner.Owner) (A, error)) (A, error) {
 	var none A
-	before, after, delay := d.network.draw()
+	before, after, delay := d.network.drawFaults()
 	time.Sleep(min(delay, time.Second))
 	d.mutex.Lock()
 	o := d.owners[t.Name]
-	hidden := d.hidden[t.Name]
+	hidden := d.unreachable[t.Name]
 	d.mutex.Unlock()
 	if o == nil || before || hidden {
 		return none, fault.New(method, entry.KindNotSent, errLost)
 	}
 	reply, err := f(o)
 	d.mutex.Lock()
-	gone := d.owners[t.Name] != o || d.hidden[t.Name]
+	gone := d.owners[t.Name] != o || d.unreachable[t.Name]
 	d.mutex.Unlock()
 	if after || gone || ctx.Err() != nil {
 		return none, fault.New(method, entry.KindUnknown, errLost)
@@ -477,31 +477,31 @@
 }
 
 func (d *domain) Run(ctx context.Context, t request.Target, a entry.RunArgs) (entry.Status, error) {
-	s, err := call(ctx, d, t, "Run", func(o *owner.Owner) (entry.Status, error) { return o.Run(a) })
-	d.network.history.note(a.Task.Attempt, "Run at %s epoch %d: %s %s %v", t.Name, a.Epoch, s.State, s.Reason, err)
+	s, err := callOwner(ctx, d, t, "Run", func(o *owner.Owner) (entry.Status, error) { return o.Run(a) })
+	d.network.history.recordEvent(a.Task.Attempt, "Run at %s epoch %d: %s %s %v", t.Name, a.Epoch, s.State, s.Reason, err)
 	return s, err
 }
 
 func (d *domain) Await(ctx context.Context, t request.Target, a entry.AwaitArgs) (entry.Status, error) {
-	s, err := call(ctx, d, t, "Await", func(o *owner.Owner) (entry.Status, error) { return o.Await(a) })
-	d.network.history.note(a.Attempt, "Await at %s epoch %d: %s %s %v", t.Name, a.Epoch, s.State, s.Reason, err)
+	s, err := callOwner(ctx, d, t, "Await", func(o *owner.Owner) (entry.Status, error) { return o.Await(a) })
+	d.network.history.recordEvent(a.Attempt, "Await at %s epoch %d: %s %s %v", t.Name, a.Epoch, s.State, s.Reason, err)
 	return s, err
 }
 
 func (d *domain) Resolve(ctx context.Context, t request.Target, a entry.ResolveArgs) (entry.ResolveReply, error) {
-	r, err := call(ctx, d, t, "Resolve", func(o *owner.Owner) (entry.ResolveReply, error) { return o.Resolve(a) })
+	r, err := callOwner(ctx, d, t, "Resolve", func(o *owner.Owner) (entry.ResolveReply, error) { return o.Resolve(a) })
 	for _, id := range a.Attempts {
-		d.network.history.note(id, "Resolve at %s: %+v %v", t.Name, r, err)
+		d.network.history.recordEvent(id, "Resolve at %s: %+v %v", t.Name, r, err)
 	}
 	return r, err
 }
 
 func (d *domain) Reserve(ctx context.Context, t request.Target, a entry.ReserveArgs) (entry.ReserveReply, error) {
-	return call(ctx, d, t, "Reserve", func(o *owner.Owner) (entry.ReserveReply, error) { return o.Reserve(a) })
+	return callOwner(ctx, d, t, "Reserve", func(o *owner.Owner) (entry.ReserveReply, error) { return o.Reserve(a) })
 }
 
 func (d *domain) Cancel(ctx context.Context, t request.Target, a entry.CancelArgs) error {
-	_, err := call(ctx, d, t, "Cancel", func(o *owner.Owner) (struct{}, error) { return struct{}{}, o.Cancel(a) })
+	_, err := callOwner(ctx, d, t, "Cancel", func(o *owner.Owner) (struct{}, error) { return struct{}{}, o.Cancel(a) })
 	return err
 }
 
@@ -565,7 +565,7 @@
 	random := rand.New(rand.NewPCG(s.seed, 1))
 	h := &history{running: map[string]int{}, runs: map[string]int{}, events: map[string][]string{}, began: time.Now()}
 	net := &network{random: rand.New(rand.NewPCG(s.seed, 2)), loss: s.loss, history: h}
-	d := &domain{network: net, owners: map[string]*owner.Owner{}, alive: map[string]uint64{}, stops: map[string]context.CancelFunc{}, hidden: map[string]bool{}}
+	d := &domain{network: net, owners: map[string]*owner.Owner{}, incarnations: map[string]uint64{}, cancels: map[string]context.CancelFunc{}, unreachable: map[string]bool{}}
 	for i := range 4 {
 		d.workers = append(d.workers, &fakeWorker{network: net, name: fmt.Sprintf("w%d", i), records: map[string]*worker.Record{}, changed: make(chan struct{})})
 	}
@@ -589,7 +589,7 @@
 	for i := range s.tasks {
 		repeatable[i] = random.IntN(2) == 0
 		work := request.Work{ID: fmt.Sprintf("t%d", i), Submitted: time.Now(), Spec: request.Spec{
-			Plan: "p", Class: plan.Normal, Size: unit, Repeatable: repeatable[i], RunTimeMilliseconds: s.runTime(random),
+			Plan: "p", Class: plan.Normal, Size: unit, Repeatable: repeatable[i], RunTimeMilliseconds: s.drawRunTime(random),
 		}}
 		group.Go(func() { outcomes[i] = runner.Run(ctx, work) })
 		time.Sleep(time.Duration(random.IntN(300)) * time.Millisecond)
@@ -611,54 +611,54 @@
 		if d.owners[name] == nil || len(d.owners) < 2 {
 			continue
 		}
-		d.hide(name, true)
+		d.setUnreachable(name, true)
 		d.assign(random, s.contest)
 		time.Sleep(time.Duration(random.IntN(12_000)) * time.Millisecond)
-		d.hide(name, false)
+		d.setUnreachable(name, false)
 		d.assign(random, s.contest)
 	}
 	for range s.mutes {
 		w := d.workers[random.IntN(len(d.workers))]
-		w.mute(true)
+		w.setMuted(true)
 		time.Sleep(time.Duration(20_000+random.IntN(40_000)) * time.Millisecond)
-		w.mute(false)
+		w.setMuted(false)
 	}
 	net.mutex.Lock()
-	net.quiet = true
+	net.reliable = true
 	net.mutex.Unlock()
 	d.assign(random, false)
 	group.Wait()
 	cancel()
 	time.Sleep(time.Minute)
-	return s.judge(h, outcomes)
+	return s.checkOutcomes(h, outcomes)
 }
 
-// runTime draws a run time; with muted workers some tasks outlive a lease.
-func (s schedule) runTime(random *rand.Rand) int64 {
+// drawRunTime draws a run time; with muted workers some tasks outlive a lease.
+func (s schedule) drawRunTime(random *rand.Rand) int64 {
 	if s.mutes > 0 && random.IntN(3) == 0 {
 		return int64(30_000 + random.IntN(60_000))
 	}
 	return int64(random.IntN(8000))
 }
 
-func (s schedule) judge(h *history, outcomes []request.Outcome) []string {
+func (s schedule) checkOutcomes(h *history, outcomes []request.Outcome) []string {
 	for i, o := range outcomes {
 		name := fmt.Sprintf("t%d", i)
 		switch {
 		case !o.State.Ended():
-			h.fault(name, "task %s has no outcome", name)
+			h.addViolation(name, "task %s has no outcome", name)
 		case o.State == request.Done && (!o.Whole() || string(o.Answer) != name):
-			h.fault(name, "task %s got the answer %q", name, o.Answer)
+			h.addViolation(name, "task %s got the answer %q", name, o.Answer)
 		case o.State == request.NotRun && h.runs[name] > 0:
-			h.fault(name, "task %s was told not run (%s), but ran", name, o.Reason)
+			h.addViolation(name, "task %s was told not run (%s), but ran", name, o.Reason)
 		}
 	}
-	return h.faults
+	return h.violations
 }
 
 func TestInterruptedWorkIsNotCalledNotRun(t *testing.T) {
 	is := is.New(t)
-	p := &scripted{statuses: []entry.Status{
+	p := &scriptedPeers{statuses: []entry.Status{
 		{State: entry.Stopped, Reason: entry.ReasonPreempted},
 		{State: entry.NotRun, Reason: string(allocator.KindDeadlineOver)},
 	}}
@@ -666,22 +666,22 @@
 	o := r.Run(context.Background(), request.Work{ID: "t", Spec: request.Spec{Repeatable: true, Class: plan.Urgent}})
 	is.Equal(o.State, request.MayHaveRun)
 	is.Equal(o.Reason, entry.ReasonInterrupted)
-	is.True(p.last.Resumed)
+	is.True(p.lastTask.Resumed)
 }
 
-// scripted is one owner that answers with given statuses.
-type scripted struct {
+// scriptedPeers is one owner that answers with given statuses.
+type scriptedPeers struct {
 	domain
 	statuses []entry.Status
-	last     entry.Task
+	lastTask entry.Task
 }
 
-func (p *scripted) Targets() []request.Target {
+func (p *scriptedPeers) Targets() []request.Target {
 	return []request.Target{{Name: "o", Domain: "d", Free: 1, Usable: true, Reachable: true}}
 }
 
-func (p *scripted) Run(_ context.Context, _ request.Target, a entry.RunArgs) (entry.Status, error) {
+func (p *scriptedPeers) Run(_ context.Context, _ request.Target, a entry.RunArgs) (entry.Status, error) {
 	s := p.statuses[0]
-	p.statuses, p.last = p.statuses[1:], a.Task
+	p.statuses, p.lastTask = p.statuses[1:], a.Task
 	return s, nil
 }
