--- a/internal/node/owner/owner_test.go
+++ b/internal/node/owner/owner_test.go
@@ -18,12 +18,13 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
+// capacity is that of the worker. One attempt of runArgs uses all of it.
 var capacity = resource.Vector{Milliprocessors: 1000, MemoryMebibytes: 1000, Slots: 1, Connections: 1}
 
-// idleWorker accepts everything and ends nothing.
+// idleWorker accepts every call and never ends an attempt.
 type idleWorker struct {
 	starts int
-	// startDelay is how long a start takes.
+	// startDelay is how long a start call takes.
 	startDelay time.Duration
 }
 
@@ -53,8 +54,9 @@
 
 func (noopObserver) Started(entry.Task, time.Duration) {}
 
-// TestWorkerIsUsedUntilItIsFenced assigns a worker away whose new owner has not
-// adopted it yet.
+// TestWorkerIsUsedUntilItIsFenced checks that an owner still starts attempts on
+// a worker that is no longer assigned to it while no other owner has adopted
+// the worker. Otherwise the worker would be idle in the meantime.
 func TestWorkerIsUsedUntilItIsFenced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -71,22 +73,25 @@
 	})
 }
 
-// blockingObserver stops the owner's loop at the first start, as a freeze of the
-// process does.
+// blockingObserver blocks the loop of the owner at the first start, as a freeze
+// of the process does.
 type blockingObserver struct {
 	duration   time.Duration
 	hasBlocked bool
 }
 
-func (p *blockingObserver) Started(entry.Task, time.Duration) {
-	if !p.hasBlocked {
-		p.hasBlocked = true
-		time.Sleep(p.duration)
+func (b *blockingObserver) Started(entry.Task, time.Duration) {
+	if !b.hasBlocked {
+		b.hasBlocked = true
+		time.Sleep(b.duration)
 	}
 }
 
-// TestPausedOwnerRefusesEarlierCalls pauses an owner. A call that was meant for
-// it before the pause is refused, and what waited is given up.
+// TestPausedOwnerRefusesEarlierCalls checks that an owner whose process was
+// frozen refuses a call that carries the epoch from before the freeze, and
+// accepts calls with the new epoch. The holder may have given up the attempt in
+// the meantime, so a late start could run its task twice. Attempts that waited
+// during the freeze are given up.
 func TestPausedOwnerRefusesEarlierCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -106,7 +111,8 @@
 	})
 }
 
-// startOwner returns an owner that has adopted a worker, and how to stop it.
+// startOwner returns an owner that has adopted the worker w, and a function
+// that stops it.
 func startOwner(is *is.I, w worker.Peer, observer owner.Observer) (*owner.Owner, context.CancelFunc) {
 	is.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -122,30 +128,34 @@
 	return o, cancel
 }
 
+// runArgs returns the arguments of a Run call that returns without waiting for
+// the end of the attempt.
 func runArgs(epoch uint64, attempt string) entry.RunArgs {
 	return entry.RunArgs{Epoch: epoch, Wait: time.Millisecond, Task: entry.Task{Attempt: attempt, Plan: "p", Class: plan.Urgent, Size: capacity}}
 }
 
-// TestPayloadsAreBounded fills the payload limit; what ends makes room again.
+// TestPayloadsAreBounded checks that an attempt is refused when its payload
+// does not fit into the payload limit, and that the end of an attempt frees its
+// part of the limit.
 func TestPayloadsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		o, stop := startOwner(is, &idleWorker{}, noopObserver{})
-		large := func(attempt string) entry.RunArgs {
+		largeRun := func(attempt string) entry.RunArgs {
 			a := runArgs(o.Epoch(), attempt)
 			a.Task.Payload = make([]byte, 400)
 			return a
 		}
 		for _, attempt := range []string{"a/1", "b/1"} {
-			s, err := o.Run(large(attempt))
+			s, err := o.Run(largeRun(attempt))
 			is.NoErr(err)
 			is.True(s.State != entry.NotRun)
 		}
-		s, err := o.Run(large("c/1"))
+		s, err := o.Run(largeRun("c/1"))
 		is.NoErr(err)
 		is.Equal(s.State, entry.NotRun)
 		is.NoErr(o.Cancel(entry.CancelArgs{Attempt: "b/1"}))
-		s, err = o.Run(large("d/1"))
+		s, err = o.Run(largeRun("d/1"))
 		is.NoErr(err)
 		is.Equal(s.State, entry.Waiting)
 		stop()
--- a/internal/node/request/resolve_test.go
+++ b/internal/node/request/resolve_test.go
@@ -21,8 +21,9 @@
 	"github.com/almondpost/almondpost/internal/state/plan"
 )
 
-// lostReplyPeers loses the answer of the first owner, which is then gone; the other
-// owner proves at once that it holds every worker.
+// lostReplyPeers has two owners. The reply of the owner "gone" to its first Run
+// call is lost, and the owner is not reachable afterwards. The owner "other"
+// proves at once that it holds every worker.
 type lostReplyPeers struct {
 	domain
 	runCalls int
@@ -61,8 +62,9 @@
 	return request.Target{}, false
 }
 
-// TestSecondAttemptWaitsOutTheFormerOwner checks on the virtual clock that no
-// second attempt begins while the former owner may still start the first one.
+// TestSecondAttemptWaitsOutTheFormerOwner checks that no second attempt begins
+// before entry.HolderLease has passed. Until then the former owner, whose reply
+// was lost, may still start the first attempt.
 func TestSecondAttemptWaitsOutTheFormerOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -76,8 +78,9 @@
 	})
 }
 
-// TestWaitingAttemptIsDroppedWithoutItsHolder checks that an owner never starts a waiting
-// attempt that nobody has asked for within the lease.
+// TestWaitingAttemptIsDroppedWithoutItsHolder checks that an owner does not
+// start a waiting attempt whose holder has not called within entry.HolderLease.
+// The holder may have made another attempt by then.
 func TestWaitingAttemptIsDroppedWithoutItsHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -110,13 +113,15 @@
 	})
 }
 
-// remoteDomainPeers has its only owner in another failure domain.
+// remoteDomainPeers has one owner, in another failure domain than the work.
 type remoteDomainPeers struct{ lostReplyPeers }
 
 func (p *remoteDomainPeers) Targets() []request.Target {
 	return []request.Target{{Name: "other", Epoch: 1, Domain: "far", Free: 1, Usable: true, Reachable: true}}
 }
 
+// TestWorkOfADomainStaysThere checks that a task restricted to one failure
+// domain is not offered to an owner in another one.
 func TestWorkOfADomainStaysThere(t *testing.T) {
 	is := is.New(t)
 	p := &remoteDomainPeers{}
--- a/internal/node/request/runner_test.go
+++ b/internal/node/request/runner_test.go
@@ -31,6 +31,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 300) }
 
+// capacity is that of each worker; unit is the size of each task.
 var (
 	capacity = resource.Vector{Milliprocessors: 2000, MemoryMebibytes: 2048, Slots: 2, Connections: 64}
 	unit     = resource.Vector{Milliprocessors: 1000, MemoryMebibytes: 1024, Slots: 1, Connections: 1}
@@ -38,13 +39,13 @@
 
 var errLost = errors.New("lost")
 
-// fakeWorker is a worker that keeps the numbered assumptions of
-// docs/design/worker_protocol.md, behind a network that loses, delays and
-// repeats calls.
+// fakeWorker is a worker that follows the numbered assumptions of
+// docs/design/worker_protocol.md. Owners call it through a network that loses
+// and delays calls, so that repeated and late calls arrive as well.
 type fakeWorker struct {
 	network *network
 	name    string
-	// muted workers hear every call, but their answers are lost.
+	// muted workers receive every call, but their replies are lost.
 	muted bool
 
 	mutex    sync.Mutex
@@ -56,42 +57,52 @@
 	changed  chan struct{}
 }
 
-// history is what the workers saw, as an outside checker records it.
+// history records what the workers ran, so that a test can check it without
+// relying on the owners.
 type history struct {
-	mutex      sync.Mutex
-	running    map[string]int
-	runs       map[string]int
+	mutex sync.Mutex
+	// running counts the workers that run a task now.
+	running map[string]int
+	// runs counts how often a task was started.
+	runs map[string]int
+	// violations are the broken rules, each with the events of its task.
 	violations []string
-	// events is the trace of each task, for the report of a failure.
+	// events are the events of each task, for the report of a failure.
 	events map[string][]string
 	began  time.Time
 }
 
+// recordEvent adds an event of an attempt to the events of its task.
 func (h *history) recordEvent(attempt, format string, args ...any) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.recordEventLocked(attempt, format, args...)
 }
 
+// recordEventLocked is recordEvent for a caller that holds the lock.
 func (h *history) recordEventLocked(attempt, format string, args ...any) {
 	name := taskOf(attempt)
 	h.events[name] = append(h.events[name], fmt.Sprintf("%s %s: ", time.Since(h.began), attempt)+fmt.Sprintf(format, args...))
 }
 
-// addViolation records what must not be, with the trace of the task.
+// addViolation records a broken rule together with the events of the task.
 func (h *history) addViolation(name, format string, args ...any) {
 	h.violations = append(h.violations, fmt.Sprintf(format, args...)+"\n\t"+strings.Join(h.events[name], "\n\t"))
 }
 
-// network decides the fate of each call from a seeded source.
+// network chooses at random, from a seed, which calls and replies are lost and
+// how long calls are delayed.
 type network struct {
-	mutex    sync.Mutex
-	random   *rand.Rand
-	loss     float64
-	history  *history
+	mutex  sync.Mutex
+	random *rand.Rand
+	// loss is the probability that a call or a reply is lost.
+	loss    float64
+	history *history
+	// reliable networks lose nothing and delay calls only briefly.
 	reliable bool
 }
 
+// drawFaults draws the faults of one call.
 func (n *network) drawFaults() (requestLost, replyLost bool, delay time.Duration) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -105,43 +116,45 @@
 	return n.random.Float64() < n.loss, n.random.Float64() < n.loss, delay
 }
 
-// link carries the calls of one owner to one worker.
+// link is the connection of one owner to one worker. It implements worker.Peer.
 type link struct {
 	worker *fakeWorker
 	owner  string
 }
 
+// callWorker makes one call to a worker over the faulty network. A lost call or
+// reply is an error of the kind worker.KindUnreachable.
 func callWorker[Q, A any](ctx context.Context, l link, q Q, f func(context.Context, Q) (A, error)) (A, error) {
 	var none A
-	before, after, delay := l.worker.network.drawFaults()
-	deadline := 3 * time.Second
+	requestLost, replyLost, delay := l.worker.network.drawFaults()
+	timeout := 3 * time.Second
 	done := make(chan struct{})
 	var reply A
 	var err error
 	go func() {
 		defer close(done)
 		time.Sleep(delay)
-		if before {
+		if requestLost {
 			err = fault.New("call", worker.KindUnreachable, errLost)
 			return
 		}
-		// A call that was given up by its sender may still arrive.
+		// A call that its sender has given up may still arrive.
 		reply, err = f(context.WithoutCancel(ctx), q)
 	}()
 	if s, ok := any(q).(worker.SyncRequest); ok {
-		deadline += s.Wait
+		timeout += s.Wait
 	}
 	select {
 	case <-done:
 	case <-ctx.Done():
 		return none, fault.New("call", worker.KindUnreachable, ctx.Err())
-	case <-time.After(deadline):
+	case <-time.After(timeout):
 		return none, fault.New("call", worker.KindUnreachable, errLost)
 	}
 	l.worker.mutex.Lock()
 	muted := l.worker.muted
 	l.worker.mutex.Unlock()
-	if (after || muted) && err == nil {
+	if (replyLost || muted) && err == nil {
 		return none, fault.New("call", worker.KindUnreachable, errLost)
 	}
 	return reply, err
@@ -163,6 +176,8 @@
 	return callWorker(ctx, l, q, l.worker.stop)
 }
 
+// setPhase changes the phase of an attempt, counts it in the history and wakes
+// the syncs. The caller holds the lock of the worker.
 func (w *fakeWorker) setPhase(r *worker.Record, p worker.Phase, reason string) {
 	task := taskOf(r.Attempt.ID)
 	h := w.network.history
@@ -175,7 +190,7 @@
 			h.addViolation(task, "task %s runs in two places", task)
 		}
 		if !r.Attempt.Repeatable && h.runs[task] > 1 {
-			h.addViolation(task, "task %s, which may not repeat, ran twice", task)
+			h.addViolation(task, "task %s is not repeatable, but ran twice", task)
 		}
 	} else if r.Phase == worker.Running {
 		h.running[task]--
@@ -188,6 +203,7 @@
 	w.changed = make(chan struct{})
 }
 
+// taskOf returns the ID of the task of an attempt.
 func taskOf(attempt string) string {
 	for i := range attempt {
 		if attempt[i] == '/' {
@@ -197,6 +213,7 @@
 	return attempt
 }
 
+// stopIfLeaseExpired stops all running attempts if the lease has ended.
 func (w *fakeWorker) stopIfLeaseExpired() {
 	if time.Now().Before(w.leaseEnd) {
 		return
@@ -208,6 +225,8 @@
 	}
 }
 
+// renewLease extends the lease from now and checks it again at its end. A lease
+// of zero changes nothing.
 func (w *fakeWorker) renewLease(lease time.Duration) {
 	if lease <= 0 {
 		return
@@ -221,6 +240,8 @@
 	})
 }
 
+// checkToken returns an error of the kind worker.KindFenced unless t is the
+// token of the last adoption.
 func (w *fakeWorker) checkToken(t worker.Token) error {
 	w.stopIfLeaseExpired()
 	if t != w.token {
@@ -264,7 +285,7 @@
 	w.used = w.used.Add(q.Attempt.Size)
 	if !w.used.Fits(capacity) {
 		w.network.history.mutex.Lock()
-		w.network.history.addViolation("", "worker %s holds more than it can: %v", w.name, w.used)
+		w.network.history.addViolation("", "worker %s exceeds its capacity: %v used", w.name, w.used)
 		w.network.history.mutex.Unlock()
 	}
 	w.setPhase(r, worker.Running, "")
@@ -331,7 +352,8 @@
 	return worker.StopReply{Record: *r}, nil
 }
 
-// domain is one failure domain: owners over fake workers, and a runner.
+// domain is one failure domain with owners and fake workers. It implements
+// request.Peers.
 type domain struct {
 	network      *network
 	workers      []*fakeWorker
@@ -339,7 +361,7 @@
 	owners       map[string]*owner.Owner
 	incarnations map[string]uint64
 	cancels      map[string]context.CancelFunc
-	// unreachable owners live, but calls of holders do not reach them.
+	// unreachable owners run, but calls of holders do not reach them.
 	unreachable     map[string]bool
 	lastIncarnation uint64
 }
@@ -348,6 +370,7 @@
 
 func (noopObserver) Started(entry.Task, time.Duration) {}
 
+// vms returns the workers as a VM list.
 func (d *domain) vms() []vmlist.VM {
 	var out []vmlist.VM
 	for _, w := range d.workers {
@@ -356,6 +379,7 @@
 	return out
 }
 
+// startOwner starts an owner with a new incarnation and the given plans.
 func (d *domain) startOwner(ctx context.Context, name string, x *plan.Index) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -374,7 +398,7 @@
 	d.owners[name], d.incarnations[name], d.cancels[name] = o, d.lastIncarnation, cancel
 }
 
-// kill ends an owner; nothing of it goes on.
+// kill stops an owner for good.
 func (d *domain) kill(name string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -383,8 +407,9 @@
 	delete(d.incarnations, name)
 }
 
-// assign gives every worker to one owner that lives, or to two at once, as when
-// their views of the membership differ.
+// assign assigns every worker to one random owner. If contested is set, it
+// assigns some workers to two owners at once, as happens when the entry VMs
+// disagree on the membership.
 func (d *domain) assign(random *rand.Rand, contested bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -395,23 +420,23 @@
 		}
 	}
 	slices.Sort(names)
-	mine := map[string][]vmlist.VM{}
+	assigned := map[string][]vmlist.VM{}
 	for _, v := range d.vms() {
 		i := random.IntN(len(names))
-		mine[names[i]] = append(mine[names[i]], v)
+		assigned[names[i]] = append(assigned[names[i]], v)
 		if other := random.IntN(len(names)); contested && other != i {
-			mine[names[other]] = append(mine[names[other]], v)
+			assigned[names[other]] = append(assigned[names[other]], v)
 		}
 	}
 	for name, o := range d.owners {
 		if !d.unreachable[name] {
-			o.Assign(mine[name])
+			o.Assign(assigned[name])
 		}
 	}
 }
 
-// setUnreachable cuts an owner off from the holders. It goes on with its workers, which
-// the others claim.
+// setUnreachable cuts an owner off from the holders or connects it again. A
+// cut-off owner keeps its workers until other owners adopt them.
 func (d *domain) setUnreachable(name string, unreachable bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -451,23 +476,24 @@
 	return out
 }
 
-// callOwner carries a callOwner to an owner over the faulty network.
+// callOwner makes one call to an owner over the faulty network. If the owner is
+// gone when the reply is due, the reply is lost.
 func callOwner[A any](ctx context.Context, d *domain, t request.Target, method string, f func(o *owner.Owner) (A, error)) (A, error) {
 	var none A
-	before, after, delay := d.network.drawFaults()
+	requestLost, replyLost, delay := d.network.drawFaults()
 	time.Sleep(min(delay, time.Second))
 	d.mutex.Lock()
 	o := d.owners[t.Name]
-	hidden := d.unreachable[t.Name]
+	unreachable := d.unreachable[t.Name]
 	d.mutex.Unlock()
-	if o == nil || before || hidden {
+	if o == nil || requestLost || unreachable {
 		return none, fault.New(method, entry.KindNotSent, errLost)
 	}
 	reply, err := f(o)
 	d.mutex.Lock()
 	gone := d.owners[t.Name] != o || d.unreachable[t.Name]
 	d.mutex.Unlock()
-	if after || gone || ctx.Err() != nil {
+	if replyLost || gone || ctx.Err() != nil {
 		return none, fault.New(method, entry.KindUnknown, errLost)
 	}
 	if errors.Is(err, entry.ErrEpoch) {
@@ -505,21 +531,28 @@
 	return err
 }
 
-// schedule is one random run, drawn before the bubble.
+// schedule holds the parameters of one random run. They are drawn before the
+// synctest bubble starts.
 type schedule struct {
-	seed    uint64
-	loss    float64
-	tasks   int
-	kills   int
-	cuts    int
-	mutes   int
+	seed uint64
+	// loss is the probability that a call or a reply is lost.
+	loss  float64
+	tasks int
+	// kills counts the times that an owner is killed.
+	kills int
+	// cuts counts the times that an owner is cut off from the holders.
+	cuts int
+	// mutes counts the times that a worker is muted.
+	mutes int
+	// contest makes two owners claim some workers at the same time.
 	contest bool
 }
 
-// TestAttemptsUnderFaults runs tasks over a network that loses and delays calls,
-// with owners that are killed and workers that two owners claim at once. By the
-// workers' own records no task is in two places, none that may not repeat runs
-// twice, no worker is over-filled; and "not run" is true.
+// TestAttemptsUnderFaults runs tasks over a network that loses and delays
+// calls, while owners are killed or cut off, workers are muted, and two owners
+// claim the same worker. The records of the workers must show that no task runs
+// in two places, no task that is not repeatable runs twice, and no worker
+// exceeds its capacity. A task reported as not run must not have run.
 func TestAttemptsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := schedule{
@@ -539,8 +572,9 @@
 	})
 }
 
-// TestSchedulesThatFailed repeats schedules that once found a fault. The order
-// of goroutines is not part of a schedule, so each is run several times.
+// TestSchedulesThatFailed repeats schedules that have found a fault before.
+// Each runs several times, since the schedule does not determine the order of
+// the goroutines.
 func TestSchedulesThatFailed(t *testing.T) {
 	scenarios := []struct {
 		testName string
@@ -561,6 +595,7 @@
 	}
 }
 
+// run runs the tasks of a schedule with its faults and returns the violations.
 func (s schedule) run(t *testing.T) []string {
 	random := rand.New(rand.NewPCG(s.seed, 1))
 	h := &history{running: map[string]int{}, runs: map[string]int{}, events: map[string][]string{}, began: time.Now()}
@@ -633,7 +668,8 @@
 	return s.checkOutcomes(h, outcomes)
 }
 
-// drawRunTime draws a run time; with muted workers some tasks outlive a lease.
+// drawRunTime draws a run time in milliseconds. With muted workers some tasks
+// run longer than a lease.
 func (s schedule) drawRunTime(random *rand.Rand) int64 {
 	if s.mutes > 0 && random.IntN(3) == 0 {
 		return int64(30_000 + random.IntN(60_000))
@@ -641,6 +677,8 @@
 	return int64(random.IntN(8000))
 }
 
+// checkOutcomes compares the outcomes with the history and returns all
+// violations.
 func (s schedule) checkOutcomes(h *history, outcomes []request.Outcome) []string {
 	for i, o := range outcomes {
 		name := fmt.Sprintf("t%d", i)
@@ -650,12 +688,15 @@
 		case o.State == request.Done && (!o.Whole() || string(o.Answer) != name):
 			h.addViolation(name, "task %s got the answer %q", name, o.Answer)
 		case o.State == request.NotRun && h.runs[name] > 0:
-			h.addViolation(name, "task %s was told not run (%s), but ran", name, o.Reason)
+			h.addViolation(name, "task %s was reported as not run (%s), but ran", name, o.Reason)
 		}
 	}
 	return h.violations
 }
 
+// TestInterruptedWorkIsNotCalledNotRun checks that a task that was preempted
+// and whose next attempt did not run ends as MayHaveRun. NotRun would be wrong,
+// since the first attempt ran.
 func TestInterruptedWorkIsNotCalledNotRun(t *testing.T) {
 	is := is.New(t)
 	p := &scriptedPeers{statuses: []entry.Status{
@@ -669,7 +710,7 @@
 	is.True(p.lastTask.Resumed)
 }
 
-// scriptedPeers is one owner that answers with given statuses.
+// scriptedPeers has one owner, which returns the given statuses in turn.
 type scriptedPeers struct {
 	domain
 	statuses []entry.Status
