--- a/internal/node/owner/calls.go
+++ b/internal/node/owner/calls.go
@@ -62,8 +62,8 @@
 	return 0
 }
 
-// admit puts an attempt into the queue of its plan. It fails with an error of
-// the allocator when the attempt is refused. The caller holds the lock.
+// admit puts an attempt into the queue of its plan. It fails with an error of a
+// kind of the allocator when the attempt is refused. The caller holds the lock.
 func (o *Owner) admit(t entry.Task) (*attempt, error) {
 	now := time.Now()
 	size := int64(len(t.Payload))
@@ -97,7 +97,8 @@
 const maxQueuedWait = entry.HolderLease / 2
 
 // waitForEnd returns the status of an attempt once the attempt has ended or the
-// wait time is over.
+// wait time is over. While the attempt is queued it waits for maxQueuedWait at
+// most.
 func (o *Owner) waitForEnd(a *attempt, wait time.Duration) entry.Status {
 	timer := time.NewTimer(min(wait, MaxWait))
 	defer timer.Stop()
--- a/internal/node/owner/maintenance.go
+++ b/internal/node/owner/maintenance.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// maxPause is the longest pause after which no holder has given up on this
-// owner. It is well below entry.HolderLease, the time after which a holder may
-// do so.
+// maxPause is the longest pause of the loop that does not start a new epoch. It
+// is well below entry.HolderLease, after which a holder may have given up on
+// this owner.
 const maxPause = entry.HolderLease / 2
 
 // Epoch returns the current epoch of this owner. Calls that carry another epoch
--- a/internal/node/owner/owner.go
+++ b/internal/node/owner/owner.go
@@ -206,7 +206,8 @@
 	}
 }
 
-// dispatch starts every waiting attempt for which the allocator finds a worker.
+// dispatch starts every waiting attempt for which the allocator finds a worker,
+// and drops those whose holder has stopped calling.
 func (o *Owner) dispatch() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -237,7 +238,8 @@
 }
 
 // setStatus changes the status of an attempt that has not ended and wakes the
-// calls that wait for it. An end releases the payload. The caller holds the lock.
+// calls that wait for it. The payload is released at the end of the attempt.
+// The caller holds the lock.
 func (o *Owner) setStatus(a *attempt, s entry.Status) {
 	if a.status.State.Ended() {
 		return
@@ -351,8 +353,9 @@
 }
 
 // handleStartRefused ends an attempt whose start was refused. If the owner is
-// fenced and the reply to an earlier call was lost, that call may have started
-// the attempt; its status then becomes Moved and the holder asks the new owner.
+// fenced and the reply to an earlier start call was lost, that call may have
+// started the attempt. The state then becomes Moved, so that the holder asks
+// the new owner.
 func (o *Owner) handleStartRefused(a *attempt, err error, isFirstCall bool) {
 	o.log.Info("start_refused", "attempt", a.task.Attempt, "worker", a.status.Worker, "reason", err.Error())
 	if fault.KindOf[worker.Kind](err) == worker.KindFenced && !isFirstCall {
--- a/internal/node/owner/session.go
+++ b/internal/node/owner/session.go
@@ -80,8 +80,9 @@
 	o.alloc.SetAccepting(s.vm.Name, !s.unresponsive && !s.vm.Leaving && !o.draining && o.ejection.Allows(time.Now(), s.vm.Name))
 }
 
-// runSession adopts a worker and syncs with it, again and again, until the
-// worker is no longer assigned or the owner drains or ends.
+// runSession adopts a worker and syncs with it until the worker is lost, and
+// then starts again. It returns when the worker is no longer assigned or when
+// the owner drains or ends.
 func (o *Owner) runSession(s *session) {
 	var highest worker.Token
 	for {
@@ -119,9 +120,9 @@
 	return false
 }
 
-// adopt tries to adopt the worker with a token above the highest one known. It
-// returns the token that the worker has now, or the given one if the worker did
-// not answer, and whether the adoption succeeded.
+// adopt tries to adopt the worker with a token above highest. It returns the
+// token that the worker has now, or highest if the worker did not answer, and
+// whether the adoption succeeded.
 func (o *Owner) adopt(s *session, highest worker.Token) (current worker.Token, ok bool) {
 	token := worker.Token{Epoch: highest.Epoch + 1, Owner: o.name}
 	sent := time.Now()
@@ -142,7 +143,8 @@
 }
 
 // restoreAttempts adds an adopted worker and the attempts that it reports to
-// the allocator. The caller holds the lock.
+// the allocator. An attempt that was fenced here or had moved to another owner
+// gets the status that the worker reports. The caller holds the lock.
 func (o *Owner) restoreAttempts(s *session, reply worker.AdoptReply) {
 	var running []allocator.Running
 	for _, r := range reply.Records {
@@ -173,7 +175,7 @@
 	}
 }
 
-// taskFromWorker converts an attempt as a worker reports it.
+// taskFromWorker converts an attempt that a worker reports to a task.
 func taskFromWorker(a worker.Attempt) entry.Task {
 	return entry.Task{
 		Attempt: a.ID, Customer: a.Customer, Plan: a.Plan, Class: plan.Class(a.Class), Size: a.Size,
--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -114,8 +114,9 @@
 	Abandoned <-chan struct{}
 	// resumed is true once an attempt ran and was stopped or failed.
 	resumed bool
-	// Known is an attempt that a former holder left behind. It is followed to
-	// its end before a new attempt is made.
+	// Known is an attempt that exists already: one that a former holder left
+	// behind or that Commit has started. It is followed to its end before a new
+	// attempt is made.
 	Known entry.FoundAttempt
 	// KnownAt is the owner of Known.
 	KnownAt Target
