--- a/internal/node/owner/owner_test.go
+++ b/internal/node/owner/owner_test.go
@@ -18,13 +18,14 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
+// capacity is that of the worker. One attempt of runArgs uses all of it.
 var capacity = resource.Vector{Milliprocessors: 1000, MemoryMebibytes: 1000, Slots: 1, Connections: 1}
 
-// idleWorker accepts everything and ends nothing.
+// idleWorker accepts every call and never ends an attempt.
 type idleWorker struct {
-	started int
-	// startTime is how long a start takes.
-	startTime time.Duration
+	starts int
+	// startDelay is how long a start call takes.
+	startDelay time.Duration
 }
 
 func (w *idleWorker) Adopt(context.Context, worker.AdoptRequest) (worker.AdoptReply, error) {
@@ -32,8 +33,8 @@
 }
 
 func (w *idleWorker) Start(_ context.Context, q worker.StartRequest) (worker.Record, error) {
-	w.started++
-	time.Sleep(w.startTime)
+	w.starts++
+	time.Sleep(w.startDelay)
 	return worker.Record{Attempt: q.Attempt, Phase: worker.Running}, nil
 }
 
@@ -49,65 +50,70 @@
 	return worker.StopReply{}, nil
 }
 
-type silentObserver struct{}
+type noopObserver struct{}
 
-func (silentObserver) Started(entry.Task, time.Duration) {}
+func (noopObserver) Started(entry.Task, time.Duration) {}
 
-// TestWorkerIsUsedUntilItIsFenced assigns a worker away whose new owner has not
-// adopted it yet.
+// TestWorkerIsUsedUntilItIsFenced checks that an owner still starts attempts on
+// a worker that is no longer assigned to it while no other owner has adopted
+// the worker. Otherwise the worker would be idle in the meantime.
 func TestWorkerIsUsedUntilItIsFenced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := &idleWorker{}
-		o, stop := start(is, w, silentObserver{})
+		o, stop := startOwner(is, w, noopObserver{})
 		o.Assign(nil)
 		time.Sleep(time.Second)
-		s, err := o.Run(arguments(o.Epoch(), "t/1"))
+		s, err := o.Run(runArgs(o.Epoch(), "t/1"))
 		is.NoErr(err)
 		is.Equal(s.State, entry.Running)
-		is.Equal(w.started, 1)
+		is.Equal(w.starts, 1)
 		stop()
 		time.Sleep(time.Minute)
 	})
 }
 
-// pausingObserver stops the owner's loop at the first start, as a freeze of the
-// process does.
-type pausingObserver struct {
-	pause time.Duration
-	done  bool
+// blockingObserver blocks the loop of the owner at the first start, as a freeze
+// of the process does.
+type blockingObserver struct {
+	duration   time.Duration
+	hasBlocked bool
 }
 
-func (p *pausingObserver) Started(entry.Task, time.Duration) {
-	if !p.done {
-		p.done = true
-		time.Sleep(p.pause)
+func (b *blockingObserver) Started(entry.Task, time.Duration) {
+	if !b.hasBlocked {
+		b.hasBlocked = true
+		time.Sleep(b.duration)
 	}
 }
 
-// TestPausedOwnerRefusesEarlierCalls pauses an owner. A call that was meant for
-// it before the pause is refused, and what waited is given up.
+// TestPausedOwnerRefusesEarlierCalls checks that an owner whose process was
+// frozen refuses a call that carries the epoch from before the freeze, and
+// accepts calls with the new epoch. The holder may have given up the attempt in
+// the meantime, so a late start could run its task twice. Attempts that waited
+// during the freeze are given up.
 func TestPausedOwnerRefusesEarlierCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := &idleWorker{startTime: time.Minute}
-		o, stop := start(is, w, &pausingObserver{pause: entry.HolderLease})
+		w := &idleWorker{startDelay: time.Minute}
+		o, stop := startOwner(is, w, &blockingObserver{duration: entry.HolderLease})
 		before := o.Epoch()
-		_, err := o.Run(arguments(before, "first/1"))
+		_, err := o.Run(runArgs(before, "first/1"))
 		is.NoErr(err)
 		time.Sleep(2 * entry.HolderLease)
-		_, err = o.Run(arguments(before, "late/1"))
+		_, err = o.Run(runArgs(before, "late/1"))
 		is.True(errors.Is(err, entry.ErrEpoch))
 		is.True(o.Epoch() > before)
-		_, err = o.Run(arguments(o.Epoch(), "new/1"))
+		_, err = o.Run(runArgs(o.Epoch(), "new/1"))
 		is.NoErr(err)
 		stop()
 		time.Sleep(5 * time.Minute)
 	})
 }
 
-// start returns an owner that has adopted a worker, and how to stop it.
-func start(is *is.I, w worker.Peer, observer owner.Observer) (*owner.Owner, context.CancelFunc) {
+// startOwner returns an owner that has adopted the worker w, and a function
+// that stops it.
+func startOwner(is *is.I, w worker.Peer, observer owner.Observer) (*owner.Owner, context.CancelFunc) {
 	is.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	o := owner.New(ctx, "o", 1, owner.DefaultTiming, owner.Limits{Waiting: 10, PayloadBytes: 1000}, func(vmlist.VM) worker.Peer { return w }, observer, logr.Discard())
@@ -122,30 +128,34 @@
 	return o, cancel
 }
 
-func arguments(epoch uint64, attempt string) entry.RunArgs {
+// runArgs returns the arguments of a Run call that returns without waiting for
+// the end of the attempt.
+func runArgs(epoch uint64, attempt string) entry.RunArgs {
 	return entry.RunArgs{Epoch: epoch, Wait: time.Millisecond, Task: entry.Task{Attempt: attempt, Plan: "p", Class: plan.Urgent, Size: capacity}}
 }
 
-// TestPayloadsAreBounded fills the payload limit; what ends makes room again.
+// TestPayloadsAreBounded checks that an attempt is refused when its payload
+// does not fit into the payload limit, and that the end of an attempt frees its
+// part of the limit.
 func TestPayloadsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		o, stop := start(is, &idleWorker{}, silentObserver{})
-		large := func(attempt string) entry.RunArgs {
-			a := arguments(o.Epoch(), attempt)
+		o, stop := startOwner(is, &idleWorker{}, noopObserver{})
+		largeRun := func(attempt string) entry.RunArgs {
+			a := runArgs(o.Epoch(), attempt)
 			a.Task.Payload = make([]byte, 400)
 			return a
 		}
 		for _, attempt := range []string{"a/1", "b/1"} {
-			s, err := o.Run(large(attempt))
+			s, err := o.Run(largeRun(attempt))
 			is.NoErr(err)
 			is.True(s.State != entry.NotRun)
 		}
-		s, err := o.Run(large("c/1"))
+		s, err := o.Run(largeRun("c/1"))
 		is.NoErr(err)
 		is.Equal(s.State, entry.NotRun)
 		is.NoErr(o.Cancel(entry.CancelArgs{Attempt: "b/1"}))
-		s, err = o.Run(large("d/1"))
+		s, err = o.Run(largeRun("d/1"))
 		is.NoErr(err)
 		is.Equal(s.State, entry.Waiting)
 		stop()
