--- a/internal/cell/scheduler/commit.go
+++ b/internal/cell/scheduler/commit.go
@@ -84,7 +84,7 @@
 
 // leadershipEnd is when this leader stops extending leases unless another append is
 // accepted.
-func (s *Scheduler) leadershipEnd() time.Time { return s.lastConfirmed.Add(s.timing.Right) }
+func (s *Scheduler) leadershipEnd() time.Time { return s.lastConfirmed.Add(s.timing.LeadershipLease) }
 
 // orderStart orders the start of a task whose placement is stored. The task is
 // requeued instead if its worker cannot be used any more or the commit is too old.
--- a/internal/cell/scheduler/restore.go
+++ b/internal/cell/scheduler/restore.go
@@ -98,7 +98,7 @@
 		w = s.addWorker(backend.Registration{Life: life}, now)
 	}
 	// The last leader may have extended the lease until the end of its leadership.
-	if end := now.Add(time.Duration(float64(s.timing.Right)*maxClockDrift) + leaseMargin); end.After(w.leaseEnd) {
+	if end := now.Add(time.Duration(float64(s.timing.LeadershipLease)*maxClockDrift) + leaseMargin); end.After(w.leaseEnd) {
 		w.leaseEnd = end
 	}
 	t.phase, t.worker, t.startToken = phaseOrdered, w, 0
--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -32,9 +32,9 @@
 	// Lease is how long, by the worker's clock, a worker goes on with its runs after
 	// its last hold.
 	Lease time.Duration
-	// Right is how long a leader may go on extending leases, counted from the start
+	// LeadershipLease is how long a leader may go on extending leases, counted from the start
 	// of its last stored append.
-	Right time.Duration
+	LeadershipLease time.Duration
 	// HoldWait is how long a worker may delay its answer to a hold while no run
 	// ends.
 	HoldWait time.Duration
--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -409,7 +409,7 @@
 func TestCommitWithoutRecordsDoesNotExtendLeadership(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1_700_000_000, 0)
-	timing := scheduler.Timing{Lease: 6 * time.Second, Right: 10 * time.Second, HoldWait: time.Second}
+	timing := scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 10 * time.Second, HoldWait: time.Second}
 	s := scheduler.New(timing, 1, start, start, logr.Discard())
 	life := backend.Life{ID: "worker", Born: 1}
 	s.SetWorkers([]backend.Registration{{Life: life, Service: "desk", Capacity: workerSize}}, start)
@@ -457,7 +457,7 @@
 func TestReplacedWorkerIsNotOpenedAgain(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
-	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, Right: 8 * time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
+	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
 	gone := backend.Registration{Life: backend.Life{ID: "gone", Born: 1}, Service: "desk", Capacity: workerSize}
 	s.SetWorkers([]backend.Registration{gone}, now)
 	is.Equal(len(s.Take().Opened), 1)
@@ -475,7 +475,7 @@
 func TestCopyIsNotPlacedBesideTheFirstRun(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
-	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, Right: 8 * time.Second, HoldWait: time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
+	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, HoldWait: time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
 	s.SetTable(newSimulation(1, faults{}).table)
 	r := backend.Registration{Life: backend.Life{ID: "worker", Born: 1}, Service: "desk", Capacity: workerSize}
 	s.SetWorkers([]backend.Registration{r}, now)
@@ -510,7 +510,7 @@
 func TestSubmissionOfAnEndedJobIsDroppedAgain(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
-	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, Right: 8 * time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
+	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
 	s.SetTable(newSimulation(1, faults{}).table)
 	j := &work.Job{ID: "job", Queue: "urgent", Accepted: now, Steps: []work.Step{{Count: 1, Size: taskSize}}}
 	dropped := func() []string {
--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -261,7 +261,7 @@
 // rejects its next append.
 func (sm *simulation) electLeader() *simulatedLeader {
 	sm.epoch++
-	timing := scheduler.Timing{Lease: 6 * time.Second, Right: 10 * time.Second, HoldWait: time.Second, Retention: time.Hour}
+	timing := scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 10 * time.Second, HoldWait: time.Second, Retention: time.Hour}
 	l := &simulatedLeader{simulation: sm, epoch: sm.epoch, scheduler: scheduler.New(timing, sm.epoch, sm.now, sm.now, sm.log), sessions: map[backend.Life]bool{}}
 	sm.leaders = append(sm.leaders, l)
 	l.scheduler.SetTable(sm.table)
