--- a/internal/cell/scheduler/job.go
+++ b/internal/cell/scheduler/job.go
@@ -201,7 +201,7 @@
 
 // openOccurrencesOf opens the due occurrences of one job.
 func (s *Scheduler) openOccurrencesOf(j *job, now time.Time) {
-	for j.nextOccurrence < j.spec.Occurrences() && (j.spec.Repeat == nil || !now.Before(s.toClock(j.spec.Due(j.nextOccurrence)).Add(-s.timing.Early))) {
+	for j.nextOccurrence < j.spec.Occurrences() && (j.spec.Repeat == nil || !now.Before(s.toClock(j.spec.Due(j.nextOccurrence)).Add(-s.timing.EarlyStart))) {
 		o := s.addOccurrence(j, j.nextOccurrence, now)
 		j.nextOccurrence++
 		s.openReadySteps(o, now)
--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -40,9 +40,9 @@
 	HoldWait time.Duration
 	// Retention is how long the state of an ended job is kept.
 	Retention time.Duration
-	// Early is how long before its due time an occurrence may start; 0 means not
+	// EarlyStart is how long before its due time an occurrence may start; 0 means not
 	// before it.
-	Early time.Duration
+	EarlyStart time.Duration
 }
 
 const (
