--- a/internal/cell/scheduler/advice.go
+++ b/internal/cell/scheduler/advice.go
@@ -82,8 +82,8 @@
 	return ok && t.expires.Sub(now) > minTicketValidity
 }
 
-// Ask is a request for advice that an entry VM has to send to the adviser service.
-type Ask struct {
+// AdviceRequest is a request for advice that an entry VM has to send to the adviser service.
+type AdviceRequest struct {
 	Number  int64
 	VM      string
 	Step    work.StepID
@@ -213,7 +213,7 @@
 		st.advice.awaited[w] = true
 		ids[i] = w.registration.Life.ID
 	}
-	s.effects.Asks = append(s.effects.Asks, Ask{Number: a.lastNumber, VM: vm, Step: st.id, Workers: ids, Timeout: timeout})
+	s.effects.Asks = append(s.effects.Asks, AdviceRequest{Number: a.lastNumber, VM: vm, Step: st.id, Workers: ids, Timeout: timeout})
 }
 
 // AdviceAnswered handles the answer to a request. failed means that there was no
--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -68,7 +68,7 @@
 	Starts []Order[backend.Start]
 	Stops  []Order[backend.Stop]
 	Paces  []Order[backend.Pace]
-	Asks   []Ask
+	Asks   []AdviceRequest
 	// Observations lists the durations to record as metrics.
 	Observations []Observation
 	// Dropped lists the ended jobs whose submissions can be deleted from the store.
--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -406,7 +406,7 @@
 	})
 }
 
-func (l *simulatedLeader) requestAdvice(a scheduler.Ask) {
+func (l *simulatedLeader) requestAdvice(a scheduler.AdviceRequest) {
 	sm := l.simulation
 	l.adviceRequestCount++
 	took := sm.randomDuration(20*timeUnit, 90*timeUnit)
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -254,7 +254,7 @@
 // scheduler. The VM applies the timeout itself and the leader waits adviceMargin
 // longer: if the leader's call timed out, it would lose the connection to the VM,
 // which other calls share.
-func (l *leader) requestAdvice(a scheduler.Ask) {
+func (l *leader) requestAdvice(a scheduler.AdviceRequest) {
 	ctx, cancel := context.WithTimeout(l.ctx, a.Timeout+adviceMargin)
 	defer cancel()
 	var answer backend.Advice
