--- a/internal/cell/scheduler/advice.go
+++ b/internal/cell/scheduler/advice.go
@@ -213,7 +213,7 @@
 		st.advice.awaited[w] = true
 		ids[i] = w.registration.Life.ID
 	}
-	s.effects.Asks = append(s.effects.Asks, AdviceRequest{Number: a.lastNumber, VM: vm, Step: st.id, Workers: ids, Timeout: timeout})
+	s.effects.AdviceRequests = append(s.effects.AdviceRequests, AdviceRequest{Number: a.lastNumber, VM: vm, Step: st.id, Workers: ids, Timeout: timeout})
 }
 
 // AdviceAnswered handles the answer to a request. failed means that there was no
--- a/internal/cell/scheduler/advice_test.go
+++ b/internal/cell/scheduler/advice_test.go
@@ -50,7 +50,7 @@
 	}
 	s.Plan(now)
 	requests := map[string]int{}
-	for _, a := range s.Take().Asks {
+	for _, a := range s.Take().AdviceRequests {
 		requests[a.Step.Job[:4]]++
 	}
 	is.Equal(requests, map[string]int{"long": 4, "shor": 4})
@@ -59,7 +59,7 @@
 // approveAllRequests answers the requests in flight with tickets for all workers,
 // and returns the number of workers named in them.
 func approveAllRequests(s *scheduler.Scheduler, at time.Time) (workers int) {
-	for _, a := range s.Take().Asks {
+	for _, a := range s.Take().AdviceRequests {
 		answer := backend.Advice{Tickets: map[string]string{}, Validity: 2 * time.Second}
 		for _, id := range a.Workers {
 			answer.Tickets[id] = "ticket"
@@ -148,7 +148,7 @@
 			}
 			s.Plan(now)
 			var requested []string
-			for _, a := range s.Take().Asks {
+			for _, a := range s.Take().AdviceRequests {
 				requested = append(requested, a.Step.Job)
 			}
 			is.Equal(requested, sc.expected)
--- a/internal/cell/scheduler/bench_test.go
+++ b/internal/cell/scheduler/bench_test.go
@@ -118,7 +118,7 @@
 	for b.Loop() {
 		n++
 		l.scheduler.Submit(&work.Job{ID: fmt.Sprintf("urgent-%d", n), Queue: "sort", Accepted: sm.now, Steps: []work.Step{workload[0].step}}, sm.now)
-		for _, a := range l.scheduler.Take().Asks {
+		for _, a := range l.scheduler.Take().AdviceRequests {
 			l.scheduler.AdviceAnswered(a.Number, backend.Advice{}, false, sm.now)
 		}
 	}
--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -64,11 +64,11 @@
 	Opened []backend.Registration
 	Closed []backend.Life
 	// Wake lists the workers to send the next hold to at once.
-	Wake   []backend.Life
-	Starts []Order[backend.Start]
-	Stops  []Order[backend.Stop]
-	Paces  []Order[backend.Pace]
-	Asks   []AdviceRequest
+	Wake           []backend.Life
+	Starts         []Order[backend.Start]
+	Stops          []Order[backend.Stop]
+	Paces          []Order[backend.Pace]
+	AdviceRequests []AdviceRequest
 	// Observations lists the durations to record as metrics.
 	Observations []Observation
 	// Dropped lists the ended jobs whose submissions can be deleted from the store.
--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -329,7 +329,7 @@
 	for _, o := range e.Stops {
 		sm.callWorker(o.Worker, func(v *fleet.Worker) func() { v.Stop(o.Order, sm.now); return func() {} }, func() {})
 	}
-	for _, a := range e.Asks {
+	for _, a := range e.AdviceRequests {
 		l.requestAdvice(a)
 	}
 }
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -204,8 +204,8 @@
 			s.wake()
 		}
 	}
-	for i := range e.Asks {
-		go l.requestAdvice(e.Asks[i])
+	for i := range e.AdviceRequests {
+		go l.requestAdvice(e.AdviceRequests[i])
 	}
 	for _, o := range e.Observations {
 		l.node.measures.Observe(measure.Key{Name: o.Name, Of: o.Queue}, o.Took)
