--- a/internal/cell/scheduler/advice.go
+++ b/internal/cell/scheduler/advice.go
@@ -151,8 +151,8 @@
 	return adviceDispatcher{vms: map[string]*adviceVM{}, pending: map[*step]*queue.Queue{}, inFlight: map[int64]inFlightRequest{}, approvedShares: map[string]float64{}}
 }
 
-// SetAdvisers replaces the list of entry VMs that can request advice.
-func (s *Scheduler) SetAdvisers(names []string) {
+// SetAdviceVMs replaces the list of entry VMs that can request advice.
+func (s *Scheduler) SetAdviceVMs(names []string) {
 	for _, n := range names {
 		if s.dispatcher.vms[n] == nil {
 			s.dispatcher.vms[n] = &adviceVM{}
--- a/internal/cell/scheduler/advice_test.go
+++ b/internal/cell/scheduler/advice_test.go
@@ -32,7 +32,7 @@
 	for i := range names {
 		names[i] = fmt.Sprintf("vm-%d", i)
 	}
-	s.SetAdvisers(names)
+	s.SetAdviceVMs(names)
 	addHeldWorkers(s, 6, now, "bench", "desk")
 	return s
 }
@@ -144,7 +144,7 @@
 				s.Submit(&work.Job{ID: fmt.Sprintf("short-%d", i), Queue: "short", Accepted: now.Add(-age), Steps: []work.Step{{Count: 1, Size: taskSize, Estimate: time.Second}}}, now)
 			}
 			if sc.vms == 8 {
-				s.SetAdvisers([]string{"vm-0", "vm-1", "vm-2", "vm-3", "vm-4", "vm-5"}) // One of the VMs is idle.
+				s.SetAdviceVMs([]string{"vm-0", "vm-1", "vm-2", "vm-3", "vm-4", "vm-5"}) // One of the VMs is idle.
 			}
 			s.Plan(now)
 			var requested []string
--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -265,7 +265,7 @@
 	l := &simulatedLeader{simulation: sm, epoch: sm.epoch, scheduler: scheduler.New(timing, sm.epoch, sm.now, sm.now, sm.log), sessions: map[backend.Life]bool{}}
 	sm.leaders = append(sm.leaders, l)
 	l.scheduler.SetTable(sm.table)
-	l.scheduler.SetAdvisers(sm.adviceVMs)
+	l.scheduler.SetAdviceVMs(sm.adviceVMs)
 	l.scheduler.SetWorkers(sm.registrations(), sm.now)
 	for _, j := range sm.jobs {
 		l.scheduler.Restore(j, sm.storedProgress[j.ID], sm.now)
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -241,7 +241,7 @@
 		l.assignKeepers()
 		l.update(func(s *scheduler.Scheduler, at time.Time) {
 			s.Tick(at)
-			s.SetAdvisers(l.reachableVMs(at))
+			s.SetAdviceVMs(l.reachableVMs(at))
 		})
 		if successors := l.successors(now()); len(successors) > 0 {
 			l.leadingSince = now() // Delays the next attempt to hand over.
