--- a/internal/cell/scheduler/advice_test.go
+++ b/internal/cell/scheduler/advice_test.go
@@ -50,7 +50,7 @@
 	}
 	s.Plan(now)
 	requests := map[string]int{}
-	for _, a := range s.Take().AdviceRequests {
+	for _, a := range s.TakeEffects().AdviceRequests {
 		requests[a.Step.Job[:4]]++
 	}
 	is.Equal(requests, map[string]int{"long": 4, "shor": 4})
@@ -59,7 +59,7 @@
 // approveAllRequests answers the requests in flight with tickets for all workers,
 // and returns the number of workers named in them.
 func approveAllRequests(s *scheduler.Scheduler, at time.Time) (workers int) {
-	for _, a := range s.Take().AdviceRequests {
+	for _, a := range s.TakeEffects().AdviceRequests {
 		answer := backend.Advice{Tickets: map[string]string{}, Validity: 2 * time.Second}
 		for _, id := range a.Workers {
 			answer.Tickets[id] = "ticket"
@@ -139,7 +139,7 @@
 				s.Submit(&work.Job{ID: fmt.Sprintf("long-%d", i), Queue: "long", Accepted: now, Steps: []work.Step{{Count: 1, Size: taskSize, Estimate: 10 * time.Second}}}, now)
 			}
 			s.Plan(now)
-			s.Take()
+			s.TakeEffects()
 			for i, age := range sc.ages {
 				s.Submit(&work.Job{ID: fmt.Sprintf("short-%d", i), Queue: "short", Accepted: now.Add(-age), Steps: []work.Step{{Count: 1, Size: taskSize, Estimate: time.Second}}}, now)
 			}
@@ -148,7 +148,7 @@
 			}
 			s.Plan(now)
 			var requested []string
-			for _, a := range s.Take().AdviceRequests {
+			for _, a := range s.TakeEffects().AdviceRequests {
 				requested = append(requested, a.Step.Job)
 			}
 			is.Equal(requested, sc.expected)
--- a/internal/cell/scheduler/bench_test.go
+++ b/internal/cell/scheduler/bench_test.go
@@ -100,7 +100,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				l.scheduler.Plan(sm.now)
-				l.scheduler.Take()
+				l.scheduler.TakeEffects()
 			}
 		})
 	}
@@ -118,7 +118,7 @@
 	for b.Loop() {
 		n++
 		l.scheduler.Submit(&work.Job{ID: fmt.Sprintf("urgent-%d", n), Queue: "sort", Accepted: sm.now, Steps: []work.Step{workload[0].step}}, sm.now)
-		for _, a := range l.scheduler.Take().AdviceRequests {
+		for _, a := range l.scheduler.TakeEffects().AdviceRequests {
 			l.scheduler.AdviceAnswered(a.Number, backend.Advice{}, false, sm.now)
 		}
 	}
--- a/internal/cell/scheduler/commit_test.go
+++ b/internal/cell/scheduler/commit_test.go
@@ -41,7 +41,7 @@
 	s.Plan(now)
 	first := s.NextCommit(now)
 	is.True(first != nil)
-	s.Take()
+	s.TakeEffects()
 
 	progress, err := work.Decode[work.Progress](first.Records[0].Value)
 	is.NoErr(err)
@@ -53,12 +53,12 @@
 	s.SetWorkers(list, now)
 	s.Plan(now)
 	s.Committed(first, now)
-	is.Equal(len(s.Take().Starts), 0) // The record of the second placement is not stored.
+	is.Equal(len(s.TakeEffects().Starts), 0) // The record of the second placement is not stored.
 
 	second := s.NextCommit(now)
 	is.True(second != nil)
 	s.Committed(second, now)
-	starts := s.Take().Starts
+	starts := s.TakeEffects().Starts
 	is.Equal(len(starts), 1)
 	is.Equal(starts[0].Order.Run, int64(2))
 }
--- a/internal/cell/scheduler/health_test.go
+++ b/internal/cell/scheduler/health_test.go
@@ -48,7 +48,7 @@
 				s.Submit(&work.Job{ID: id, Queue: "urgent", Accepted: now, Steps: []work.Step{{Count: count, Size: taskSize, Estimate: time.Second}}}, now)
 				s.Plan(now)
 				s.Committed(s.NextCommit(now), now)
-				return s.Take().Starts
+				return s.TakeEffects().Starts
 			}
 			hold()
 			first := place("first", 2)
--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -161,8 +161,8 @@
 	s.effects.Observations = append(s.effects.Observations, Observation{name, j.spec.Queue, took})
 }
 
-// Take returns the effects since the last call and clears them.
-func (s *Scheduler) Take() Effects {
+// TakeEffects returns the effects since the last call and clears them.
+func (s *Scheduler) TakeEffects() Effects {
 	e := s.effects
 	s.effects = Effects{}
 	return e
--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -460,14 +460,14 @@
 	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
 	gone := backend.Registration{Life: backend.Life{ID: "gone", Born: 1}, Service: "desk", Capacity: workerSize}
 	s.SetWorkers([]backend.Registration{gone}, now)
-	is.Equal(len(s.Take().Opened), 1)
+	is.Equal(len(s.TakeEffects().Opened), 1)
 	_, _, _ = s.HoldRequest(gone.Life, now)
 	s.HoldFailed(gone.Life, backend.KindOtherLife, now)
 	s.SetWorkers([]backend.Registration{gone}, now)
-	is.Equal(len(s.Take().Opened), 0)
+	is.Equal(len(s.TakeEffects().Opened), 0)
 	gone.Life.Born = 2
 	s.SetWorkers([]backend.Registration{gone}, now)
-	is.Equal(len(s.Take().Opened), 1) // A new life of the worker, at its own address.
+	is.Equal(len(s.TakeEffects().Opened), 1) // A new life of the worker, at its own address.
 }
 
 // The only worker still has the first run of a speculative task, which was
@@ -488,7 +488,7 @@
 		if c := s.NextCommit(now); c != nil {
 			s.Committed(c, now)
 		}
-		return s.Take().Starts
+		return s.TakeEffects().Starts
 	}
 	hold()
 	s.Submit(&work.Job{ID: "job", Queue: "urgent", Accepted: now, Steps: []work.Step{{Count: 1, Size: taskSize, Speculative: true}}}, now)
@@ -516,7 +516,7 @@
 	dropped := func() []string {
 		now = now.Add(4 * time.Second)
 		s.Tick(now)
-		return s.Take().Dropped
+		return s.TakeEffects().Dropped
 	}
 	s.Submit(j, now)
 	is.Equal(dropped(), nil)
--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -313,7 +313,7 @@
 		return
 	}
 	change(sm.now)
-	e := l.scheduler.Take()
+	e := l.scheduler.TakeEffects()
 	for _, r := range e.Opened {
 		if !l.sessions[r.Life] {
 			l.sessions[r.Life] = true
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -151,7 +151,7 @@
 		return
 	}
 	change(l.scheduler, now())
-	e := l.scheduler.Take()
+	e := l.scheduler.TakeEffects()
 	needsPlan := l.scheduler.NeedsPlan()
 	l.applyEffects(&e)
 	l.mutex.Unlock()
--- a/internal/node/keeper/bench_test.go
+++ b/internal/node/keeper/bench_test.go
@@ -63,7 +63,7 @@
 		s.Submit(&work.Job{ID: fmt.Sprintf("%016x", runs), Queue: "batch", Payload: "payload", Accepted: now, Steps: []work.Step{{Count: benchTasks, Size: resource.Vector{Milliprocessors: 17000, MemoryMebibytes: 20000}, Estimate: time.Second}}}, now)
 		s.Plan(now)
 		s.Committed(s.NextCommit(now), now)
-		for _, o := range s.Take().Starts {
+		for _, o := range s.TakeEffects().Starts {
 			w := workers[o.Worker]
 			_ = batches.Encode(keeper.Batch{Leader: leaderAddress, Calls: []keeper.Call{{Number: int64(runs), Life: w.life, Start: &o.Order}}})
 			s.StartAnswered(w.life, &o.Order, "", time.Second, now)
@@ -74,6 +74,6 @@
 		}
 		s.Committed(s.NextCommit(now), now)
 		s.Tick(now)
-		s.Take()
+		s.TakeEffects()
 	}
 }
