--- a/internal/cell/scheduler/commit.go
+++ b/internal/cell/scheduler/commit.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// Confirmed records that the store has accepted an append of this leader other than
+// AppendConfirmed records that the store has accepted an append of this leader other than
 // a commit. appendStart is when the append began.
-func (s *Scheduler) Confirmed(appendStart time.Time) { s.lastConfirmed = appendStart }
+func (s *Scheduler) AppendConfirmed(appendStart time.Time) { s.lastConfirmed = appendStart }
 
 // leadershipEnd is when this leader stops extending leases unless another append is
 // accepted.
--- a/internal/node/entryvm/commits.go
+++ b/internal/node/entryvm/commits.go
@@ -62,7 +62,7 @@
 			if commit != nil {
 				s.Committed(commit, at)
 			} else {
-				s.Confirmed(begun)
+				s.AppendConfirmed(begun)
 			}
 			close(l.committed)
 			l.committed = make(chan struct{})
--- a/internal/node/entryvm/takeover.go
+++ b/internal/node/entryvm/takeover.go
@@ -52,7 +52,7 @@
 		progress[r.Key] = p
 	}
 	l.update(func(s *scheduler.Scheduler, at time.Time) {
-		s.Confirmed(begun)
+		s.AppendConfirmed(begun)
 		l.applyRegistrations(saved.registrations)
 		s.SetWorkers(l.registrationList(), at)
 		for part, records := range saved.jobs {
