--- a/internal/node/entryvm/node.go
+++ b/internal/node/entryvm/node.go
@@ -65,8 +65,8 @@
 	Timing scheduler.Timing
 }
 
-// Peers holds the platform services that a Node uses.
-type Peers struct {
+// Dependencies holds the platform services that a Node uses.
+type Dependencies struct {
 	Store   store.Store
 	Adviser backend.Adviser
 	// Dial returns a client for a registered worker. It does not connect until the first
@@ -83,7 +83,7 @@
 	log          logr.Logger
 	measures     *measure.Set
 	settings     Settings
-	dependencies Peers
+	dependencies Dependencies
 	store        *relayedStore
 	client       *link.Client
 	listener     net.Listener
@@ -109,7 +109,7 @@
 }
 
 // New starts an entry VM. It returns an error if it cannot listen on s.Peers.
-func New(s Settings, p Peers, measures *measure.Set, log logr.Logger) (*Node, error) {
+func New(s Settings, p Dependencies, measures *measure.Set, log logr.Logger) (*Node, error) {
 	l, err := net.Listen("tcp", s.Peers.String())
 	if err != nil {
 		return nil, oops.In("entryvm").With("address", s.Peers).Wrapf(err, "listen for entry VMs")
