--- a/internal/node/entryvm/election.go
+++ b/internal/node/entryvm/election.go
@@ -296,7 +296,7 @@
 		e.mutex.Unlock()
 		return
 	}
-	c := claim{Epoch: e.claim.Epoch + 1, Name: e.node.settings.Name, Address: e.node.settings.Peers, Process: e.process}
+	c := claim{Epoch: e.claim.Epoch + 1, Name: e.node.settings.Name, Address: e.node.settings.ListenAddress, Process: e.process}
 	end := e.claimsEnd
 	e.mutex.Unlock()
 	value, _ := json.Marshal(c)
--- a/internal/node/entryvm/heartbeats.go
+++ b/internal/node/entryvm/heartbeats.go
@@ -61,7 +61,7 @@
 		for _, m := range l.node.members.others() {
 			go l.sendHeartbeat(m)
 		}
-		l.node.election.recordHeartbeat(HeartbeatArgs{Epoch: l.epoch, Leader: l.node.settings.Name, Address: l.node.settings.Peers})
+		l.node.election.recordHeartbeat(HeartbeatArgs{Epoch: l.epoch, Leader: l.node.settings.Name, Address: l.node.settings.ListenAddress})
 		if !sleep(l.ctx, heartbeatInterval) {
 			return
 		}
@@ -73,7 +73,7 @@
 func (l *leader) sendHeartbeat(m member) {
 	ctx, cancel := context.WithTimeout(l.ctx, leaderTimeout)
 	defer cancel()
-	args := HeartbeatArgs{Epoch: l.epoch, Leader: l.node.settings.Name, Address: l.node.settings.Peers, Version: l.node.configuration.version()}
+	args := HeartbeatArgs{Epoch: l.epoch, Leader: l.node.settings.Name, Address: l.node.settings.ListenAddress, Version: l.node.configuration.version()}
 	r, err := link.Call[HeartbeatArgs, HeartbeatReply](ctx, l.node.client, m.Address, "Heartbeat", args)
 	if err != nil {
 		return
--- a/internal/node/entryvm/keepers.go
+++ b/internal/node/entryvm/keepers.go
@@ -21,7 +21,7 @@
 // leads. Call numbers continue from the current time in nanoseconds, so they are
 // higher than those of earlier processes of this VM.
 func newDispatcher(n *Node) *keeper.Dispatcher {
-	return keeper.NewDispatcher(n.settings.Peers, now().UnixNano(), func(ctx context.Context, to netip.AddrPort, b keeper.Batch) error {
+	return keeper.NewDispatcher(n.settings.ListenAddress, now().UnixNano(), func(ctx context.Context, to netip.AddrPort, b keeper.Batch) error {
 		_, err := link.Call[keeper.Batch, Nothing](ctx, n.client, to, "Carry", b)
 		return err
 	}, n.log)
--- a/internal/node/entryvm/members.go
+++ b/internal/node/entryvm/members.go
@@ -33,7 +33,7 @@
 }
 
 func newMembers(n *Node) *members {
-	self := member{Name: n.settings.Name, Domain: n.settings.Domain, Address: n.settings.Peers, Fitness: n.settings.Fitness, Started: time.Now().UnixMilli()}
+	self := member{Name: n.settings.Name, Domain: n.settings.Domain, Address: n.settings.ListenAddress, Fitness: n.settings.Fitness, Started: time.Now().UnixMilli()}
 	return &members{node: n, byName: map[string]member{self.Name: self}}
 }
 
--- a/internal/node/entryvm/node.go
+++ b/internal/node/entryvm/node.go
@@ -55,8 +55,8 @@
 	// Fitness rates how suitable the VM is as leader: its processor time in cores,
 	// reduced if its network link is slow. The fittest VMs claim leadership first.
 	Fitness float64
-	// Peers is the TCP address to listen on for other entry VMs.
-	Peers netip.AddrPort
+	// ListenAddress is the TCP address to listen on for other entry VMs.
+	ListenAddress netip.AddrPort
 	// Partitions is the number of store partitions that jobs are written to. It must be
 	// the same on every VM; 0 means defaultPartitions. A partition handles one append at
 	// a time.
@@ -110,11 +110,11 @@
 
 // New starts an entry VM. It returns an error if it cannot listen on s.Peers.
 func New(s Settings, p Dependencies, measures *measure.Set, log logr.Logger) (*Node, error) {
-	l, err := net.Listen("tcp", s.Peers.String())
+	l, err := net.Listen("tcp", s.ListenAddress.String())
 	if err != nil {
-		return nil, oops.In("entryvm").With("address", s.Peers).Wrapf(err, "listen for entry VMs")
+		return nil, oops.In("entryvm").With("address", s.ListenAddress).Wrapf(err, "listen for entry VMs")
 	}
-	s.Peers = l.Addr().(*net.TCPAddr).AddrPort()
+	s.ListenAddress = l.Addr().(*net.TCPAddr).AddrPort()
 	if s.Partitions == 0 {
 		s.Partitions = defaultPartitions
 	}
@@ -137,7 +137,7 @@
 	go n.configuration.run(ctx)
 	go n.election.run(ctx)
 	go n.isolation.run(ctx)
-	log.Info("started", "domain", s.Domain, "peer_address", s.Peers.String())
+	log.Info("started", "domain", s.Domain, "peer_address", s.ListenAddress.String())
 	return n, nil
 }
 
