--- a/internal/decide/allocator/allocator.go
+++ b/internal/decide/allocator/allocator.go
@@ -22,8 +22,8 @@
 
 // The kinds of Error. Callers get them as the reason why a task was not run.
 const (
-	KindUnknownPlan Kind = "unknown_plan"
-	KindClass       Kind = "class_not_allowed"
+	KindUnknownPlan     Kind = "unknown_plan"
+	KindClassNotAllowed Kind = "class_not_allowed"
 	// KindTooLarge means that the task would fit no worker even if it were
 	// empty.
 	KindTooLarge Kind = "fits_no_worker"
@@ -318,7 +318,7 @@
 	case !ok:
 		return refuse(KindUnknownPlan, "plan %q is not in the configuration", t.Plan)
 	case t.Class.Rank() < 0 || !e.Allows(t.Class):
-		return refuse(KindClass, "plan %s does not allow class %q", t.Plan, t.Class)
+		return refuse(KindClassNotAllowed, "plan %s does not allow class %q", t.Plan, t.Class)
 	case a.waitingItems[t.Attempt] != nil || a.ledger.Reservation(t.Attempt) != nil:
 		return refuse(KindDuplicate, "attempt %s is already waiting or running", t.Attempt)
 	case a.ledger.Len() == 0:
--- a/internal/decide/allocator/allocator_test.go
+++ b/internal/decide/allocator/allocator_test.go
@@ -93,8 +93,8 @@
 		expected allocator.Kind
 	}{
 		{"unknown plan", func(k *allocator.Task) { k.Plan = "nobody" }, allocator.KindUnknownPlan},
-		{"class not allowed", func(k *allocator.Task) { k.Class = plan.Urgent }, allocator.KindClass},
-		{"unknown class", func(k *allocator.Task) { k.Class = "soon" }, allocator.KindClass},
+		{"class not allowed", func(k *allocator.Task) { k.Class = plan.Urgent }, allocator.KindClassNotAllowed},
+		{"unknown class", func(k *allocator.Task) { k.Class = "soon" }, allocator.KindClassNotAllowed},
 		{"larger than every worker", func(k *allocator.Task) { k.Size.Milliprocessors = 9000 }, allocator.KindTooLarge},
 		{"accelerator that no worker has", func(k *allocator.Task) { k.Size.Accelerators = 1 }, allocator.KindTooLarge},
 		{"above the plan's limit", func(k *allocator.Task) { k.Size = unitSize }, allocator.KindPlanLimit},
--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -282,7 +282,7 @@
 // would be refused again later.
 func IsPermanent(reason string) bool {
 	switch reason {
-	case entry.ReasonCancelled, string(allocator.KindUnknownPlan), string(allocator.KindClass),
+	case entry.ReasonCancelled, string(allocator.KindUnknownPlan), string(allocator.KindClassNotAllowed),
 		string(allocator.KindPlanLimit), string(allocator.KindHopeless), string(allocator.KindDeadlineOver),
 		string(allocator.KindTooLarge):
 		return true
