--- a/internal/decide/allocator/allocator.go
+++ b/internal/decide/allocator/allocator.go
@@ -33,9 +33,9 @@
 	// KindQueueFull means that too many tasks of the plan and class, or of all
 	// plans together, are waiting.
 	KindQueueFull Kind = "queue_full"
-	// KindHopeless means that the task cannot complete by its deadline even if
+	// KindDeadlineUnreachable means that the task cannot complete by its deadline even if
 	// it starts now.
-	KindHopeless Kind = "deadline_hopeless"
+	KindDeadlineUnreachable Kind = "deadline_hopeless"
 	// KindDuplicate means that the attempt is already waiting or running.
 	KindDuplicate Kind = "duplicate_attempt"
 	// KindNoWorkers means that the entry VM has no workers, or none left that
@@ -328,7 +328,7 @@
 	case !e.MaxTask.IsZero() && !t.Size.Fits(e.MaxTask):
 		return refuse(KindPlanLimit, "size %v exceeds the limit for one task of the plan, %v", t.Size, e.MaxTask)
 	case !t.Deadline.IsZero() && now.Add(t.RunTime).After(t.Deadline):
-		return refuse(KindHopeless, "task cannot complete by its deadline %s", t.Deadline.Format(time.RFC3339))
+		return refuse(KindDeadlineUnreachable, "task cannot complete by its deadline %s", t.Deadline.Format(time.RFC3339))
 	}
 	q := a.queuesByPlan[t.Plan]
 	if q == nil {
--- a/internal/decide/allocator/allocator_test.go
+++ b/internal/decide/allocator/allocator_test.go
@@ -98,7 +98,7 @@
 		{"larger than every worker", func(k *allocator.Task) { k.Size.Milliprocessors = 9000 }, allocator.KindTooLarge},
 		{"accelerator that no worker has", func(k *allocator.Task) { k.Size.Accelerators = 1 }, allocator.KindTooLarge},
 		{"above the plan's limit", func(k *allocator.Task) { k.Size = unitSize }, allocator.KindPlanLimit},
-		{"deadline before the task can complete", func(k *allocator.Task) { k.Deadline = startTime.Add(time.Millisecond) }, allocator.KindHopeless},
+		{"deadline before the task can complete", func(k *allocator.Task) { k.Deadline = startTime.Add(time.Millisecond) }, allocator.KindDeadlineUnreachable},
 		{"duplicate attempt", func(k *allocator.Task) { k.Attempt = "first" }, allocator.KindDuplicate},
 		{"full queue", func(*allocator.Task) {}, allocator.KindQueueFull},
 	}
--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -283,7 +283,7 @@
 func IsPermanent(reason string) bool {
 	switch reason {
 	case entry.ReasonCancelled, string(allocator.KindUnknownPlan), string(allocator.KindClassNotAllowed),
-		string(allocator.KindPlanLimit), string(allocator.KindHopeless), string(allocator.KindDeadlineOver),
+		string(allocator.KindPlanLimit), string(allocator.KindDeadlineUnreachable), string(allocator.KindDeadlineOver),
 		string(allocator.KindTooLarge):
 		return true
 	}
