--- a/internal/decide/allocator/allocator.go
+++ b/internal/decide/allocator/allocator.go
@@ -195,9 +195,9 @@
 	}
 }
 
-// Running is an attempt that already runs on a worker when the entry VM adopts
+// RunningAttempt is an attempt that already runs on a worker when the entry VM adopts
 // the worker, that is, starts to schedule tasks on it.
-type Running struct {
+type RunningAttempt struct {
 	Attempt    string
 	Plan       string
 	Class      plan.Class
@@ -208,7 +208,7 @@
 // AddWorker adds a worker with the attempts that already run on it. It removes
 // these attempts from the waiting queues. It returns an error when a worker of
 // that name is known.
-func (a *Allocator) AddWorker(name, rack string, capacity resource.Vector, running []Running) error {
+func (a *Allocator) AddWorker(name, rack string, capacity resource.Vector, running []RunningAttempt) error {
 	if err := a.ledger.AddWorker(name, rack, capacity); err != nil {
 		return err
 	}
--- a/internal/node/owner/session.go
+++ b/internal/node/owner/session.go
@@ -146,7 +146,7 @@
 // the allocator. An attempt that was fenced here or had moved to another owner
 // gets the status that the worker reports. The caller holds the lock.
 func (o *Owner) restoreAttempts(s *session, reply worker.AdoptReply) {
-	var running []allocator.Running
+	var running []allocator.RunningAttempt
 	for _, r := range reply.Records {
 		a := o.attempts[r.Attempt.ID]
 		if a == nil || a.status.Reason == entry.ReasonFenced || a.status.State == entry.Moved {
@@ -157,7 +157,7 @@
 			o.endAttempt(r.Attempt.ID, statusOf(r))
 			continue
 		}
-		running = append(running, allocator.Running{
+		running = append(running, allocator.RunningAttempt{
 			Attempt: r.Attempt.ID, Plan: r.Attempt.Plan, Class: plan.Class(r.Attempt.Class),
 			Size: r.Attempt.Size, Repeatable: r.Attempt.Repeatable,
 		})
