--- a/internal/decide/allocator/allocator.go
+++ b/internal/decide/allocator/allocator.go
@@ -98,8 +98,8 @@
 type Preemption struct {
 	Attempt string
 	Worker  string
-	// For is the plan of the waiting task. It may be the plan of the attempt.
-	For string
+	// ForPlan is the plan of the waiting task. It may be the plan of the attempt.
+	ForPlan string
 }
 
 // Limits bounds the waiting queues of an allocator.
--- a/internal/decide/allocator/allocator_test.go
+++ b/internal/decide/allocator/allocator_test.go
@@ -132,7 +132,7 @@
 	for range 20 {
 		startAll(a, startTime)
 		for _, p := range a.Reclaim() {
-			is.Equal(p.For, "lender")
+			is.Equal(p.ForPlan, "lender")
 			a.Release(p.Attempt)
 		}
 	}
--- a/internal/decide/allocator/reclaim.go
+++ b/internal/decide/allocator/reclaim.go
@@ -42,7 +42,7 @@
 		r.Preempting = true
 		a.preemptionsInFlight[q.name]++
 		a.preemptedFor[r.Attempt] = q.name
-		out = append(out, Preemption{Attempt: r.Attempt, Worker: r.Worker.Name, For: q.name})
+		out = append(out, Preemption{Attempt: r.Attempt, Worker: r.Worker.Name, ForPlan: q.name})
 	}
 	return out
 }
--- a/internal/node/owner/maintenance.go
+++ b/internal/node/owner/maintenance.go
@@ -101,7 +101,7 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	for _, p := range o.alloc.Reclaim() {
-		o.log.V(1).Info("preempt", "attempt", p.Attempt, "worker", p.Worker, "plan", p.For)
+		o.log.V(1).Info("preempt", "attempt", p.Attempt, "worker", p.Worker, "plan", p.ForPlan)
 		go o.preempt(p.Attempt)
 	}
 }
