--- a/internal/decide/allocator/allocator.go
+++ b/internal/decide/allocator/allocator.go
@@ -240,10 +240,10 @@
 	return attempts
 }
 
-// Unplaceable drops and returns the waiting tasks that would fit no worker even
+// DropUnplaceable drops and returns the waiting tasks that would fit no worker even
 // if it were empty. This happens when the only workers that they fit are
 // removed.
-func (a *Allocator) Unplaceable() []Refusal {
+func (a *Allocator) DropUnplaceable() []Refusal {
 	var out []Refusal
 	for _, i := range a.waitingItems {
 		if !a.ledger.FitsAnyWorker(i.Value.Size) {
--- a/internal/decide/allocator/allocator_test.go
+++ b/internal/decide/allocator/allocator_test.go
@@ -303,7 +303,7 @@
 	}
 	is.Equal(len(startAll(a, startTime)), 1)
 	is.Equal(len(a.RemoveWorker("gpu")), 1)
-	is.Equal(len(a.Unplaceable()), 2)
+	is.Equal(len(a.DropUnplaceable()), 2)
 	is.Equal(a.Waiting(), 0)
 }
 
--- a/internal/node/owner/session.go
+++ b/internal/node/owner/session.go
@@ -270,7 +270,7 @@
 	for _, id := range attempts {
 		o.endAttempt(id, status)
 	}
-	for _, r := range o.alloc.Unplaceable() {
+	for _, r := range o.alloc.DropUnplaceable() {
 		o.applyRefusal(r)
 	}
 }
