--- a/internal/decide/allocator/next.go
+++ b/internal/decide/allocator/next.go
@@ -222,11 +222,11 @@
 	return out
 }
 
-// Hold reserves capacity for a task immediately, without queueing it. Gangs
-// need this to reserve capacity for each member before any of them starts. Hold
+// ReserveNow reserves capacity for a task immediately, without queueing it. Gangs
+// need this to reserve capacity for each member before any of them starts. ReserveNow
 // returns false when no worker fits, the plan is at its limit, the attempt
 // already has a reservation, or the allocator is draining.
-func (a *Allocator) Hold(t *Task) (worker string, ok bool) {
+func (a *Allocator) ReserveNow(t *Task) (worker string, ok bool) {
 	account := a.shares.Account(t.Plan)
 	if a.draining || !account.Permits(t.Size) || a.ledger.Reservation(t.Attempt) != nil {
 		return "", false
