--- a/internal/decide/allocator/allocator_test.go
+++ b/internal/decide/allocator/allocator_test.go
@@ -136,8 +136,8 @@
 			a.Release(p.Attempt)
 		}
 	}
-	is.True(a.Shares().Account("lender").Fill() >= 1)
-	is.True(a.Shares().Account("borrower").Fill() >= 1)
+	is.True(a.Shares().Account("lender").WeightedShare() >= 1)
+	is.True(a.Shares().Account("borrower").WeightedShare() >= 1)
 }
 
 func TestUrgentFloodLeavesThePromisesOfOthers(t *testing.T) {
--- a/internal/decide/allocator/next.go
+++ b/internal/decide/allocator/next.go
@@ -113,7 +113,7 @@
 // priorityOf returns the priority of a plan for the head of the class of this
 // rank.
 func priorityOf(q *planQueues, rank int) priority {
-	p := priority{classRank: rank, planShare: q.account.Fill()}
+	p := priority{classRank: rank, planShare: q.account.WeightedShare()}
 	if p.borrowing = p.planShare >= 1; p.borrowing {
 		p.customerShare = q.account.CustomerWeightedShare()
 	}
--- a/internal/decide/allocator/reclaim.go
+++ b/internal/decide/allocator/reclaim.go
@@ -125,13 +125,13 @@
 		return rank == plan.Urgent.Rank() && r.ClassRank > rank
 	}
 	victim := a.shares.Account(r.Plan)
-	if victim.Fill() <= 1 {
+	if victim.WeightedShare() <= 1 {
 		return false
 	}
-	if q.account.Fill() < 1 {
+	if q.account.WeightedShare() < 1 {
 		return victim.Used.Sub(r.Size).DominantFraction(a.ledger.Total()) >= victim.Promised-shareTolerance || r.ClassRank > rank
 	}
-	return rank == plan.Urgent.Rank() && r.ClassRank > rank && victim.Fill() > q.account.Fill()
+	return rank == plan.Urgent.Rank() && r.ClassRank > rank && victim.WeightedShare() > q.account.WeightedShare()
 }
 
 // shareTolerance absorbs rounding errors in the comparison of shares.
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -44,9 +44,9 @@
 	a.customerTotals.weightedShare = a.customerTotals.used.DominantFraction(*a.total) / a.customerTotals.promised
 }
 
-// Fill returns the weighted share of the plan. Below 1 the plan uses less than
+// WeightedShare returns the weighted share of the plan. Below 1 the plan uses less than
 // it was promised, above 1 it borrows capacity.
-func (a *Account) Fill() float64 { return a.weightedShare }
+func (a *Account) WeightedShare() float64 { return a.weightedShare }
 
 // CustomerWeightedShare returns the weighted share of the customer: the dominant share
 // of all its plans together, divided by the sum of their promised shares.
--- a/internal/state/usage/usage.go
+++ b/internal/state/usage/usage.go
@@ -128,12 +128,12 @@
 	m.period.PoolSeconds += vmSeconds
 	usedShare, promisedShare := 0.0, 0.0
 	accounts.Each(func(a *share.Account) {
-		usedShare += a.Fill() * a.Promised
+		usedShare += a.WeightedShare() * a.Promised
 		promisedShare += a.Promised
 	})
 	idleShare := max(0, 1-usedShare)
 	accounts.Each(func(a *share.Account) {
-		planShare := a.Fill() * a.Promised
+		planShare := a.WeightedShare() * a.Promised
 		s := m.period.Plans[a.Plan]
 		s.Customer, s.Plan = a.Customer, a.Plan
 		s.Promised += a.Promised * vmSeconds
