--- a/internal/decide/ejection/ejection.go
+++ b/internal/decide/ejection/ejection.go
@@ -87,9 +87,9 @@
 // Remove removes a worker and its state.
 func (t *Tracker) Remove(name string) { delete(t.workers, name) }
 
-// Outcome records whether a task of a kind succeeded on a worker, and updates
+// RecordOutcome records whether a task of a kind succeeded on a worker, and updates
 // the state of the worker. Unknown workers are ignored.
-func (t *Tracker) Outcome(now time.Time, name, kind string, ok bool) {
+func (t *Tracker) RecordOutcome(now time.Time, name, kind string, ok bool) {
 	w := t.workers[name]
 	if w == nil {
 		return
--- a/internal/decide/ejection/ejection_test.go
+++ b/internal/decide/ejection/ejection_test.go
@@ -18,14 +18,14 @@
 	t := ejection.New()
 	for i := range n {
 		t.Add(fmt.Sprintf("w%d", i))
-		t.Outcome(startTime, fmt.Sprintf("w%d", i), "sort", true)
+		t.RecordOutcome(startTime, fmt.Sprintf("w%d", i), "sort", true)
 	}
 	return t
 }
 
 func recordFailures(t *ejection.Tracker, name string, times int) {
 	for range times {
-		t.Outcome(startTime, name, "sort", false)
+		t.RecordOutcome(startTime, name, "sort", false)
 	}
 }
 
@@ -38,7 +38,7 @@
 	is.True(f.Allows(later, "w0"))
 	f.Started("w0")
 	is.True(!f.Allows(later, "w0"))
-	f.Outcome(later, "w0", "sort", true)
+	f.RecordOutcome(later, "w0", "sort", true)
 	is.Equal(f.StateOf("w0"), ejection.Closed)
 }
 
@@ -49,7 +49,7 @@
 	probe := startTime.Add(5 * time.Second)
 	is.True(f.Allows(probe, "w0"))
 	f.Started("w0")
-	f.Outcome(probe, "w0", "sort", false)
+	f.RecordOutcome(probe, "w0", "sort", false)
 	is.True(!f.Allows(probe.Add(9*time.Second), "w0"))
 	is.True(f.Allows(probe.Add(10*time.Second), "w0"))
 }
@@ -62,7 +62,7 @@
 	}
 	for range 20 {
 		for i := range 5 {
-			f.Outcome(startTime, fmt.Sprintf("w%d", i), "broken", false)
+			f.RecordOutcome(startTime, fmt.Sprintf("w%d", i), "broken", false)
 		}
 	}
 	for i := range 5 {
--- a/internal/node/owner/owner.go
+++ b/internal/node/owner/owner.go
@@ -281,7 +281,7 @@
 	}
 	name := a.status.Worker
 	before := o.ejection.StateOf(name)
-	o.ejection.Outcome(time.Now(), name, a.task.Kind, s.State == entry.Finished)
+	o.ejection.RecordOutcome(time.Now(), name, a.task.Kind, s.State == entry.Finished)
 	if after := o.ejection.StateOf(name); after != before {
 		o.log.Info("worker_ejection", "worker", name, "ejected", after == ejection.Open)
 	}
