--- a/internal/decide/ejection/ejection.go
+++ b/internal/decide/ejection/ejection.go
@@ -161,9 +161,9 @@
 	return w.state == Closed || w.state == HalfOpen && !w.probeInFlight
 }
 
-// Started records that a task was started on a worker. A half-open worker is
+// RecordStart records that a task was started on a worker. A half-open worker is
 // not allowed another task until the outcome of this one is recorded.
-func (t *Tracker) Started(name string) {
+func (t *Tracker) RecordStart(name string) {
 	if w := t.workers[name]; w != nil && w.state == HalfOpen {
 		w.probeInFlight = true
 	}
--- a/internal/node/owner/owner.go
+++ b/internal/node/owner/owner.go
@@ -231,7 +231,7 @@
 		a.status.Worker, a.status.Waited = d.Worker, d.Waited
 		o.observer.Started(a.task, d.Waited)
 		o.meter.Started(a.task.Customer, a.task.Plan, string(a.task.Class), d.Waited)
-		o.ejection.Started(d.Worker)
+		o.ejection.RecordStart(d.Worker)
 		o.updateAccepting(s)
 		go o.startOnWorker(s.peer, newStartRequest(s.token, a), a)
 	}
