--- a/internal/decide/retry/budget.go
+++ b/internal/decide/retry/budget.go
@@ -21,8 +21,8 @@
 	return &Budget{tokens: capacity, capacity: capacity, refillPerAttempt: ratio}
 }
 
-// First records a first attempt, which adds to the budget.
-func (b *Budget) First() {
+// RecordFirstAttempt records a first attempt, which adds to the budget.
+func (b *Budget) RecordFirstAttempt() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.tokens = min(b.capacity, b.tokens+b.refillPerAttempt)
--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -154,7 +154,7 @@
 // cancelled. At most one attempt exists at a time: the next one is made only
 // when the last one has ended or is proved never to start.
 func (r *Runner) Run(ctx context.Context, w Work) Outcome {
-	r.budget.First()
+	r.budget.RecordFirstAttempt()
 	out := Outcome{ID: w.ID}
 	failures := 0
 	n := max(1, w.FirstAttempt)
