--- a/internal/decide/retry/budget.go
+++ b/internal/decide/retry/budget.go
@@ -28,9 +28,9 @@
 	b.tokens = min(b.capacity, b.tokens+b.refillPerAttempt)
 }
 
-// Take takes one token for a retry. It returns false when the budget does not
+// TakeRetry takes one token for a retry. It returns false when the budget does not
 // allow a retry.
-func (b *Budget) Take() bool {
+func (b *Budget) TakeRetry() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.tokens < 1 {
--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -191,10 +191,10 @@
 	}
 	switch s.State {
 	case entry.Stopped:
-		return s.Reason == entry.ReasonPreempted || s.Reason != entry.ReasonCancelled && r.budget.Take()
+		return s.Reason == entry.ReasonPreempted || s.Reason != entry.ReasonCancelled && r.budget.TakeRetry()
 	case entry.Failed:
 		*failures++
-		return *failures < maxAttempts && r.budget.Take()
+		return *failures < maxAttempts && r.budget.TakeRetry()
 	}
 	return false
 }
