--- a/internal/cell/scheduler/choose.go
+++ b/internal/cell/scheduler/choose.go
@@ -11,7 +11,7 @@
 // canRun reports whether a worker has the label and the total capacity that tasks
 // of a step need.
 func canRun(w *worker, st *step) bool {
-	return w.registration.HasLabel(st.spec.Label) && st.spec.Room().Fits(w.registration.Capacity)
+	return w.registration.HasLabel(st.spec.Label) && st.spec.ReservedCapacity().Fits(w.registration.Capacity)
 }
 
 // maxAnswerDelay is how much longer than holdWait a worker may be silent and still
@@ -22,7 +22,7 @@
 // gangRacks counts, by rack, the members of the task's gang that are already
 // placed.
 func (s *Scheduler) chooseWorker(st *step, q *queue.Queue, t *task, reserved *reservations, gangRacks map[string]int, now time.Time) *worker {
-	c := workerSelection{scheduler: s, task: t, reserved: reserved, gangRacks: gangRacks, room: st.spec.Room(), now: now, expectedEnd: now.Add(s.runTimes.expectedOccupancy(st))}
+	c := workerSelection{scheduler: s, task: t, reserved: reserved, gangRacks: gangRacks, room: st.spec.ReservedCapacity(), now: now, expectedEnd: now.Add(s.runTimes.expectedOccupancy(st))}
 	if q.Advice == nil {
 		for _, w := range s.poolOf(q.Service).readyWorkers {
 			c.consider(w)
@@ -108,7 +108,7 @@
 // score rates a worker for a task. The fullest worker with room is the best, so
 // that whole workers stay free for large tasks.
 func (s *Scheduler) score(w *worker, st *step, t *task, gangRacks map[string]int) float64 {
-	score := w.used.Add(st.spec.Room()).DominantFraction(w.registration.Capacity)
+	score := w.used.Add(st.spec.ReservedCapacity()).DominantFraction(w.registration.Capacity)
 	if st.spec.Rack != "" && w.rack() == st.spec.Rack {
 		score += bonusRack
 	}
--- a/internal/cell/scheduler/dispatch.go
+++ b/internal/cell/scheduler/dispatch.go
@@ -96,7 +96,7 @@
 // Under a backlog, tickets for steps further back would expire unused, while the
 // steps at the front wait for a VM.
 func (s *Scheduler) worthRequesting(st *step, q *queue.Queue, stepsAhead map[string]int) bool {
-	if st.spec.Room().Fits(s.poolOf(q.Service).maxFree) || st.reservedSoonFree(q) {
+	if st.spec.ReservedCapacity().Fits(s.poolOf(q.Service).maxFree) || st.reservedSoonFree(q) {
 		return true
 	}
 	stepsAhead[q.Service]++
@@ -112,7 +112,7 @@
 		if !w.accepts(q) || s.reservations.reservedForOther(w, st.job) {
 			continue
 		}
-		places += min(countPlaces(st.spec.Room(), w.free()), taskLimitLeft(w, st))
+		places += min(countPlaces(st.spec.ReservedCapacity(), w.free()), taskLimitLeft(w, st))
 		if !st.advice.hasValidTicket(w, now) {
 			stale = append(stale, w)
 		}
@@ -146,7 +146,7 @@
 	}
 	expected := float64(places)
 	for w := range st.advice.awaited {
-		expected += s.dispatcher.approvedShare(st.job.spec.Queue) * float64(min(countPlaces(st.spec.Room(), w.free()), taskLimitLeft(w, st)))
+		expected += s.dispatcher.approvedShare(st.job.spec.Queue) * float64(min(countPlaces(st.spec.ReservedCapacity(), w.free()), taskLimitLeft(w, st)))
 	}
 	return expected < float64(st.spec.Count)
 }
@@ -239,7 +239,7 @@
 		minPlaces = 1 + st.waitingTasks()/approvedPerRequest
 	}
 	hasPlaces := func(w *worker) bool {
-		return countPlaces(st.spec.Room(), w.free()) >= minPlaces && !s.reservations.reservedForOther(w, st.job)
+		return countPlaces(st.spec.ReservedCapacity(), w.free()) >= minPlaces && !s.reservations.reservedForOther(w, st.job)
 	}
 	var list []*worker
 	addMatching := func(matches func(w *worker) bool) {
--- a/internal/cell/scheduler/lease.go
+++ b/internal/cell/scheduler/lease.go
@@ -26,7 +26,7 @@
 // addOrphan adds the run of a task that is about to leave the worker while its run
 // may go on there.
 func (w *worker) addOrphan(t *task, sequence int64) {
-	room := t.step.spec.Room()
+	room := t.step.spec.ReservedCapacity()
 	w.orphans[runID{t.id, t.run}] = orphan{room, sequence}
 	w.used = w.used.Add(room)
 }
@@ -43,7 +43,7 @@
 	}
 	room := w.registration.Capacity
 	if st != nil {
-		room = st.spec.Room()
+		room = st.spec.ReservedCapacity()
 	}
 	w.orphans[key] = orphan{room, s.sequence}
 	w.used = w.used.Add(room)
--- a/internal/cell/scheduler/plan.go
+++ b/internal/cell/scheduler/plan.go
@@ -94,14 +94,14 @@
 // isLarge reports whether workers are reserved for the tasks of a step while they
 // wait. A gang counts as large whatever the size of its tasks.
 func (s *Scheduler) isLarge(st *step, q *queue.Queue) bool {
-	return st.spec.Gang || st.spec.Room().DominantFraction(s.poolOf(q.Service).maxCapacity) >= largeFraction
+	return st.spec.Gang || st.spec.ReservedCapacity().DominantFraction(s.poolOf(q.Service).maxCapacity) >= largeFraction
 }
 
 // placeStep places the tasks of an open step. It reports whether all tasks that may
 // be placed now have a worker.
 func (s *Scheduler) placeStep(st *step, q *queue.Queue, reserved *reservations, now time.Time) bool {
 	switch {
-	case !st.spec.Room().Fits(s.poolOf(q.Service).maxFree):
+	case !st.spec.ReservedCapacity().Fits(s.poolOf(q.Service).maxFree):
 		return false
 	case st.spec.Gang:
 		return s.placeGang(st, q, reserved, now)
--- a/internal/cell/scheduler/pool.go
+++ b/internal/cell/scheduler/pool.go
@@ -106,7 +106,7 @@
 // they are empty.
 func (s *Scheduler) capableWorkers(st *step, service string) []*worker {
 	p := s.poolOf(service)
-	if st.spec.Label == "" && st.spec.Room().Fits(p.minCapacity) {
+	if st.spec.Label == "" && st.spec.ReservedCapacity().Fits(p.minCapacity) {
 		return p.workers
 	}
 	return slices.DeleteFunc(slices.Clone(p.workers), func(w *worker) bool { return !canRun(w, st) })
--- a/internal/cell/scheduler/reserve.go
+++ b/internal/cell/scheduler/reserve.go
@@ -63,7 +63,7 @@
 		if r.reservedForOther(w, st.job) || !belowTaskLimit(w, st) {
 			continue
 		}
-		places += countPlaces(st.spec.Room(), w.registration.Capacity)
+		places += countPlaces(st.spec.ReservedCapacity(), w.registration.Capacity)
 		slots = s.appendSlots(w, st, slots, now)
 	}
 	if st.spec.Gang && places < st.spec.Count {
@@ -113,7 +113,7 @@
 // A worker can have several slots for a wide gang. The gang then gets the slots
 // that become free first, and reserves no more workers than it needs.
 func (s *Scheduler) appendSlots(w *worker, st *step, slots []slot, now time.Time) []slot {
-	free, room := w.free(), st.spec.Room()
+	free, room := w.free(), st.spec.ReservedCapacity()
 	limit := min(taskLimitLeft(w, st), st.waitingTasks())
 	n := min(countPlaces(room, free), limit)
 	for range n {
@@ -129,7 +129,7 @@
 	taskEnds := make([]taskEnd, 0, len(w.tasks))
 	for _, t := range w.tasks {
 		if remaining := s.runTimes.remainingRunTime(t, now); remaining < lastingHorizon {
-			taskEnds = append(taskEnds, taskEnd{t.step.spec.Room(), remaining})
+			taskEnds = append(taskEnds, taskEnd{t.step.spec.ReservedCapacity(), remaining})
 		}
 	}
 	slices.SortFunc(taskEnds, func(a, b taskEnd) int { return cmp.Compare(a.remaining, b.remaining) })
--- a/internal/cell/scheduler/worker.go
+++ b/internal/cell/scheduler/worker.go
@@ -77,7 +77,7 @@
 
 func (w *worker) addTask(t *task) {
 	w.tasks[t.id] = t
-	w.used = w.used.Add(t.step.spec.Room())
+	w.used = w.used.Add(t.step.spec.ReservedCapacity())
 }
 
 func (w *worker) removeTask(t *task) {
@@ -85,7 +85,7 @@
 		return
 	}
 	delete(w.tasks, t.id)
-	w.used = w.used.Sub(t.step.spec.Room())
+	w.used = w.used.Sub(t.step.spec.ReservedCapacity())
 }
 
 // sortedTasks returns the tasks on the worker in order of their IDs.
--- a/internal/cell/work/job.go
+++ b/internal/cell/work/job.go
@@ -107,8 +107,8 @@
 	DisruptionBudget int `json:"disruption_budget,omitempty"`
 }
 
-// Room returns the capacity that a task of the step reserves on a worker.
-func (s *Step) Room() resource.Vector {
+// ReservedCapacity returns the capacity that a task of the step reserves on a worker.
+func (s *Step) ReservedCapacity() resource.Vector {
 	reserved := s.Size
 	if s.Fills {
 		reserved.Milliprocessors = 0
