--- a/internal/cell/scheduler/job.go
+++ b/internal/cell/scheduler/job.go
@@ -148,7 +148,7 @@
 
 func (s *Scheduler) addJob(spec *work.Job, now time.Time) *job {
 	age := min(max(now.Sub(s.toClock(spec.Accepted)), 0), maxJobAge)
-	j := &job{spec: spec, state: work.Queued, storedState: work.Queued, submittedAt: now.Add(-age), declaredPaths: spec.Chain()}
+	j := &job{spec: spec, state: work.Queued, storedState: work.Queued, submittedAt: now.Add(-age), declaredPaths: spec.CriticalPaths()}
 	s.jobs[spec.ID] = j
 	s.active[spec.ID] = j
 	return j
--- a/internal/cell/work/job.go
+++ b/internal/cell/work/job.go
@@ -169,9 +169,9 @@
 	return j.Repeat.Start.Add(time.Duration(occurrence) * j.Repeat.Interval)
 }
 
-// Chain returns, for each step, the declared run time of its critical path: the
+// CriticalPaths returns, for each step, the declared run time of its critical path: the
 // longest chain of dependent steps that ends with it.
-func (j *Job) Chain() []time.Duration {
+func (j *Job) CriticalPaths() []time.Duration {
 	paths := make([]time.Duration, len(j.Steps))
 	for i := range j.Steps {
 		for _, a := range j.Steps[i].After {
