--- a/internal/cell/queue/table.go
+++ b/internal/cell/queue/table.go
@@ -44,9 +44,9 @@
 	Validity  time.Duration
 }
 
-// Of returns the expected duration of a request to the adviser about a number
+// RequestDuration returns the expected duration of a request to the adviser about a number
 // of workers.
-func (c *AdviceCost) Of(workers int) time.Duration {
+func (c *AdviceCost) RequestDuration(workers int) time.Duration {
 	return c.Fixed + time.Duration(workers)*c.PerWorker
 }
 
--- a/internal/cell/scheduler/advice.go
+++ b/internal/cell/scheduler/advice.go
@@ -196,7 +196,7 @@
 	a := &s.dispatcher
 	delete(a.pending, st)
 	a.lastNumber++
-	v, cost := a.vms[vm], q.cost.Of(len(q.workers))
+	v, cost := a.vms[vm], q.cost.RequestDuration(len(q.workers))
 	if v.requestsInFlight == 0 {
 		v.busyUntil = now
 	}
--- a/internal/cell/scheduler/dispatch.go
+++ b/internal/cell/scheduler/dispatch.go
@@ -121,7 +121,7 @@
 		switch {
 		case s.isLarge(st, q) && len(st.advice.reserved) > 0:
 			if st.reservedSoonFree(q) {
-				return st.advice.reservedWithoutTicket(now.Add(q.Advice.Of(len(st.advice.reserved))))
+				return st.advice.reservedWithoutTicket(now.Add(q.Advice.RequestDuration(len(st.advice.reserved))))
 			}
 		case places > 0 && len(stale) > 0 && !s.isLarge(st, q):
 			return mostLikelyFree(stale, st)
@@ -159,7 +159,7 @@
 // with tickets requested only once there is room, the room is unused until the
 // answer.
 func (st *step) reservedSoonFree(q *queue.Queue) bool {
-	return len(st.advice.reserved) > 0 && st.advice.reservedFreeIn <= q.Advice.Of(len(st.advice.reserved))
+	return len(st.advice.reserved) > 0 && st.advice.reservedFreeIn <= q.Advice.RequestDuration(len(st.advice.reserved))
 }
 
 // reservedWithoutTicket returns the reserved workers whose tickets are not valid at
--- a/internal/cell/scheduler/plan.go
+++ b/internal/cell/scheduler/plan.go
@@ -75,7 +75,7 @@
 		return
 	}
 	if !st.open {
-		if q.Advice != nil && s.opensWithin(st, requestLead+q.Advice.Of(maxWorkersPerRequest), now) {
+		if q.Advice != nil && s.opensWithin(st, requestLead+q.Advice.RequestDuration(maxWorkersPerRequest), now) {
 			s.dispatcher.enqueue(st, q)
 		}
 		return
--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -411,7 +411,7 @@
 	l.adviceRequestCount++
 	took := sm.randomDuration(20*timeUnit, 90*timeUnit)
 	if q := sm.table.Queue(sm.queueOf(a.Step.Job)); q != nil && sm.useQueueAdviceTimes {
-		took = q.Advice.Of(len(a.Workers))
+		took = q.Advice.RequestDuration(len(a.Workers))
 	}
 	sm.schedule(took, func() {
 		answer := backend.Advice{Tickets: map[string]string{}, Validity: 2 * time.Second}
--- a/internal/cell/scheduler/timeliness.go
+++ b/internal/cell/scheduler/timeliness.go
@@ -105,7 +105,7 @@
 	if j.tasksOnWorkers == 0 {
 		remaining += recordDelay
 		if q.Advice != nil && !j.hasTickets() {
-			remaining += q.Advice.Of(maxWorkersPerRequest)
+			remaining += q.Advice.RequestDuration(maxWorkersPerRequest)
 		}
 	}
 	slack := j.submittedAt.Add(allowance).Sub(now.Add(remaining))
