--- a/internal/node/owner/maintenance.go
+++ b/internal/node/owner/maintenance.go
@@ -27,7 +27,7 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.advanceMeter(time.Now())
-	return o.meter.Cut(time.Now())
+	return o.meter.EndPeriod(time.Now())
 }
 
 // detectPause starts a new epoch when the loop has not run for longer than
--- a/internal/state/usage/usage.go
+++ b/internal/state/usage/usage.go
@@ -181,8 +181,8 @@
 	return p
 }
 
-// Cut ends the current period, returns its sums and begins a new period at now.
-func (m *Meter) Cut(now time.Time) Period {
+// EndPeriod ends the current period, returns its sums and begins a new period at now.
+func (m *Meter) EndPeriod(now time.Time) Period {
 	p := m.period
 	m.reset(p.From, now)
 	return p
