--- a/internal/node/owner/gang.go
+++ b/internal/node/owner/gang.go
@@ -103,7 +103,7 @@
 	}
 	a.reservedUntil = time.Time{}
 	o.observer.Started(a.task, 0)
-	o.meter.Started(a.task.Customer, a.task.Plan, string(a.task.Class), 0)
+	o.meter.CountStart(a.task.Customer, a.task.Plan, string(a.task.Class), 0)
 	go o.startOnWorker(s.peer, newStartRequest(s.token, a), a)
 }
 
--- a/internal/node/owner/owner.go
+++ b/internal/node/owner/owner.go
@@ -230,7 +230,7 @@
 		}
 		a.status.Worker, a.status.Waited = d.Worker, d.Waited
 		o.observer.Started(a.task, d.Waited)
-		o.meter.Started(a.task.Customer, a.task.Plan, string(a.task.Class), d.Waited)
+		o.meter.CountStart(a.task.Customer, a.task.Plan, string(a.task.Class), d.Waited)
 		o.ejection.RecordStart(d.Worker)
 		o.updateAccepting(s)
 		go o.startOnWorker(s.peer, newStartRequest(s.token, a), a)
--- a/internal/state/usage/usage.go
+++ b/internal/state/usage/usage.go
@@ -152,8 +152,8 @@
 // Period.PoolSeconds.
 const roundingTolerance = 1e-6
 
-// Started counts a task of a plan that started, by its class and waiting time.
-func (m *Meter) Started(customer, plan, class string, waited time.Duration) {
+// CountStart counts a task of a plan that started, by its class and waiting time.
+func (m *Meter) CountStart(customer, plan, class string, waited time.Duration) {
 	s := m.period.Plans[plan]
 	s.Customer, s.Plan = customer, plan
 	s.Started++
