--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -86,7 +86,7 @@
 	for _, a := range s.plans {
 		a.Promised, a.Limit = unlistedPlanShare, unlistedPlanShare
 	}
-	plans.Entitlements(func(customerName string, e plan.Entitlement) {
+	plans.EachEntitlement(func(customerName string, e plan.Entitlement) {
 		a := s.plans[e.Plan]
 		if a == nil {
 			a = &Account{Plan: e.Plan, total: &s.total}
--- a/internal/state/plan/lists.go
+++ b/internal/state/plan/lists.go
@@ -267,9 +267,9 @@
 // string for an unknown plan.
 func (x *Index) Customer(plan string) string { return x.customerOf[plan] }
 
-// Entitlements calls f with the customer and the entitlement of each plan, in no
+// EachEntitlement calls f with the customer and the entitlement of each plan, in no
 // fixed order.
-func (x *Index) Entitlements(f func(customer string, e Entitlement)) {
+func (x *Index) EachEntitlement(f func(customer string, e Entitlement)) {
 	for name, e := range x.entitlements {
 		f(x.customerOf[name], e)
 	}
