--- a/internal/state/claim/claim_test.go
+++ b/internal/state/claim/claim_test.go
@@ -61,7 +61,7 @@
 	return l.fakeLog.Append(ctx, stream, records[0])
 }
 
-func newBook(l *fakeLog, now func() time.Time) *claim.Book {
+func newRegistry(l *fakeLog, now func() time.Time) *claim.Book {
 	return claim.New(l, fakeLogClient{l}, now)
 }
 
@@ -79,7 +79,7 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			is := is.New(t)
-			b := newBook(&fakeLog{streams: map[string][]logservice.Record{}}, func() time.Time { return baseTime })
+			b := newRegistry(&fakeLog{streams: map[string][]logservice.Record{}}, func() time.Time { return baseTime })
 			_, err := b.Claim(context.Background(), "p", s.key, "r1")
 			is.Equal(fault.KindOf[claim.Kind](err), s.expected)
 		})
@@ -94,7 +94,7 @@
 	ctx := context.Background()
 	l := &fakeLog{streams: map[string][]logservice.Record{}}
 	now := func() time.Time { return baseTime }
-	first, second := newBook(l, now), newBook(l, now)
+	first, second := newRegistry(l, now), newRegistry(l, now)
 	key := keyAt(baseTime)
 	l.failAfterAppend = true
 	_, err := first.Claim(ctx, "p", key, "r1")
@@ -117,7 +117,7 @@
 		ctx := context.Background()
 		l := &fakeLog{streams: map[string][]logservice.Record{}}
 		now := func() time.Time { return baseTime }
-		entryVMs := []*claim.Book{newBook(l, now), newBook(l, now), newBook(l, now)}
+		entryVMs := []*claim.Book{newRegistry(l, now), newRegistry(l, now), newRegistry(l, now)}
 		keys := []string{keyAt(baseTime), keyAt(baseTime.Add(time.Second))}
 		holders := map[string]string{}
 		settled := map[string]bool{}
