--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -334,7 +334,7 @@
 	status, err := r.peers.Run(callContext, t, entry.RunArgs{Epoch: t.Epoch, Task: task, Wait: r.timing.PollWait})
 	switch fault.KindOr(err, entry.KindUnknown) {
 	case "":
-	case entry.KindNotSent, entry.KindEpoch:
+	case entry.KindNotSent, entry.KindEpochMismatch:
 		return entry.Status{State: entry.NotRun, Reason: string(fault.KindOf[entry.Kind](err)), RetryAfter: time.Second}
 	default:
 		status, lastCall = entry.Status{State: entry.Moved}, time.Now()
--- a/internal/node/request/runner_test.go
+++ b/internal/node/request/runner_test.go
@@ -497,7 +497,7 @@
 		return none, fault.New(method, entry.KindUnknown, errLost)
 	}
 	if errors.Is(err, entry.ErrEpoch) {
-		return none, fault.New(method, entry.KindEpoch, err)
+		return none, fault.New(method, entry.KindEpochMismatch, err)
 	}
 	return reply, err
 }
--- a/internal/peer/entry/client.go
+++ b/internal/peer/entry/client.go
@@ -167,8 +167,8 @@
 	case err == nil:
 		return nil
 	case errors.As(err, &serverError):
-		if string(serverError) == string(KindEpoch) {
-			return fault.New(method, KindEpoch, err)
+		if string(serverError) == string(KindEpochMismatch) {
+			return fault.New(method, KindEpochMismatch, err)
 		}
 		return fault.New(method, KindUnknown, err)
 	}
--- a/internal/peer/entry/client_test.go
+++ b/internal/peer/entry/client_test.go
@@ -119,7 +119,7 @@
 	server, err := entry.NewServer(l, slowHandler{}, &traffic.Counter{})
 	is.NoErr(err)
 	err = c.Call(context.Background(), address, "Resolve", entry.ResolveArgs{}, &entry.ResolveReply{})
-	is.Equal(fault.KindOf[entry.Kind](err), entry.KindEpoch)
+	is.Equal(fault.KindOf[entry.Kind](err), entry.KindEpochMismatch)
 	server.Close()
 	_ = c.Call(context.Background(), address, "Await", entry.AwaitArgs{}, &entry.Status{})
 	err = c.Call(context.Background(), address, "Await", entry.AwaitArgs{}, &entry.Status{})
--- a/internal/peer/entry/protocol.go
+++ b/internal/peer/entry/protocol.go
@@ -24,9 +24,9 @@
 	KindNotSent Kind = "not_sent"
 	// KindUnknown means that the call may have taken effect.
 	KindUnknown Kind = "unknown_outcome"
-	// KindEpoch means that the epoch in the call is not that of the called owner:
+	// KindEpochMismatch means that the epoch in the call is not that of the called owner:
 	// its process has restarted, or it took a new epoch after a pause.
-	KindEpoch Kind = "other_epoch"
+	KindEpochMismatch Kind = "other_epoch"
 )
 
 // Error is the error type of this package.
--- a/internal/peer/entry/server.go
+++ b/internal/peer/entry/server.go
@@ -23,7 +23,7 @@
 
 // ErrEpoch refuses a call whose epoch is not that of this owner. Its text is the error
 // kind, by which the Client recognizes it.
-var ErrEpoch = errors.New(string(KindEpoch))
+var ErrEpoch = errors.New(string(KindEpochMismatch))
 
 // service adapts a Handler to the method signatures of net/rpc.
 type service struct{ h Handler }
