--- a/internal/node/owner/calls.go
+++ b/internal/node/owner/calls.go
@@ -29,7 +29,7 @@
 	o.detectPause(time.Now())
 	if r.Epoch != o.epoch {
 		o.mutex.Unlock()
-		return entry.Status{}, entry.ErrEpoch
+		return entry.Status{}, entry.ErrEpochMismatch
 	}
 	if o.fencedTasks[r.Task.Name].generation > r.Task.Generation {
 		o.mutex.Unlock()
@@ -134,7 +134,7 @@
 	o.detectPause(time.Now())
 	if r.Epoch != o.epoch {
 		o.mutex.Unlock()
-		return entry.Status{}, entry.ErrEpoch
+		return entry.Status{}, entry.ErrEpochMismatch
 	}
 	a := o.attempts[r.Attempt]
 	if a == nil {
--- a/internal/node/owner/gang.go
+++ b/internal/node/owner/gang.go
@@ -33,7 +33,7 @@
 	now := time.Now()
 	o.detectPause(now)
 	if r.Epoch != o.epoch {
-		return entry.ReserveReply{}, entry.ErrEpoch
+		return entry.ReserveReply{}, entry.ErrEpochMismatch
 	}
 	until := now.Add(min(r.Lease, maxGangLease))
 	if r.Collect {
--- a/internal/node/owner/owner_test.go
+++ b/internal/node/owner/owner_test.go
@@ -102,7 +102,7 @@
 		is.NoErr(err)
 		time.Sleep(2 * entry.HolderLease)
 		_, err = o.Run(runArgs(before, "late/1"))
-		is.True(errors.Is(err, entry.ErrEpoch))
+		is.True(errors.Is(err, entry.ErrEpochMismatch))
 		is.True(o.Epoch() > before)
 		_, err = o.Run(runArgs(o.Epoch(), "new/1"))
 		is.NoErr(err)
--- a/internal/node/request/runner_test.go
+++ b/internal/node/request/runner_test.go
@@ -496,7 +496,7 @@
 	if replyLost || gone || ctx.Err() != nil {
 		return none, fault.New(method, entry.KindUnknown, errLost)
 	}
-	if errors.Is(err, entry.ErrEpoch) {
+	if errors.Is(err, entry.ErrEpochMismatch) {
 		return none, fault.New(method, entry.KindEpochMismatch, err)
 	}
 	return reply, err
--- a/internal/peer/entry/client_test.go
+++ b/internal/peer/entry/client_test.go
@@ -28,7 +28,7 @@
 func (h slowHandler) Cancel(entry.CancelArgs) error { return nil }
 
 func (h slowHandler) Resolve(entry.ResolveArgs) (entry.ResolveReply, error) {
-	return entry.ResolveReply{}, entry.ErrEpoch
+	return entry.ResolveReply{}, entry.ErrEpochMismatch
 }
 
 func (h slowHandler) Fetch(entry.FetchArgs) (entry.FetchReply, error) {
--- a/internal/peer/entry/server.go
+++ b/internal/peer/entry/server.go
@@ -21,9 +21,9 @@
 	Reserve(a ReserveArgs) (ReserveReply, error)
 }
 
-// ErrEpoch refuses a call whose epoch is not that of this owner. Its text is the error
+// ErrEpochMismatch refuses a call whose epoch is not that of this owner. Its text is the error
 // kind, by which the Client recognizes it.
-var ErrEpoch = errors.New(string(KindEpochMismatch))
+var ErrEpochMismatch = errors.New(string(KindEpochMismatch))
 
 // service adapts a Handler to the method signatures of net/rpc.
 type service struct{ h Handler }
