--- a/internal/node/entryvm/relay.go
+++ b/internal/node/entryvm/relay.go
@@ -112,7 +112,7 @@
 	if ctx.Err() == context.Canceled {
 		return
 	}
-	s.node.measures.Observe(measure.Key{Name: "store_append", Of: string(appendOutcome(err))}, took)
+	s.node.measures.Observe(measure.Key{Name: "store_append", Label: string(appendOutcome(err))}, took)
 	if !isUnreachable(err) {
 		s.node.isolation.recordContact()
 		s.failures.Store(0)
--- a/internal/operate/measure/measure.go
+++ b/internal/operate/measure/measure.go
@@ -21,17 +21,17 @@
 // Key identifies a counter or a histogram.
 type Key struct {
 	Name string
-	// Of is a label such as the queue, the store topic or an error kind. It may be
+	// Label is a label such as the queue, the store topic or an error kind. It may be
 	// empty.
-	Of string
+	Label string
 }
 
 // String returns the key in the form name{label}, or the name alone without a label.
 func (k Key) String() string {
-	if k.Of == "" {
+	if k.Label == "" {
 		return k.Name
 	}
-	return k.Name + "{" + k.Of + "}"
+	return k.Name + "{" + k.Label + "}"
 }
 
 // Set holds the counters and histograms of one process.
--- a/internal/operate/measure/measure_test.go
+++ b/internal/operate/measure/measure_test.go
@@ -13,8 +13,8 @@
 func TestWrite(t *testing.T) {
 	is := is.New(t)
 	s := measure.New()
-	s.Count(measure.Key{Name: "jobs_accepted", Of: "mail"})
-	s.Count(measure.Key{Name: "jobs_accepted", Of: "mail"})
+	s.Count(measure.Key{Name: "jobs_accepted", Label: "mail"})
+	s.Count(measure.Key{Name: "jobs_accepted", Label: "mail"})
 	s.Observe(measure.Key{Name: "take_over"}, 40*time.Millisecond)
 	s.Observe(measure.Key{Name: "take_over"}, 24*time.Hour) // Above the range of the histogram.
 	var text strings.Builder
