--- a/examples/examples.go
+++ b/examples/examples.go
@@ -3,9 +3,9 @@
 
 import "embed"
 
-// Files holds a folder for each deployment: deployment.json, customers.json and
-// entitlements.json. The folders of the customers also hold settings of an entry
-// VM, entry.json.
+// Files contains one folder for each deployment with deployment.json,
+// customers.json and entitlements.json. The folders hearthmark and lumiquote,
+// named after customers, also contain entry.json, the settings of an entry VM.
 //
 //go:embed hearthmark lumiquote small
 var Files embed.FS
--- a/internal/node/app/app.go
+++ b/internal/node/app/app.go
@@ -1,4 +1,5 @@
-// Package app is the command line of almondpost.
+// Package app implements the sub-commands of the almondpost program: running an
+// entry VM and the tools for operators.
 package app
 
 import (
@@ -11,7 +12,7 @@
 	"github.com/almondpost/almondpost/internal/node/fault"
 )
 
-// Exit statuses.
+// Exit statuses of Main.
 const (
 	ExitOK    = 0
 	ExitError = 1
@@ -23,20 +24,24 @@
 
 // The kinds of Error.
 const (
-	KindUsage  Kind = "usage"
+	// KindUsage means invalid flags, arguments or input files; the exit status
+	// is ExitUsage.
+	KindUsage Kind = "usage"
+	// KindFailed means that the command failed while it ran.
 	KindFailed Kind = "failed"
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// command is one sub-command.
+// command is one sub-command and its line in the help text.
 type command struct {
 	summary string
 	run     func(c *invocation) error
 }
 
-// invocation is one call of a sub-command.
+// invocation holds the arguments and output streams of one call of a
+// sub-command.
 type invocation struct {
 	flags  *flag.FlagSet
 	args   []string
@@ -47,20 +52,21 @@
 func commands() map[string]command {
 	return map[string]command{
 		"entry":      {"run an entry VM", runEntry},
-		"check":      {"check settings and the two lists", runCheck},
-		"settings":   {"print the settings that are in force", runSettings},
-		"publish":    {"publish the two lists", runPublish},
-		"report":     {"print the evidence that sharing pays", runReport},
+		"check":      {"check the settings and the customer and entitlement lists", runCheck},
+		"settings":   {"print the effective settings", runSettings},
+		"publish":    {"publish the customer and entitlement lists", runPublish},
+		"report":     {"compare the VM-hours and cost of the shared pool with a pool per plan", runReport},
 		"jobs":       {"show or cancel a job", runJobs},
-		"explain":    {"print the life of a job from log files", runExplain},
-		"quickstart": {"run the whole path with embedded stand-ins", runQuickstart},
+		"explain":    {"print the events of a job from log files", runExplain},
+		"quickstart": {"run example requests and jobs on an embedded cluster", runQuickstart},
 	}
 }
 
-// Main runs a sub-command and returns the exit status.
+// Main runs the sub-command that args[0] names and returns the exit status of
+// the process.
 func Main(args []string, stdout, stderr io.Writer) int {
 	if len(args) == 0 || args[0] == "help" || args[0] == "-h" || args[0] == "--help" {
-		usage(stdout)
+		printUsage(stdout)
 		if len(args) == 0 {
 			return ExitUsage
 		}
@@ -89,7 +95,7 @@
 	return ExitError
 }
 
-func usage(w io.Writer) {
+func printUsage(w io.Writer) {
 	_, _ = fmt.Fprintln(w, "almondpost shares one pool of VMs between customers.\n\nCommands:")
 	all := commands()
 	names := make([]string, 0, len(all))
@@ -103,7 +109,8 @@
 	_, _ = fmt.Fprintln(w, "\nalmondpost COMMAND -h lists the flags of a command.")
 }
 
-// parse parses the flags and refuses further arguments.
+// parse parses the flags. It returns an error of KindUsage for an invalid flag
+// or an argument that is not a flag.
 func (c *invocation) parse() error {
 	if err := c.flags.Parse(c.args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
--- a/internal/node/app/entry.go
+++ b/internal/node/app/entry.go
@@ -27,28 +27,33 @@
 )
 
 const (
-	// collectPercent trades memory, of which an entry VM uses little, for
-	// processor time.
-	collectPercent = 400
-	// memoryLimit makes the collector work harder before an entry VM reaches
-	// what it may use, in bytes.
-	memoryLimit = 200 << 20
+	// gcPercent makes the garbage collector run less often than the default of
+	// 100. An entry VM uses little memory, so this saves processor time.
+	gcPercent = 400
+	// memoryLimitBytes is the soft memory limit of the Go runtime. It is below
+	// what an entry VM may use, so that the garbage collector runs more often
+	// before that is reached.
+	memoryLimitBytes = 200 << 20
 )
 
-// Started is the line that an entry VM prints once it serves.
+// Started is the JSON line that the entry command prints when the entry VM
+// accepts connections. It names the listen addresses for callers and for other
+// entry VMs.
 type Started struct {
 	Name   string         `json:"name"`
 	Caller netip.AddrPort `json:"caller"`
 	Peer   netip.AddrPort `json:"peer"`
 }
 
-// settingsFlags adds the flags that override the settings file.
+// settingsFlags adds the flag that names the settings file and the flags that
+// override single settings. The returned function reads and validates the
+// settings after the flags were parsed.
 func settingsFlags(c *invocation) func() (settings.Settings, error) {
 	file := c.flags.String("settings", "", "JSON file with the settings")
-	name := c.flags.String("name", "", "overrides name")
-	domain := c.flags.String("domain", "", "overrides domain")
-	callerListen := c.flags.String("caller-listen", "", "overrides caller_listen")
-	peerListen := c.flags.String("peer-listen", "", "overrides peer_listen")
+	name := c.flags.String("name", "", "overrides the setting name")
+	domain := c.flags.String("domain", "", "overrides the setting domain")
+	callerListen := c.flags.String("caller-listen", "", "overrides the setting caller_listen")
+	peerListen := c.flags.String("peer-listen", "", "overrides the setting peer_listen")
 	return func() (settings.Settings, error) {
 		s := settings.Default()
 		if *file != "" {
@@ -65,7 +70,7 @@
 		}
 		for _, o := range []struct {
 			flag, text string
-			into       *netip.AddrPort
+			target     *netip.AddrPort
 		}{{"caller-listen", *callerListen, &s.CallerListen}, {"peer-listen", *peerListen, &s.PeerListen}} {
 			if o.text == "" {
 				continue
@@ -74,7 +79,7 @@
 			if err != nil {
 				return s, fault.Newf("settings", KindUsage, "flag %s, value %q: %w", o.flag, o.text, err)
 			}
-			*o.into = a
+			*o.target = a
 		}
 		if err := s.Validate(); err != nil {
 			return s, fault.New("settings", KindUsage, err)
@@ -105,8 +110,8 @@
 	if err != nil {
 		return err
 	}
-	debug.SetGCPercent(collectPercent)
-	debug.SetMemoryLimit(memoryLimit)
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(memoryLimitBytes)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	e, err := startEntry(common.New(s, c.stderr))
@@ -120,7 +125,8 @@
 	return nil
 }
 
-// entryVM is a running entry VM with its caller interface.
+// entryVM is a running entry VM: its node and the HTTP server for callers and
+// operators.
 type entryVM struct {
 	common  *common.Common
 	node    *daemon.Node
@@ -142,18 +148,19 @@
 	}
 	gateway := caller.New(node, c.Settings.BodyLimitBytes, c.Log)
 	e := &entryVM{common: c, node: node}
-	e.server, e.address = gateway.Server(e.debug), l.Addr().(*net.TCPAddr).AddrPort()
+	e.server, e.address = gateway.Server(e.addDebugRoutes), l.Addr().(*net.TCPAddr).AddrPort()
 	go func() { _ = e.server.Serve(l) }()
 	return e, nil
 }
 
-// cutRequest names what a test cuts off.
+// cutRequest is the body of POST /debug/cut: the failure domains, or
+// "platform", that fault injection cuts off.
 type cutRequest struct {
 	Names []string `json:"names"`
 }
 
-// debug adds the routes of fault injection.
-func (e *entryVM) debug(r chi.Router) {
+// addDebugRoutes adds the routes for profiles and for fault injection.
+func (e *entryVM) addDebugRoutes(r chi.Router) {
 	r.HandleFunc("/debug/pprof/profile", pprof.Profile)
 	r.Handle("/debug/pprof/goroutine", pprof.Handler("goroutine"))
 	r.Post("/debug/cut", jsonhttp.Handler(func(_ context.Context, q cutRequest) (cutRequest, error) {
@@ -164,12 +171,13 @@
 	}))
 }
 
-// balancerGrace is how long the balancer needs to notice that a VM is not
-// ready any more.
-const balancerGrace = time.Second
+// loadBalancerGrace is how long the load balancer may still send requests after
+// the readiness check begins to fail.
+const loadBalancerGrace = time.Second
 
-// shutdown stops without cutting a request: readiness goes off, workers are
-// handed over, open requests run to their end.
+// shutdown stops the entry VM gracefully: the readiness check fails, other
+// entry VMs take over its workers and jobs, and open requests run to their end.
+// All of this is bounded by the setting drain_timeout.
 func (e *entryVM) shutdown() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(e.common.Settings.DrainTimeout))
 	defer cancel()
@@ -178,7 +186,7 @@
 		defer close(drained)
 		e.node.Drain(ctx)
 	}()
-	time.Sleep(balancerGrace)
+	time.Sleep(loadBalancerGrace)
 	if err := e.server.Shutdown(ctx); err != nil {
 		e.common.Log.Error(err, "shutdown_cut_callers")
 	}
--- a/internal/node/app/explain.go
+++ b/internal/node/app/explain.go
@@ -8,7 +8,8 @@
 	"github.com/almondpost/almondpost/internal/operate/explain"
 )
 
-// runExplain prints the life of one job from log files.
+// runExplain prints the events of one job from the log files of several
+// processes.
 func runExplain(c *invocation) error {
 	if err := c.flags.Parse(c.args); err != nil {
 		return err
--- a/internal/node/app/lists.go
+++ b/internal/node/app/lists.go
@@ -16,14 +16,16 @@
 	"github.com/almondpost/almondpost/internal/state/plan"
 )
 
-// listFlags adds the flags that name the files of the two lists.
+// listFlags adds the flags that name the files of the customer list and the
+// entitlement list. The returned function reads and validates both lists after
+// the flags were parsed.
 func listFlags(c *invocation) func() (plan.Lists, error) {
 	customers := c.flags.String("customers", "", "JSON file with each customer's plans")
-	entitlements := c.flags.String("entitlements", "", "JSON file with what each plan may use")
+	entitlements := c.flags.String("entitlements", "", "JSON file with the shares and limits of each plan")
 	return func() (plan.Lists, error) {
 		var l plan.Lists
 		if *customers == "" || *entitlements == "" {
-			return l, fault.Newf("lists", KindUsage, "flags customers and entitlements are both needed")
+			return l, fault.Newf("lists", KindUsage, "flags -customers and -entitlements must both be given")
 		}
 		if err := readList(*customers, &l.Customers); err != nil {
 			return l, err
@@ -38,12 +40,12 @@
 	}
 }
 
-func readList(file string, into any) error {
+func readList(file string, target any) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return fault.New("lists", KindUsage, err)
 	}
-	if err := plan.DecodeStrict(data, into); err != nil {
+	if err := plan.DecodeStrict(data, target); err != nil {
 		return fault.New("lists", KindUsage, fmt.Errorf("file %s: %w", file, err))
 	}
 	return nil
@@ -79,14 +81,14 @@
 	return err
 }
 
-// publishTimeout bounds a publication.
+// publishTimeout bounds the calls to the log service of one publication.
 const publishTimeout = 30 * time.Second
 
 func runPublish(c *invocation) error {
 	lists := listFlags(c)
 	address := c.flags.String("log", "", "address of the log service")
-	basedOn := c.flags.Int64("based-on", -1, "offset of the configuration that was edited; -1 asks the log for the newest one")
-	operator := c.flags.String("operator", os.Getenv("USER"), "who publishes, shown to the loser of a conflict")
+	basedOn := c.flags.Int64("based-on", -1, "log offset of the configuration that the lists are based on; -1 stands for the newest one")
+	operator := c.flags.String("operator", os.Getenv("USER"), "name of the publisher, shown to an operator whose publication conflicts with this one")
 	if err := c.parse(); err != nil {
 		return err
 	}
@@ -116,6 +118,8 @@
 	return err
 }
 
+// baseOffset returns the offset of the -based-on flag, or that of the newest
+// configuration in the log if the flag is negative.
 func baseOffset(ctx context.Context, log logservice.Log, basedOn int64) (uint64, error) {
 	if basedOn >= 0 {
 		return uint64(basedOn), nil
--- a/internal/node/app/operator.go
+++ b/internal/node/app/operator.go
@@ -14,10 +14,11 @@
 	"github.com/almondpost/almondpost/internal/state/job"
 )
 
-// operatorTimeout bounds one call of an operator tool.
+// operatorTimeout bounds the HTTP calls of one operator command.
 const operatorTimeout = 30 * time.Second
 
-// entryFlag adds the flag that names an entry VM.
+// entryFlag adds the flag with the address of an entry VM. The returned
+// function returns the base URL of that entry VM after the flags were parsed.
 func entryFlag(c *invocation) func() (string, error) {
 	text := c.flags.String("entry", "", "caller address of any entry VM")
 	return func() (string, error) {
@@ -32,7 +33,7 @@
 func runReport(c *invocation) error {
 	entry := entryFlag(c)
 	asJSON := c.flags.Bool("json", false, "print JSON")
-	svg := c.flags.String("svg", "", "file for a plot")
+	svg := c.flags.String("svg", "", "SVG file to write a plot to")
 	if err := c.parse(); err != nil {
 		return err
 	}
@@ -43,7 +44,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
 	var r report.Report
-	if err := exchange(ctx, http.MethodGet, base+"/v1/report", nil, &r); err != nil {
+	if err := callJSON(ctx, http.MethodGet, base+"/v1/report", nil, &r); err != nil {
 		return fault.New("report", KindFailed, err)
 	}
 	if *svg != "" {
@@ -72,7 +73,7 @@
 
 func runJobs(c *invocation) error {
 	entry := entryFlag(c)
-	id := c.flags.String("id", "", "the job")
+	id := c.flags.String("id", "", "ID of the job")
 	cancelJob := c.flags.Bool("cancel", false, "cancel the job")
 	if err := c.parse(); err != nil {
 		return err
@@ -82,7 +83,7 @@
 		return err
 	}
 	if *id == "" {
-		return fault.Newf("flags", KindUsage, "flag id is missing")
+		return fault.Newf("flags", KindUsage, "flag -id is required")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
@@ -98,15 +99,15 @@
 		}
 		_ = r.Body.Close()
 		if r.StatusCode != http.StatusAccepted {
-			return fault.Newf("jobs", KindFailed, "status %d", r.StatusCode)
+			return fault.Newf("jobs", KindFailed, "cancel: unexpected HTTP status %d", r.StatusCode)
 		}
 	}
 	var s job.Status
-	if err := exchange(ctx, http.MethodGet, url, nil, &s); err != nil {
+	if err := callJSON(ctx, http.MethodGet, url, nil, &s); err != nil {
 		return fault.New("jobs", KindFailed, err)
 	}
 	if s.ID == "" {
-		return fault.Newf("jobs", KindFailed, "no job %s is known", *id)
+		return fault.Newf("jobs", KindFailed, "job %s does not exist", *id)
 	}
 	_, err = fmt.Fprintf(c.stdout, "id=%s state=%s tasks=%d ended=%d\n", s.ID, s.State, s.Tasks, s.Ended)
 	return err
--- a/internal/node/app/quickstart.go
+++ b/internal/node/app/quickstart.go
@@ -29,14 +29,16 @@
 
 const quickstartTimeout = 25 * time.Second
 
-// quickstart is the whole path in one process.
+// quickstart runs a small deployment in one process: stand-ins for the platform
+// and the workers, several entry VMs, and example requests and jobs of
+// customers.
 type quickstart struct {
-	platform standin.Server
-	entries  []*entryVM
-	out      io.Writer
-	log      netip.AddrPort
-	list     netip.AddrPort
-	store    *standin.Log
+	platform      standin.Server
+	entries       []*entryVM
+	output        io.Writer
+	logAddress    netip.AddrPort
+	vmListAddress netip.AddrPort
+	logService    *standin.Log
 }
 
 func runQuickstart(c *invocation) error {
@@ -50,12 +52,12 @@
 	if *verbose {
 		logs = c.stderr
 	}
-	q := &quickstart{out: c.stdout}
+	q := &quickstart{output: c.stdout}
 	defer q.close()
 	if err := q.start(ctx, logs); err != nil {
 		return fault.New("quickstart", KindFailed, err)
 	}
-	if err := q.work(ctx); err != nil {
+	if err := q.runExamples(ctx); err != nil {
 		return fault.New("quickstart", KindFailed, err)
 	}
 	return nil
@@ -69,7 +71,8 @@
 	q.platform.Close()
 }
 
-// start serves the stand-ins and the entry VMs, and publishes the lists.
+// start starts the stand-ins and the entry VMs, publishes the customer and
+// entitlement lists, and waits until every entry VM is ready.
 func (q *quickstart) start(ctx context.Context, logs io.Writer) error {
 	d, err := deployment.Load(examples.Files, "small")
 	if err != nil {
@@ -89,11 +92,11 @@
 		vms = append(vms, vmlist.VM{Name: w.Name, Role: vmlist.Worker, Domain: w.Domain, Rack: w.Rack, Address: addresses[w.Name]})
 	}
 	list := standin.NewVMs(vms)
-	q.store = standin.NewLog(standin.DefaultRetainedRecords)
-	if q.log, err = q.platform.Serve(loopback, q.store.Handler()); err != nil {
+	q.logService = standin.NewLog(standin.DefaultRetainedRecords)
+	if q.logAddress, err = q.platform.Serve(loopback, q.logService.Handler()); err != nil {
 		return err
 	}
-	if q.list, err = q.platform.Serve(loopback, list.Handler()); err != nil {
+	if q.vmListAddress, err = q.platform.Serve(loopback, list.Handler()); err != nil {
 		return err
 	}
 	for _, v := range d.Entries() {
@@ -103,17 +106,17 @@
 		}
 		list.Set(vmlist.VM{Name: v.Name, Role: vmlist.Entry, Domain: v.Domain, Address: e.node.PeerAddress()})
 	}
-	version, err := configuration.Publish(ctx, q.store, 0, "quickstart", d.Lists)
+	version, err := configuration.Publish(ctx, q.logService, 0, "quickstart", d.Lists)
 	if err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(q.out, "started %d entry VMs and %d workers in %d failure domains; lists in force from offset %d\n", len(q.entries), len(rows), len(d.Domains), version.Offset)
+	_, _ = fmt.Fprintf(q.output, "started %d entry VMs and %d workers in %d failure domains; customer and entitlement lists published at offset %d\n", len(q.entries), len(rows), len(d.Domains), version.Offset)
 	return q.awaitReady(ctx)
 }
 
 func (q *quickstart) startEntry(v deployment.Entry, logs io.Writer) (*entryVM, error) {
 	s := settings.Default()
-	s.Name, s.Domain, s.Log, s.VMList = v.Name, v.Domain, q.log, q.list
+	s.Name, s.Domain, s.Log, s.VMList = v.Name, v.Domain, q.logAddress, q.vmListAddress
 	for _, e := range q.entries {
 		s.Seeds = append(s.Seeds, e.node.PeerAddress())
 	}
@@ -124,8 +127,8 @@
 	return e, err
 }
 
-// readyPoll is the pause between checks.
-const readyPoll = 20 * time.Millisecond
+// readyPollInterval is the pause between readiness checks.
+const readyPollInterval = 20 * time.Millisecond
 
 func (q *quickstart) awaitReady(ctx context.Context) error {
 	for _, e := range q.entries {
@@ -133,19 +136,19 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			time.Sleep(readyPoll)
+			time.Sleep(readyPollInterval)
 		}
 	}
 	return nil
 }
 
-// example is one kind of work that the customers send.
-type example struct {
+// exampleRequest is a request of a customer and its title in the output.
+type exampleRequest struct {
 	title string
 	spec  request.Spec
 }
 
-func work(plan string, class plan.Class, run time.Duration) request.Spec {
+func newSpec(plan string, class plan.Class, run time.Duration) request.Spec {
 	payload, _ := json.Marshal(standin.Work{RunMilliseconds: run.Milliseconds(), Nonce: plan})
 	return request.Spec{
 		Plan: plan, Class: class, Kind: plan, Repeatable: true, RunTimeMilliseconds: run.Milliseconds(), Payload: payload,
@@ -153,76 +156,77 @@
 	}
 }
 
-func (q *quickstart) work(ctx context.Context) error {
-	letter := work("letters", plan.Normal, 200*time.Millisecond)
-	letter.Repeatable, letter.Key = false, ulid.Make().String()
-	examples := []example{
-		{"hearthmark, an inspector's snag sort (urgent)", work("snag-sorting", plan.Urgent, 300*time.Millisecond)},
-		{"lumiquote, an installer's fixture count (urgent)", work("fixture-counts", plan.Urgent, 200*time.Millisecond)},
-		{"hearthmark, a builder letter (not repeatable)", letter},
-		{"hearthmark, the same letter sent again", letter},
-	}
-	for i, x := range examples {
-		if err := q.request(ctx, x, q.entries[i%len(q.entries)]); err != nil {
+func (q *quickstart) runExamples(ctx context.Context) error {
+	letterSpec := newSpec("letters", plan.Normal, 200*time.Millisecond)
+	letterSpec.Repeatable, letterSpec.Key = false, ulid.Make().String()
+	requests := []exampleRequest{
+		{"hearthmark, an inspector's snag sort (urgent)", newSpec("snag-sorting", plan.Urgent, 300*time.Millisecond)},
+		{"lumiquote, an installer's fixture count (urgent)", newSpec("fixture-counts", plan.Urgent, 200*time.Millisecond)},
+		{"hearthmark, a builder letter (not repeatable)", letterSpec},
+		{"hearthmark, the same letter sent again", letterSpec},
+	}
+	for i, x := range requests {
+		if err := q.runRequest(ctx, x, q.entries[i%len(q.entries)]); err != nil {
 			return err
 		}
 	}
-	quotes := job.Spec{}
+	quotesJob := job.Spec{}
 	for range 6 {
-		quotes.Tasks = append(quotes.Tasks, work("quotes", plan.Overnight, 500*time.Millisecond))
+		quotesJob.Tasks = append(quotesJob.Tasks, newSpec("quotes", plan.Overnight, 500*time.Millisecond))
 	}
-	if err := q.job(ctx, "lumiquote, savings reports (overnight job)", quotes); err != nil {
+	if err := q.runJob(ctx, "lumiquote, savings reports (overnight job)", quotesJob); err != nil {
 		return err
 	}
-	quotes.Gang = true
-	if err := q.job(ctx, "lumiquote, recognition over all floors at once (gang)", quotes); err != nil {
+	quotesJob.Gang = true
+	if err := q.runJob(ctx, "lumiquote, recognition over all floors at once (gang)", quotesJob); err != nil {
 		return err
 	}
-	return q.report(ctx)
+	return q.printReport(ctx)
 }
 
-func (q *quickstart) request(ctx context.Context, x example, e *entryVM) error {
+func (q *quickstart) runRequest(ctx context.Context, x exampleRequest, e *entryVM) error {
 	began := time.Now()
 	var o request.Outcome
-	if err := exchange(ctx, http.MethodPost, fmt.Sprintf("http://%s/v1/requests", e.address), x.spec, &o); err != nil {
+	if err := callJSON(ctx, http.MethodPost, fmt.Sprintf("http://%s/v1/requests", e.address), x.spec, &o); err != nil {
 		return err
 	}
 	if o.State != request.Done || !o.Whole() {
-		return fault.Newf("request", KindFailed, "%s: %s %s", x.title, o.State, o.Reason)
+		return fault.Newf("request", KindFailed, "%s: state %s, reason %s", x.title, o.State, o.Reason)
 	}
-	_, _ = fmt.Fprintf(q.out, "%-56s %s after %d ms: %s\n", x.title, o.State, time.Since(began).Milliseconds(), o.Answer)
+	_, _ = fmt.Fprintf(q.output, "%-56s %s after %d ms: %s\n", x.title, o.State, time.Since(began).Milliseconds(), o.Answer)
 	return nil
 }
 
-func (q *quickstart) job(ctx context.Context, title string, spec job.Spec) error {
+func (q *quickstart) runJob(ctx context.Context, title string, spec job.Spec) error {
 	began := time.Now()
 	var s job.Status
 	base := fmt.Sprintf("http://%s/v1/jobs", q.entries[0].address)
-	if err := exchange(ctx, http.MethodPost, base, spec, &s); err != nil {
+	if err := callJSON(ctx, http.MethodPost, base, spec, &s); err != nil {
 		return err
 	}
-	if err := exchange(ctx, http.MethodGet, base+"/"+s.ID+"?wait_milliseconds=20000", nil, &s); err != nil {
+	if err := callJSON(ctx, http.MethodGet, base+"/"+s.ID+"?wait_milliseconds=20000", nil, &s); err != nil {
 		return err
 	}
 	if s.State != request.Done {
-		return fault.Newf("job", KindFailed, "%s: %s, %d of %d tasks", title, s.State, s.Ended, s.Tasks)
+		return fault.Newf("job", KindFailed, "%s: state %s, %d of %d tasks ended", title, s.State, s.Ended, s.Tasks)
 	}
-	_, _ = fmt.Fprintf(q.out, "%-56s %s after %d ms: %d of %d tasks\n", title, s.State, time.Since(began).Milliseconds(), s.Ended, s.Tasks)
+	_, _ = fmt.Fprintf(q.output, "%-56s %s after %d ms: %d of %d tasks\n", title, s.State, time.Since(began).Milliseconds(), s.Ended, s.Tasks)
 	return nil
 }
 
-func (q *quickstart) report(ctx context.Context) error {
+func (q *quickstart) printReport(ctx context.Context) error {
 	var r report.Report
-	if err := exchange(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/report", q.entries[0].address), nil, &r); err != nil {
+	if err := callJSON(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/report", q.entries[0].address), nil, &r); err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintln(q.out)
-	r.WriteTable(q.out)
+	_, _ = fmt.Fprintln(q.output)
+	r.WriteTable(q.output)
 	return nil
 }
 
-// exchange makes one HTTP call with JSON on both sides.
-func exchange(ctx context.Context, method, url string, body, reply any) error {
+// callJSON makes one HTTP call. It sends body as JSON, unless it is nil, and
+// decodes the response into reply whatever the status code is.
+func callJSON(ctx context.Context, method, url string, body, reply any) error {
 	var data []byte
 	if body != nil {
 		var err error
--- a/internal/node/clock/clock.go
+++ b/internal/node/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock tells a time that never jumps and counts the time for which the
-// VM was suspended.
+// Package clock provides a monotonic clock that also advances while the VM is
+// suspended. Adjustments of the system time do not affect it.
 package clock
 
 import (
@@ -8,21 +8,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// start and startBoot relate the clock to the time of day when the process
-// began.
+// startTime is the system time when the process started, and startSinceBoot the
+// time since boot at the same moment. Now adds the time since then.
 var (
-	start     = time.Now().Round(0)
-	startBoot = boot()
+	startTime      = time.Now().Round(0)
+	startSinceBoot = timeSinceBoot()
 )
 
-func boot() time.Duration {
+// timeSinceBoot returns the time since boot, including the time that the VM was
+// suspended.
+func timeSinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // The clock exists on every kernel that Go supports.
+		panic(err) // Every kernel that Go supports has CLOCK_BOOTTIME.
 	}
 	return time.Duration(t.Nano())
 }
 
-// Now returns the time. It is close to the time of day when the process started
-// and runs evenly from then on.
-func Now() time.Time { return start.Add(boot() - startBoot) }
+// Now returns the system time at the start of the process plus the time that
+// has passed since. Later adjustments of the system time are ignored, so it may
+// differ from time.Now.
+func Now() time.Time { return startTime.Add(timeSinceBoot() - startSinceBoot) }
--- a/internal/node/common/common.go
+++ b/internal/node/common/common.go
@@ -1,5 +1,5 @@
-// Package common holds what every part of the daemon is built over: the log
-// and the settings.
+// Package common bundles the logger and the settings of an entry VM, which all
+// of its parts share.
 package common
 
 import (
@@ -11,13 +11,14 @@
 	"github.com/almondpost/almondpost/internal/node/settings"
 )
 
-// Common is shared by all parts of one daemon.
+// Common holds the logger and the settings of one entry VM.
 type Common struct {
 	Log      logr.Logger
 	Settings settings.Settings
 }
 
-// New returns a Common that logs to a writer, one key=value line per event.
+// New returns a Common whose logger writes one key=value line per event to w.
+// The settings give the verbosity and the VM name on each line.
 func New(s settings.Settings, w io.Writer) *Common {
 	handler := slog.NewTextHandler(w, &slog.HandlerOptions{
 		Level: slog.Level(-s.LogVerbosity),
--- a/internal/node/fault/fault.go
+++ b/internal/node/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault holds the shape that every package's error type shares: the
-// operation that failed, a machine-readable kind, and the cause.
+// Package fault provides the generic error type of all packages: the operation
+// that failed, a machine-readable kind, and the cause.
 package fault
 
 import (
@@ -7,23 +7,25 @@
 	"fmt"
 )
 
-// Error is an error with an operation and a kind. Packages alias it with their
-// own kind type, so that kinds of different packages never mix.
+// Error is an error with an operation and a kind. Each package defines an alias
+// with its own kind type, so that the compiler keeps their kinds apart.
 type Error[K ~string] struct {
-	// Operation names what was attempted, for example "publish".
+	// Operation is the operation that failed, for example "publish".
 	Operation string
-	// Kind is stable and safe to branch on.
+	// Kind classifies the error. Its values are stable, so callers may branch
+	// on it.
 	Kind K
 	// Err is the cause; it may be nil.
 	Err error
 }
 
-// New builds an Error.
+// New returns an Error that wraps err.
 func New[K ~string](operation string, kind K, err error) *Error[K] {
 	return &Error[K]{Operation: operation, Kind: kind, Err: err}
 }
 
-// Newf builds an Error whose cause is a formatted message.
+// Newf returns an Error whose cause is built by fmt.Errorf, so %w wraps an
+// error.
 func Newf[K ~string](operation string, kind K, format string, args ...any) *Error[K] {
 	return New(operation, kind, fmt.Errorf(format, args...))
 }
@@ -39,8 +41,8 @@
 // Unwrap returns the cause.
 func (e *Error[K]) Unwrap() error { return e.Err }
 
-// KindOf returns the kind of the first error of type *Error[K] in the chain,
-// or the empty kind when there is none.
+// KindOf returns the kind of the first *Error[K] in the chain of err, or the
+// empty kind if there is none.
 func KindOf[K ~string](err error) K {
 	var e *Error[K]
 	if errors.As(err, &e) {
@@ -49,14 +51,14 @@
 	return ""
 }
 
-// KindOr is KindOf, but for errors without a kind it returns another one. Only
-// nil has the empty kind.
-func KindOr[K ~string](err error, otherwise K) K {
+// KindOr is like KindOf, but returns fallback for an error without a kind. It
+// returns the empty kind only if err is nil.
+func KindOr[K ~string](err error, fallback K) K {
 	if err == nil {
 		return ""
 	}
 	if k := KindOf[K](err); k != "" {
 		return k
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/node/settings/settings.go
+++ b/internal/node/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads and checks the settings of an entry VM.
+// Package settings reads the settings file of an entry VM and validates it.
 package settings
 
 import (
@@ -18,14 +18,16 @@
 
 // The kinds of Error.
 const (
+	// KindUnreadable means that the settings file cannot be read.
 	KindUnreadable Kind = "unreadable"
-	KindInvalid    Kind = "invalid"
+	// KindInvalid means that the file is malformed or a value is out of range.
+	KindInvalid Kind = "invalid"
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Duration is a time.Duration that is written as text, for example "1.5s".
+// Duration is a time.Duration whose JSON form is text, for example "1.5s".
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
@@ -33,8 +35,8 @@
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
-	v, err := time.ParseDuration(string(text))
-	*d = Duration(v)
+	parsed, err := time.ParseDuration(string(text))
+	*d = Duration(parsed)
 	return err
 }
 
@@ -44,46 +46,51 @@
 	Name string `json:"name"`
 	// Domain is the failure domain of the VM.
 	Domain string `json:"domain"`
-	// CallerListen is where callers and operators connect, over HTTP.
+	// CallerListen is the HTTP listen address for callers and operators.
 	CallerListen netip.AddrPort `json:"caller_listen"`
-	// PeerListen is where other entry VMs connect, over TCP and UDP.
+	// PeerListen is the TCP and UDP listen address for other entry VMs.
 	PeerListen netip.AddrPort `json:"peer_listen"`
-	// PeerAdvertise is the address that others are told; the default is
-	// PeerListen.
+	// PeerAdvertise is the address at which other entry VMs reach this one. If it
+	// is not set, the address that PeerListen was bound to is used.
 	PeerAdvertise netip.AddrPort `json:"peer_advertise"`
 	// Log is the address of the platform's log service.
 	Log netip.AddrPort `json:"log"`
 	// VMList is the address of the platform's VM list.
 	VMList netip.AddrPort `json:"vm_list"`
-	// Seeds are peer addresses of entry VMs to greet at start.
+	// Seeds are peer addresses of entry VMs that get heartbeats even before the
+	// VM list is read.
 	Seeds []netip.AddrPort `json:"seeds"`
-	// HeartbeatInterval is the pause between heartbeats.
+	// HeartbeatInterval is the interval between heartbeats.
 	HeartbeatInterval Duration `json:"heartbeat_interval"`
-	// SuspectAfter is the silence after which a peer gets no new work.
+	// SuspectAfter is the time without a heartbeat after which a peer gets no
+	// new work.
 	SuspectAfter Duration `json:"suspect_after"`
-	// RemoveAfter is the silence after which a peer loses its workers.
+	// RemoveAfter is the time without a heartbeat after which other entry VMs
+	// take over the workers of a peer.
 	RemoveAfter Duration `json:"remove_after"`
-	// VMListInterval is the pause between reads of the VM list.
+	// VMListInterval is the interval between reads of the VM list.
 	VMListInterval Duration `json:"vm_list_interval"`
-	// WaitingLimit bounds the tasks that wait on this VM.
+	// WaitingLimit bounds the tasks that are queued on this VM.
 	WaitingLimit int `json:"waiting_limit"`
-	// OpenLimit bounds the requests that are open on this VM.
+	// OpenLimit bounds the requests that were submitted to this VM and have not
+	// ended.
 	OpenLimit int `json:"open_limit"`
-	// PayloadLimitBytes bounds the payloads of all open requests, and again those
-	// of all attempts that wait or run here.
+	// PayloadLimitBytes bounds the total payload of all open requests. The same
+	// limit applies separately to the attempts that are queued or run on the
+	// workers of this VM.
 	PayloadLimitBytes int64 `json:"payload_limit_bytes"`
 	// BodyLimitBytes bounds the body of a caller's request.
 	BodyLimitBytes int64 `json:"body_limit_bytes"`
 	// DrainTimeout bounds a graceful shutdown.
 	DrainTimeout Duration `json:"drain_timeout"`
-	// FaultInjection lets tests cut failure domains off through
-	// POST /debug/cut. It is off outside of tests.
+	// FaultInjection lets tests simulate network partitions between failure
+	// domains through POST /debug/cut. It is off outside of tests.
 	FaultInjection bool `json:"fault_injection"`
-	// LogVerbosity is 0 for events and 1 for details.
+	// LogVerbosity 0 logs events only; higher values add details.
 	LogVerbosity int `json:"log_verbosity"`
 }
 
-// Default returns the settings that hold where the file says nothing.
+// Default returns the values of settings that the file does not set.
 func Default() Settings {
 	loopback := netip.MustParseAddr("127.0.0.1")
 	return Settings{
@@ -103,7 +110,8 @@
 	}
 }
 
-// Load reads a file over the defaults. Unknown fields are refused.
+// Load returns the defaults overridden by the fields of a JSON file. An unknown
+// field is an error. The values are not validated.
 func Load(file string) (Settings, error) {
 	s := Default()
 	data, err := os.ReadFile(file)
@@ -118,24 +126,27 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// limit is the accepted range of a number.
-type limit struct {
-	field         string
-	value         int64
-	least, most   int64
-	formatSeconds bool
+// boundedSetting is a numeric setting and the range of its accepted values.
+type boundedSetting struct {
+	field            string
+	value            int64
+	minimum, maximum int64
+	// isDuration means that the numbers are nanoseconds and that errors print
+	// them as durations.
+	isDuration bool
 }
 
-// Validate checks every field; the error names field, value and reason.
+// Validate checks every field. The error names the first invalid field, its
+// value and the reason.
 func (s Settings) Validate() error {
-	bad := func(field string, value any, reason string) error {
+	invalid := func(field string, value any, reason string) error {
 		return fault.Newf("validate", KindInvalid, "field %s, value %v: %s", field, value, reason)
 	}
 	if !namePattern.MatchString(s.Name) {
-		return bad("name", s.Name, "must match "+namePattern.String())
+		return invalid("name", s.Name, "must match "+namePattern.String())
 	}
 	if !namePattern.MatchString(s.Domain) {
-		return bad("domain", s.Domain, "must match "+namePattern.String())
+		return invalid("domain", s.Domain, "must match "+namePattern.String())
 	}
 	addresses := []struct {
 		field   string
@@ -143,30 +154,30 @@
 	}{{"caller_listen", s.CallerListen}, {"peer_listen", s.PeerListen}, {"log", s.Log}, {"vm_list", s.VMList}}
 	for _, a := range addresses {
 		if !a.address.IsValid() {
-			return bad(a.field, a.address, "must be an IP address and a port")
+			return invalid(a.field, a.address, "must be an IP address and a port")
 		}
 	}
-	for _, l := range s.limits() {
-		if l.value < l.least || l.value > l.most {
-			if l.formatSeconds {
-				return bad(l.field, time.Duration(l.value), fmt.Sprintf("must be between %s and %s", time.Duration(l.least), time.Duration(l.most)))
+	for _, l := range s.boundedSettings() {
+		if l.value < l.minimum || l.value > l.maximum {
+			if l.isDuration {
+				return invalid(l.field, time.Duration(l.value), fmt.Sprintf("must be between %s and %s", time.Duration(l.minimum), time.Duration(l.maximum)))
 			}
-			return bad(l.field, l.value, fmt.Sprintf("must be between %d and %d", l.least, l.most))
+			return invalid(l.field, l.value, fmt.Sprintf("must be between %d and %d", l.minimum, l.maximum))
 		}
 	}
 	return nil
 }
 
-func (s Settings) limits() []limit {
-	seconds := func(field string, d Duration, least, most time.Duration) limit {
-		return limit{field, int64(d), int64(least), int64(most), true}
+func (s Settings) boundedSettings() []boundedSetting {
+	duration := func(field string, d Duration, minimum, maximum time.Duration) boundedSetting {
+		return boundedSetting{field, int64(d), int64(minimum), int64(maximum), true}
 	}
-	return []limit{
-		seconds("heartbeat_interval", s.HeartbeatInterval, 50*time.Millisecond, 10*time.Second),
-		seconds("suspect_after", s.SuspectAfter, time.Duration(s.HeartbeatInterval), time.Minute),
-		seconds("remove_after", s.RemoveAfter, time.Duration(s.SuspectAfter), 2*time.Minute),
-		seconds("vm_list_interval", s.VMListInterval, 50*time.Millisecond, time.Minute),
-		seconds("drain_timeout", s.DrainTimeout, time.Second, time.Hour),
+	return []boundedSetting{
+		duration("heartbeat_interval", s.HeartbeatInterval, 50*time.Millisecond, 10*time.Second),
+		duration("suspect_after", s.SuspectAfter, time.Duration(s.HeartbeatInterval), time.Minute),
+		duration("remove_after", s.RemoveAfter, time.Duration(s.SuspectAfter), 2*time.Minute),
+		duration("vm_list_interval", s.VMListInterval, 50*time.Millisecond, time.Minute),
+		duration("drain_timeout", s.DrainTimeout, time.Second, time.Hour),
 		{"waiting_limit", int64(s.WaitingLimit), 1, 1_000_000, false},
 		{"open_limit", int64(s.OpenLimit), 1, 1_000_000, false},
 		{"payload_limit_bytes", s.PayloadLimitBytes, s.BodyLimitBytes, 1 << 30, false},
--- a/internal/node/shard/map.go
+++ b/internal/node/shard/map.go
@@ -1,4 +1,5 @@
-// Package shard holds a map whose parts are guarded by locks of their own.
+// Package shard provides a concurrent map that is split into shards with a
+// mutex each, which reduces lock contention.
 package shard
 
 import (
@@ -7,14 +8,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-const shards = 32
+const shardCount = 32
 
-// Map is a map from strings that may be used concurrently.
+// Map is a map with string keys that is safe for concurrent use. A key is
+// assigned to a shard by its hash.
 type Map[V any] struct {
-	parts [shards]part[V]
+	shards [shardCount]shard[V]
 }
 
-type part[V any] struct {
+type shard[V any] struct {
 	mutex  sync.Mutex
 	values map[string]V
 }
@@ -22,63 +24,64 @@
 // New returns an empty map.
 func New[V any]() *Map[V] {
 	m := &Map[V]{}
-	for i := range m.parts {
-		m.parts[i].values = map[string]V{}
+	for i := range m.shards {
+		m.shards[i].values = map[string]V{}
 	}
 	return m
 }
 
-func (m *Map[V]) part(key string) *part[V] {
-	return &m.parts[xxhash.Sum64String(key)%shards]
+func (m *Map[V]) shardOf(key string) *shard[V] {
+	return &m.shards[xxhash.Sum64String(key)%shardCount]
 }
 
-// Get returns the value of a key.
+// Get returns the value of a key and whether the key exists.
 func (m *Map[V]) Get(key string) (V, bool) {
-	p := m.part(key)
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	v, ok := p.values[key]
+	s := m.shardOf(key)
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	v, ok := s.values[key]
 	return v, ok
 }
 
-// Set stores a value.
+// Set adds a key or replaces its value.
 func (m *Map[V]) Set(key string, v V) {
-	p := m.part(key)
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.values[key] = v
+	s := m.shardOf(key)
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.values[key] = v
 }
 
-// Delete removes a key.
+// Delete removes a key if it exists.
 func (m *Map[V]) Delete(key string) {
-	p := m.part(key)
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	delete(p.values, key)
+	s := m.shardOf(key)
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	delete(s.values, key)
 }
 
-// Len returns the number of keys.
+// Len returns the number of keys. It locks one shard after the other, so the
+// result may be inexact while other goroutines change the map.
 func (m *Map[V]) Len() int {
 	n := 0
-	for i := range m.parts {
-		m.parts[i].mutex.Lock()
-		n += len(m.parts[i].values)
-		m.parts[i].mutex.Unlock()
+	for i := range m.shards {
+		m.shards[i].mutex.Lock()
+		n += len(m.shards[i].values)
+		m.shards[i].mutex.Unlock()
 	}
 	return n
 }
 
-// DeleteIf removes every entry for which f is true. One shard is locked at a
-// time; f must not use the map.
+// DeleteIf removes every key for which f returns true. It locks one shard at a
+// time and calls f under that lock, so f must not use the map.
 func (m *Map[V]) DeleteIf(f func(key string, v V) bool) {
-	for i := range m.parts {
-		p := &m.parts[i]
-		p.mutex.Lock()
-		for k, v := range p.values {
+	for i := range m.shards {
+		s := &m.shards[i]
+		s.mutex.Lock()
+		for k, v := range s.values {
 			if f(k, v) {
-				delete(p.values, k)
+				delete(s.values, k)
 			}
 		}
-		p.mutex.Unlock()
+		s.mutex.Unlock()
 	}
 }
