--- a/internal/node/daemon/job_calls.go
+++ b/internal/node/daemon/job_calls.go
@@ -10,50 +10,54 @@
 	"github.com/almondpost/almondpost/internal/state/job"
 )
 
-// SubmitJob accepts a job once it is in the log.
+// SubmitJob implements caller.Service. It accepts a job by writing it to the
+// log.
 func (n *Node) SubmitJob(ctx context.Context, spec job.Spec) job.Status {
 	return n.jobs.submit(ctx, spec)
 }
 
 func (j *Jobs) submit(ctx context.Context, spec job.Spec) job.Status {
 	id := j.node.NewID()
-	if reason, after := j.node.requests.admission(spec.Tasks[0]); reason != "" {
+	if reason, after := j.node.requests.checkAdmission(spec.Tasks[0]); reason != "" {
 		return job.Status{ID: id, State: request.NotRun, Reason: reason, RetryAfterMilliseconds: after.Milliseconds()}
 	}
-	if !j.logAnswers() {
-		return job.Status{ID: id, State: request.NotRun, Reason: reasonLogAway, RetryAfterMilliseconds: retryAfterLog.Milliseconds()}
+	if !j.isLogReachable() {
+		return job.Status{ID: id, State: request.NotRun, Reason: reasonLogUnavailable, RetryAfterMilliseconds: retryAfterLogOutage.Milliseconds()}
 	}
-	ctx, cancel := context.WithTimeout(ctx, appendWait)
+	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	record := job.Record{Action: job.Accepted, By: j.self, Job: id, Spec: &spec}
 	_, err := j.node.recorder.Append(ctx, j.stream(), record.Encode())
 	if err != nil {
-		// The append may have taken effect, so the caller can not be told
-		// that the job did not run.
-		return job.Status{ID: id, State: request.MayHaveRun, Reason: reasonLogAway, Tasks: len(spec.Tasks)}
+		// The append may have taken effect, so the state must not be "not run".
+		return job.Status{ID: id, State: request.MayHaveRun, Reason: reasonLogUnavailable, Tasks: len(spec.Tasks)}
 	}
 	return job.Status{ID: id, State: request.Pending, Tasks: len(spec.Tasks)}
 }
 
-// reasonLogAway is given while the log gives no answer.
-const reasonLogAway = "log_unavailable"
+// reasonLogUnavailable is the reason for refusing jobs while the log does not
+// answer.
+const reasonLogUnavailable = "log_unavailable"
 
-// logAnswers reports whether the log was read a short time ago, so that a job
-// can be refused without an append whose outcome would be unknown.
-func (j *Jobs) logAnswers() bool {
+// isLogReachable reports whether the log was read within jobLease. If it was
+// not, a job is refused at once, instead of trying an append whose outcome may
+// be unknown.
+func (j *Jobs) isLogReachable() bool {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	return time.Since(j.confirmed) < jobLease
+	return time.Since(j.confirmedAt) < jobLease
 }
 
-// FetchJob returns the state of a job of any failure domain.
+// FetchJob implements caller.Service. It returns the state of a job of any
+// failure domain and waits for its end. It returns false if no entry VM that
+// answers knows the job.
 func (n *Node) FetchJob(ctx context.Context, id string, wait time.Duration) (job.Status, bool) {
 	domain, _, ok := splitID(id)
 	if !ok {
 		return job.Status{}, false
 	}
 	if domain == n.Settings.Domain {
-		return n.jobs.wait(ctx, id, wait)
+		return n.jobs.awaitEnd(ctx, id, wait)
 	}
 	for _, t := range n.Targets() {
 		if t.Domain != domain || !t.Reachable {
@@ -70,7 +74,9 @@
 	return job.Status{}, false
 }
 
-func (j *Jobs) wait(ctx context.Context, id string, wait time.Duration) (job.Status, bool) {
+// awaitEnd returns the status of a job of this failure domain once the job has
+// ended, wait is over or ctx ends. It returns false if the job is unknown.
+func (j *Jobs) awaitEnd(ctx context.Context, id string, wait time.Duration) (job.Status, bool) {
 	timer := time.NewTimer(min(wait, maxFetchWait))
 	defer timer.Stop()
 	for {
@@ -94,7 +100,8 @@
 	}
 }
 
-// CancelJob asks the holder of a job to stop it, through the log.
+// CancelJob implements caller.Service. It writes the cancellation to the log,
+// from where the holder of the job reads it.
 func (n *Node) CancelJob(ctx context.Context, id string) error {
 	domain, _, _ := splitID(id)
 	record := job.Record{Action: job.Cancelled, By: n.jobs.self, Job: id}
--- a/internal/node/daemon/job_run.go
+++ b/internal/node/daemon/job_run.go
@@ -9,8 +9,9 @@
 	"github.com/almondpost/almondpost/internal/state/job"
 )
 
-// run runs the tasks of a job that have not ended.
-func (j *Jobs) run(ctx context.Context, r *jobRun, id string) {
+// runJob runs the tasks of a job that have not ended. If the job had an earlier
+// holder, it first looks for the attempts that this holder left.
+func (j *Jobs) runJob(ctx context.Context, r *jobRun, id string) {
 	j.mutex.Lock()
 	k := j.table.Job(id)
 	if k == nil {
@@ -18,10 +19,10 @@
 		return
 	}
 	tasks := map[string]int{}
-	var left []int
+	var unfinished []int
 	for i, o := range k.Outcomes {
 		if o == nil {
-			left = append(left, i)
+			unfinished = append(unfinished, i)
 			tasks[k.TaskID(i)] = k.Generation
 		}
 	}
@@ -35,12 +36,12 @@
 			j.node.Log.Error(err, "takeover_unresolved", "job", id)
 		}
 	}
-	left = j.settleStarted(r, id, left, started, found)
-	if spec.Gang && len(found) == 0 && len(left) > 0 && j.recordStarts(ctx, r, id, left, spec) {
-		found = j.placeGang(ctx, r, id, left, spec)
+	unfinished = j.endUntraceableTasks(r, id, unfinished, started, found)
+	if spec.Gang && len(found) == 0 && len(unfinished) > 0 && j.recordStarts(ctx, r, id, unfinished, spec) {
+		found = j.startGang(ctx, r, id, unfinished, spec)
 	}
 	slots := make(chan struct{}, maxTasksInFlight)
-	for _, i := range left {
+	for _, i := range unfinished {
 		slots <- struct{}{}
 		go func() {
 			defer func() { <-slots }()
@@ -49,28 +50,30 @@
 	}
 }
 
-// listedFor is how long workers surely list an attempt after its start, less a
-// margin for the difference between the clocks of two holders.
-const listedFor = 90 * time.Second
+// attemptListRetention is how long after its start an attempt is certain to be
+// listed by its worker, less a margin for the difference between the clocks of
+// two holders.
+const attemptListRetention = 90 * time.Second
 
-// settleStarted ends the tasks that may not repeat and may have run under a
-// former holder so long ago that no worker lists them any more. It returns the
-// other tasks.
-func (j *Jobs) settleStarted(r *jobRun, id string, left []int, started []time.Time, found map[string]request.Found) []int {
-	var others []int
-	for _, i := range left {
-		if _, ok := found[job.TaskID(id, i)]; ok || started[i].IsZero() || time.Since(started[i]) < listedFor {
-			others = append(others, i)
+// endUntraceableTasks ends tasks that must not run twice and whose outcome
+// cannot be found any more: a former holder may have started them longer ago
+// than attemptListRetention, and no attempt was found. It records that they may
+// have run and returns the remaining tasks.
+func (j *Jobs) endUntraceableTasks(r *jobRun, id string, unfinished []int, started []time.Time, found map[string]request.Found) []int {
+	var remaining []int
+	for _, i := range unfinished {
+		if _, ok := found[job.TaskID(id, i)]; ok || started[i].IsZero() || time.Since(started[i]) < attemptListRetention {
+			remaining = append(remaining, i)
 			continue
 		}
-		j.recordEnd(r, id, i, request.Outcome{ID: job.TaskID(id, i), State: request.MayHaveRun, Reason: reasonHolder})
+		j.recordEnd(r, id, i, request.Outcome{ID: job.TaskID(id, i), State: request.MayHaveRun, Reason: reasonHolderUnreachable})
 	}
-	return others
+	return remaining
 }
 
-// recordStarts writes to the log that tasks which may not repeat are about to
-// start. It reports whether they may: the records are in the log, and this
-// process held the job at that point.
+// recordStarts writes to the log that the tasks which must not run twice are
+// about to start. It reports whether they may start: all records are in the log
+// and this process holds the job.
 func (j *Jobs) recordStarts(ctx context.Context, r *jobRun, id string, tasks []int, spec job.Spec) bool {
 	for _, i := range tasks {
 		if !spec.Tasks[i].Repeatable && !j.recordStart(ctx, r, id, i) {
@@ -80,24 +83,29 @@
 	return true
 }
 
-func (j *Jobs) recordStart(ctx context.Context, r *jobRun, id string, i int) bool {
-	record := job.Record{Action: job.TaskStarted, By: j.self, Job: id, Task: i, At: time.Now()}
-	offset, ok := j.insist(ctx, r, record.Encode())
+// recordStart writes to the log that a task is about to start. It reports
+// whether the task may start: the record was applied and this process holds the
+// job.
+func (j *Jobs) recordStart(ctx context.Context, r *jobRun, id string, task int) bool {
+	record := job.Record{Action: job.TaskStarted, By: j.self, Job: id, Task: task, At: time.Now()}
+	offset, ok := j.appendWithRetry(ctx, r, record.Encode())
 	if !ok || !j.awaitOffset(ctx, offset) {
 		return false
 	}
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	k := j.table.Job(id)
-	return k != nil && !k.Started[i].IsZero() && k.Holder == j.self
+	return k != nil && !k.Started[task].IsZero() && k.Holder == j.self
 }
 
-// placeGang holds room for all tasks at once and starts them. After a takeover
-// that found some of them running, the others are run one by one instead.
-func (j *Jobs) placeGang(ctx context.Context, r *jobRun, id string, left []int, spec job.Spec) map[string]request.Found {
-	works := make([]request.Work, 0, len(left))
-	for _, i := range left {
-		works = append(works, j.workOf(r, id, i, spec.Tasks[i]))
+// startGang reserves capacity for all given tasks at once, starts them and
+// returns their attempts. It returns nil if the job was cancelled or has
+// another holder. It is not used if a takeover found attempts of the gang; the
+// other tasks then start one by one.
+func (j *Jobs) startGang(ctx context.Context, r *jobRun, id string, unfinished []int, spec job.Spec) map[string]request.Found {
+	works := make([]request.Work, 0, len(unfinished))
+	for _, i := range unfinished {
+		works = append(works, j.newWork(r, id, i, spec.Tasks[i]))
 	}
 	placed, err := j.node.runner.Gang(ctx, j.node.Settings.Domain, works)
 	if err != nil {
@@ -106,74 +114,80 @@
 	found := map[string]request.Found{}
 	for i, p := range placed {
 		attempt, target := j.node.runner.Commit(p)
-		found[job.TaskID(id, left[i])] = request.Found{Attempt: attempt, Owner: target}
+		found[job.TaskID(id, unfinished[i])] = request.Found{Attempt: attempt, Owner: target}
 	}
 	j.node.Log.Info("gang_started", "job", id, "tasks", len(placed))
 	return found
 }
 
-func (j *Jobs) workOf(r *jobRun, id string, i int, spec request.Spec) request.Work {
+// newWork returns the work of one task for the runner, restricted to this
+// failure domain and to the time for which this process holds the job.
+func (j *Jobs) newWork(r *jobRun, id string, task int, spec request.Spec) request.Work {
 	return request.Work{
-		ID: job.TaskID(id, i), Customer: j.node.store.Current().Index.Customer(spec.Plan), Spec: spec, Submitted: time.Now(),
-		Domain: j.node.Settings.Domain, Generation: r.generation, Permit: j.permitted, Abandoned: r.abandon,
+		ID: job.TaskID(id, task), Customer: j.node.configuration.Current().Index.Customer(spec.Plan), Spec: spec, Submitted: time.Now(),
+		Domain: j.node.Settings.Domain, Generation: r.generation, Permit: j.mayStartWork, Abandoned: r.abandoned,
 	}
 }
 
-// runTask runs one task until it has an outcome that is final, and records it.
-func (j *Jobs) runTask(ctx context.Context, r *jobRun, id string, i int, spec request.Spec, found request.Found) {
-	w := j.workOf(r, id, i, spec)
-	if !spec.Repeatable && found.Attempt.Attempt == "" && !j.recordStart(ctx, r, id, i) {
+// runTask runs one task until it has a final outcome and records that outcome.
+// A task that was found running is followed instead of started again.
+func (j *Jobs) runTask(ctx context.Context, r *jobRun, id string, task int, spec request.Spec, found request.Found) {
+	w := j.newWork(r, id, task, spec)
+	if !spec.Repeatable && found.Attempt.Attempt == "" && !j.recordStart(ctx, r, id, task) {
 		if ctx.Err() != nil {
-			j.recordEnd(r, id, i, request.Outcome{ID: w.ID, State: request.Cancelled})
+			j.recordEnd(r, id, task, request.Outcome{ID: w.ID, State: request.Cancelled})
 		}
 		return
 	}
 	w.Known, w.KnownAt = found.Attempt, found.Owner
 	for {
-		out := j.node.runner.Run(ctx, w)
+		outcome := j.node.runner.Run(ctx, w)
 		select {
-		case <-r.abandon:
+		case <-r.abandoned:
 			return
 		default:
 		}
-		// A task that may pass later is offered again; the job was accepted.
-		again := out.State == request.NotRun && !request.IsPermanent(out.Reason) || out.Reason == entry.ReasonInterrupted
-		if again && ctx.Err() == nil {
+		// The job was accepted, so a task that was refused for a temporary reason
+		// or interrupted is offered again.
+		shouldRetry := outcome.State == request.NotRun && !request.IsPermanent(outcome.Reason) || outcome.Reason == entry.ReasonInterrupted
+		if shouldRetry && ctx.Err() == nil {
 			w.Known = entry.FoundAttempt{}
-			w.FirstAttempt = out.NextAttempt
+			w.FirstAttempt = outcome.NextAttempt
 			time.Sleep(taskRetryPause)
 			continue
 		}
-		j.recordEnd(r, id, i, out)
+		j.recordEnd(r, id, task, outcome)
 		return
 	}
 }
 
-// recordEnd writes the outcome of a task to the log, with retries until it is
-// there or the job is abandoned.
-func (j *Jobs) recordEnd(r *jobRun, id string, i int, out request.Outcome) {
-	if len(out.Answer) > maxSettledAnswer {
-		out.Reason = reasonAnswerTooLarge
-		out.Answer = nil
-	}
-	record := job.Record{Action: job.TaskEnded, By: j.self, Job: id, Task: i, Outcome: &out}
-	j.insist(context.Background(), r, record.Encode())
+// recordEnd writes the outcome of a task to the log. It retries until this
+// succeeds, the run is abandoned or the node is closed. Large answers are left
+// out.
+func (j *Jobs) recordEnd(r *jobRun, id string, task int, outcome request.Outcome) {
+	if len(outcome.Answer) > maxLoggedAnswerBytes {
+		outcome.Reason = reasonAnswerNotKept
+		outcome.Answer = nil
+	}
+	record := job.Record{Action: job.TaskEnded, By: j.self, Job: id, Task: task, Outcome: &outcome}
+	j.appendWithRetry(context.Background(), r, record.Encode())
 }
 
-// insist appends to the job stream, with retries until the record is there, the
-// job is abandoned, or ctx or the process ends.
-func (j *Jobs) insist(ctx context.Context, r *jobRun, data []byte) (offset uint64, ok bool) {
-	for j.node.run.Err() == nil && ctx.Err() == nil {
-		callContext, cancel := context.WithTimeout(ctx, appendWait)
+// appendWithRetry appends a record to the job stream and returns its offset. It
+// retries until this succeeds and returns false if the run is abandoned, ctx
+// ends or the node is closed first.
+func (j *Jobs) appendWithRetry(ctx context.Context, r *jobRun, data []byte) (offset uint64, ok bool) {
+	for j.node.context.Err() == nil && ctx.Err() == nil {
+		callContext, cancel := context.WithTimeout(ctx, appendTimeout)
 		offset, err := j.node.recorder.Append(callContext, j.stream(), data)
 		cancel()
 		if err == nil {
 			return offset, true
 		}
 		select {
-		case <-r.abandon:
+		case <-r.abandoned:
 			return 0, false
-		case <-time.After(jobRetry):
+		case <-time.After(jobRetryInterval):
 		}
 	}
 	return 0, false
--- a/internal/node/daemon/job_takeover.go
+++ b/internal/node/daemon/job_takeover.go
@@ -8,22 +8,24 @@
 	"github.com/almondpost/almondpost/internal/state/membership"
 )
 
-// permitted reports whether this process may start work of its jobs. It may
-// while the log confirms that no other process took them over. While the log is
-// away nobody can take over; then it may go on as long as it was not frozen
-// and is not alone, since it might then be the one that is cut off.
-func (j *Jobs) permitted() bool {
+// mayStartWork reports whether this process may start tasks of its jobs. It may
+// do so within jobLease of a read of the log, which confirms that no other
+// process took the jobs over. During an outage of the log nobody can take over,
+// so it may continue unless it was frozen, since another process may have taken
+// over in the meantime, or is isolated, since the outage may then affect this
+// process alone.
+func (j *Jobs) mayStartWork() bool {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	if time.Since(j.confirmed) < jobLease {
+	if time.Since(j.confirmedAt) < jobLease {
 		return true
 	}
-	wasFrozen := time.Since(j.ticked) > maxTickGap || j.confirmed.Before(j.frozenUntil)
+	wasFrozen := time.Since(j.tickedAt) > maxTickGap || j.confirmedAt.Before(j.frozenUntil)
 	return !wasFrozen && !j.node.isIsolated()
 }
 
-// isIsolated reports whether the view has other members of the own failure
-// domain, but none that is alive.
+// isIsolated reports whether other members of the failure domain are known but
+// none of them is alive.
 func (n *Node) isIsolated() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -40,23 +42,27 @@
 	return known > 0 && alive == 0
 }
 
-// orphans returns the holders that this process should take over from.
-func (j *Jobs) orphans() []job.Holder {
-	if time.Since(j.confirmed) > jobLease {
+// holdersToTakeOver returns the holders that are gone and whose jobs this
+// process has to take over, and adds them to takingOver. The caller holds the
+// mutex.
+func (j *Jobs) holdersToTakeOver() []job.Holder {
+	if time.Since(j.confirmedAt) > jobLease {
 		return nil
 	}
-	var out []job.Holder
+	var departed []job.Holder
 	for h := range j.table.Holders() {
 		if h != j.self && !j.takingOver[h] && j.node.isGone(h) && j.node.isSuccessor(h) {
 			j.takingOver[h] = true
-			out = append(out, h)
+			departed = append(departed, h)
 		}
 	}
-	return out
+	return departed
 }
 
-// isGone reports whether a process has been silent for long enough, or was
-// replaced. A process that was never heard counts from this one's start.
+// isGone reports whether the process of a holder was removed from the
+// membership or replaced by a newer one. An earlier process of this entry VM is
+// always gone. A process from which no heartbeat was received counts as gone
+// when this node has run for RemoveAfter.
 func (n *Node) isGone(h job.Holder) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -70,21 +76,23 @@
 	return m.State == membership.Removed || m.Incarnation > h.Incarnation
 }
 
+// isSuccessor reports whether rendezvous hashing selects this node to take over
+// from a holder.
 func (n *Node) isSuccessor(h job.Holder) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return membership.Rendezvous(h.Name, n.view.Owners()) == n.Settings.Name
 }
 
-// takeOver claims the jobs of a holder that is gone; log order decides between
-// two that try.
+// takeOver writes to the log that this process takes over the jobs of a holder
+// that is gone. If several processes try, the first record in the log wins.
 func (j *Jobs) takeOver(h job.Holder) {
 	defer func() {
 		j.mutex.Lock()
 		delete(j.takingOver, h)
 		j.mutex.Unlock()
 	}()
-	ctx, cancel := context.WithTimeout(j.node.run, appendWait)
+	ctx, cancel := context.WithTimeout(j.node.context, appendTimeout)
 	defer cancel()
 	record := job.Record{Action: job.TakenOver, By: j.self, From: &h}
 	offset, err := j.node.recorder.Append(ctx, j.stream(), record.Encode())
@@ -94,28 +102,28 @@
 	}
 }
 
-// handOver gives the jobs of this process to a successor before a planned stop
-// and reports whether none are left.
+// handOver moves the jobs of this process to its successor before a planned
+// stop. It reports whether this process holds no jobs any more.
 func (j *Jobs) handOver(ctx context.Context) bool {
 	j.mutex.Lock()
-	left := len(j.table.HeldBy(j.self))
+	held := len(j.table.HeldBy(j.self))
 	j.mutex.Unlock()
-	if left == 0 {
+	if held == 0 {
 		return true
 	}
 	successor, ok := j.node.successor(j.self)
 	if !ok {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, appendWait)
+	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	record := job.Record{Action: job.TakenOver, By: successor, From: &j.self}
 	offset, err := j.node.recorder.Append(ctx, j.stream(), record.Encode())
 	return err == nil && j.awaitOffset(ctx, offset)
 }
 
-// successor returns the member of the failure domain that takes over from a
-// holder.
+// successor returns the process that takes over from a holder, or false if no
+// other entry VM of the failure domain can.
 func (n *Node) successor(h job.Holder) (job.Holder, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/node/daemon/jobs.go
+++ b/internal/node/daemon/jobs.go
@@ -10,77 +10,89 @@
 )
 
 const (
-	// jobReadWait bounds one read of the job stream, so that a holder hears
-	// within jobLease that it still holds its jobs.
+	// jobReadWait bounds how long a read of the job stream waits for records. It
+	// is well below jobLease, so that reads renew the lease in time.
 	jobReadWait  = time.Second
 	jobReadLimit = 500
-	jobRetry     = 300 * time.Millisecond
-	// jobLease is how long a read of the log confirms that this process holds
-	// its jobs.
+	// jobRetryInterval is the pause before a read or append is retried, and the
+	// interval of takeoverLoop.
+	jobRetryInterval = 300 * time.Millisecond
+	// jobLease is the time after a read of the log for which this process may
+	// assume that it still holds its jobs.
 	jobLease = entry.HolderLease
-	// takeoverBarrier is when a former holder's last start is surely over: its
-	// lease, the wait of an attempt that nobody asks for, and a margin.
+	// takeoverBarrier is the time after which a former holder cannot cause a
+	// start any more: its lease, the time for which an owner keeps a waiting
+	// attempt that nobody asks for, and a margin.
 	takeoverBarrier = jobLease + entry.HolderLease + time.Second
-	// maxTickGap is the pause of the own loops past which this process must
-	// have been frozen.
-	maxTickGap = 2500 * time.Millisecond
-	appendWait = 5 * time.Second
-	// taskRetryPause is the pause before a task that was not run is offered
-	// again.
+	// maxTickGap is the gap between two rounds of takeoverLoop above which this
+	// process is considered to have been frozen, that is, suspended or starved.
+	maxTickGap    = 2500 * time.Millisecond
+	appendTimeout = 5 * time.Second
+	// taskRetryPause is the pause before a task that was not run is offered to
+	// owners again.
 	taskRetryPause = time.Second
-	// maxTasksInFlight bounds the tasks of one job that are offered at once.
+	// maxTasksInFlight bounds the tasks of one job that are offered or run at the
+	// same time.
 	maxTasksInFlight = 256
 )
 
-// Jobs holds the jobs of this failure domain and runs those that this process
-// holds.
+// Jobs follows the jobs of this failure domain and runs those that this process
+// holds. The holder of a job is the process that runs it; when a holder is
+// gone, another entry VM of the domain takes its jobs over. The job stream in
+// the log decides who holds a job.
 type Jobs struct {
 	node *Node
 	self job.Holder
 
 	mutex sync.Mutex
 	table *job.Table
-	// running holds the runs of this process by job.
+	// running maps the IDs of the jobs that this process runs to their runs.
 	running map[string]*jobRun
-	// confirmed is when the last read of the log was sent that found this
-	// process up to date.
-	confirmed time.Time
-	// ticked is when the loop of this process last ran.
-	ticked time.Time
-	// frozenUntil is the end of the last pause of this process. Only reads that
-	// were sent later confirm that it still holds its jobs.
+	// confirmedAt is when the last read was sent that reached the end of the job
+	// stream. The lease on the jobs of this process begins at that time.
+	confirmedAt time.Time
+	// tickedAt is when takeoverLoop last ran.
+	tickedAt time.Time
+	// frozenUntil is when this process last noticed that it had been frozen. Only
+	// reads that were sent later confirm that it still holds its jobs.
 	frozenUntil time.Time
-	changed     chan struct{}
-	// takingOver holds the former holders whose takeover is under way.
+	// changed is closed and replaced whenever table changes.
+	changed chan struct{}
+	// takingOver is the set of former holders whose takeover is under way.
 	takingOver map[job.Holder]bool
 }
 
+// jobRun is the execution of one job by this process. The channel abandoned is
+// closed when the job has ended or has another holder.
 type jobRun struct {
 	generation int
 	cancel     context.CancelFunc
-	abandon    chan struct{}
+	abandoned  chan struct{}
 }
 
-// NewJobs starts to follow the job stream of the failure domain.
+// NewJobs starts to follow the job stream of the failure domain and to take
+// over jobs.
 func NewJobs(n *Node) *Jobs {
 	j := &Jobs{
 		node: n, self: job.Holder{Name: n.Settings.Name, Incarnation: n.incarnation}, table: job.New(),
 		running: map[string]*jobRun{}, changed: make(chan struct{}), takingOver: map[job.Holder]bool{},
 	}
-	go j.follow()
-	go j.tick()
+	go j.followStream()
+	go j.takeoverLoop()
 	return j
 }
 
 func (j *Jobs) stream() string { return job.Stream(j.node.Settings.Domain) }
-func (j *Jobs) follow() {
+
+// followStream reads the job stream and applies its records to the table.
+func (j *Jobs) followStream() {
 	// The first reads return at once, so that jobs are accepted early.
 	wait := time.Duration(0)
-	for j.node.run.Err() == nil {
-		sent := time.Now()
-		reply, err := j.node.log.Read(j.node.run, j.stream(), j.table.Read(), jobReadLimit, wait)
+	for j.node.context.Err() == nil {
+		sentAt := time.Now()
+		reply, err := j.node.logService.Read(j.node.context, j.stream(), j.table.Read(), jobReadLimit, wait)
 		if err != nil {
-			time.Sleep(jobRetry)
+			time.Sleep(jobRetryInterval)
 			continue
 		}
 		j.mutex.Lock()
@@ -91,8 +103,8 @@
 		}
 		if len(reply.Records) < jobReadLimit {
 			wait = jobReadWait
-			if sent.After(j.frozenUntil) {
-				j.confirmed = sent
+			if sentAt.After(j.frozenUntil) {
+				j.confirmedAt = sentAt
 			}
 		}
 		j.reconcile()
@@ -104,30 +116,34 @@
 	}
 }
 
-// repetitions returns the records that repeat the jobs of this process.
+// repetitions returns records with the current state of the unfinished jobs of
+// this process. Appending them again keeps the jobs in the log beyond its
+// retention.
 func (j *Jobs) repetitions() []job.Record {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	return j.table.Repetitions(j.self)
 }
 
-// reconcile starts the jobs that this process holds and abandons the others.
+// reconcile starts a run for each job that this process holds and abandons the
+// runs of jobs that ended or have another holder. The caller holds the mutex.
 func (j *Jobs) reconcile() {
 	for id, r := range j.running {
 		if k := j.table.Job(id); k == nil || k.Holder != j.self || k.Left == 0 {
-			close(r.abandon)
+			close(r.abandoned)
 			delete(j.running, id)
 		}
 	}
 	for _, k := range j.table.HeldBy(j.self) {
 		r := j.running[k.ID]
 		if r == nil {
-			// The context ends only when the job is cancelled: a process that
-			// stops leaves its jobs to the next holder.
+			// The context ends only when the job is cancelled. A process that
+			// stops does not cancel its jobs, because the next holder continues
+			// them.
 			ctx, cancel := context.WithCancel(context.Background())
-			r = &jobRun{generation: k.Generation, cancel: cancel, abandon: make(chan struct{})}
+			r = &jobRun{generation: k.Generation, cancel: cancel, abandoned: make(chan struct{})}
 			j.running[k.ID] = r
-			go j.run(ctx, r, k.ID)
+			go j.runJob(ctx, r, k.ID)
 		}
 		if k.Cancelled {
 			r.cancel()
@@ -135,34 +151,36 @@
 	}
 }
 
-// tick takes over the jobs of holders that are gone, and notices freezes.
-func (j *Jobs) tick() {
-	tick := time.NewTicker(jobRetry)
-	defer tick.Stop()
+// takeoverLoop takes over the jobs of holders that are gone. It also detects
+// that this process was frozen.
+func (j *Jobs) takeoverLoop() {
+	ticker := time.NewTicker(jobRetryInterval)
+	defer ticker.Stop()
 	j.mutex.Lock()
-	j.ticked = time.Now()
+	j.tickedAt = time.Now()
 	j.mutex.Unlock()
 	for {
 		select {
-		case <-j.node.run.Done():
+		case <-j.node.context.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		j.mutex.Lock()
-		if gap := time.Since(j.ticked); gap > maxTickGap {
+		if gap := time.Since(j.tickedAt); gap > maxTickGap {
 			j.frozenUntil = time.Now()
 			j.node.Log.Info("frozen", "gap", gap.String())
 		}
-		j.ticked = time.Now()
-		orphans := j.orphans()
+		j.tickedAt = time.Now()
+		departed := j.holdersToTakeOver()
 		j.mutex.Unlock()
-		for _, h := range orphans {
+		for _, h := range departed {
 			go j.takeOver(h)
 		}
 	}
 }
 
-// awaitOffset waits until the table has taken in an offset.
+// awaitOffset waits until the record at an offset was applied to the table. It
+// returns false if ctx ends first.
 func (j *Jobs) awaitOffset(ctx context.Context, offset uint64) bool {
 	for {
 		j.mutex.Lock()
@@ -179,5 +197,6 @@
 	}
 }
 
-// reasonAnswerTooLarge marks an answer that is not kept in the log.
-const reasonAnswerTooLarge = "answer_not_kept"
+// reasonAnswerNotKept is the reason in an outcome whose answer was too large
+// for the log.
+const reasonAnswerNotKept = "answer_not_kept"
--- a/internal/node/daemon/keyed_requests.go
+++ b/internal/node/daemon/keyed_requests.go
@@ -11,77 +11,87 @@
 	"github.com/almondpost/almondpost/internal/state/claim"
 )
 
-func (r *Requests) claimed(ctx context.Context, w request.Work) request.Outcome {
+// executeWithKey claims the idempotency key of a request and runs the request.
+// If another request holds the key, it returns the outcome of that one.
+func (r *Requests) executeWithKey(ctx context.Context, w request.Work) request.Outcome {
 	claimContext, cancel := context.WithTimeout(ctx, claimTimeout)
 	result, err := r.node.claims.Claim(claimContext, w.Spec.Plan, w.Spec.Key, w.ID)
 	cancel()
 	if err != nil {
-		return r.unclaimed(w, err)
+		return r.refuseUnclaimed(w, err)
 	}
 	if !result.Won {
-		out := r.outcomeOfHolder(ctx, result)
-		if out.Reason != reasonHolder {
-			return out
+		outcome := r.outcomeOfHolder(ctx, result)
+		if outcome.Reason != reasonHolderUnreachable {
+			return outcome
 		}
-		return r.inherit(ctx, w, result)
+		return r.recoverOrphanedKey(ctx, w, result)
 	}
-	// After a pause another entry VM may have concluded that this one is gone.
+	// If this process was suspended, another entry VM may have taken over the
+	// key. The owner starts a new epoch after a suspension, so the request may
+	// start only in the epoch of the claim.
 	epoch := r.node.owner.Epoch()
 	w.Domain = r.node.Settings.Domain
 	w.Permit = func() bool { return r.node.owner.Epoch() == epoch }
-	out := r.node.runner.Run(ctx, w)
-	go r.settle(w, out)
-	return out
+	outcome := r.node.runner.Run(ctx, w)
+	go r.settleKey(w, outcome)
+	return outcome
 }
 
-// unclaimed answers a request whose key could not be claimed. Since the append
-// may have taken effect, the key is released.
-func (r *Requests) unclaimed(w request.Work, err error) request.Outcome {
+// refuseUnclaimed returns the outcome of a request whose key could not be
+// claimed. If the log was unavailable, the claim may be in the log all the
+// same, so the key is released in the background.
+func (r *Requests) refuseUnclaimed(w request.Work, err error) request.Outcome {
 	kind := fault.KindOf[claim.Kind](err)
 	if kind != claim.KindUnavailable {
-		return refused(w.ID, string(kind), 0)
+		return refusedOutcome(w.ID, string(kind), 0)
 	}
-	go r.release(w)
-	return refused(w.ID, string(kind), retryAfterLog)
+	go r.releaseKey(w)
+	return refusedOutcome(w.ID, string(kind), retryAfterLogOutage)
 }
 
-// release frees a key, with retries as long as the process lives.
-func (r *Requests) release(w request.Work) {
-	r.insist(func(ctx context.Context) error {
+// releaseKey releases the key of a request, so that it can be claimed again.
+// Failed appends are retried.
+func (r *Requests) releaseKey(w request.Work) {
+	r.retryAppend(func(ctx context.Context) error {
 		return r.node.claims.Release(ctx, w.Spec.Plan, w.Spec.Key, w.ID)
 	})
 }
 
-func (r *Requests) settle(w request.Work, out request.Outcome) {
-	if out.State == request.NotRun || out.State == request.Cancelled && out.Attempts == 0 {
-		r.release(w)
+// settleKey writes the outcome of a request with a key to the log, or releases
+// the key if the request was not run. Outcomes with large answers are not
+// written.
+func (r *Requests) settleKey(w request.Work, outcome request.Outcome) {
+	if outcome.State == request.NotRun || outcome.State == request.Cancelled && outcome.Attempts == 0 {
+		r.releaseKey(w)
 		return
 	}
-	if len(out.Answer) > maxSettledAnswer {
+	if len(outcome.Answer) > maxLoggedAnswerBytes {
 		return
 	}
-	data, err := json.Marshal(out)
+	data, err := json.Marshal(outcome)
 	if err != nil {
 		return
 	}
-	r.insist(func(ctx context.Context) error {
+	r.retryAppend(func(ctx context.Context) error {
 		return r.node.claims.Settle(ctx, w.Spec.Plan, w.Spec.Key, w.ID, data)
 	})
 }
 
-// insist repeats an append until it succeeds, with a growing pause, at most as
-// long as keys are accepted.
-func (r *Requests) insist(f func(ctx context.Context) error) {
+// retryAppend repeats an append with exponential backoff until it succeeds, the
+// node is closed, or claim.Window has passed, after which the key is not
+// accepted any more.
+func (r *Requests) retryAppend(appendRecord func(ctx context.Context) error) {
 	pause := time.Second
 	for began := time.Now(); time.Since(began) < claim.Window; {
-		ctx, cancel := context.WithTimeout(r.node.run, claimTimeout)
-		err := f(ctx)
+		ctx, cancel := context.WithTimeout(r.node.context, claimTimeout)
+		err := appendRecord(ctx)
 		cancel()
 		if err == nil {
 			return
 		}
 		select {
-		case <-r.node.run.Done():
+		case <-r.node.context.Done():
 			return
 		case <-time.After(pause):
 		}
@@ -89,55 +99,58 @@
 	}
 }
 
-// outcomeOfHolder answers a resent key with the outcome of the request that
-// holds it.
-func (r *Requests) outcomeOfHolder(ctx context.Context, c claim.Result) request.Outcome {
-	var out request.Outcome
-	if len(c.Outcome) > 0 && json.Unmarshal(c.Outcome, &out) == nil {
-		return out
+// outcomeOfHolder returns the outcome of the request that holds a key, and
+// waits for its end. If the outcome cannot be fetched, the reason is
+// reasonHolderUnreachable.
+func (r *Requests) outcomeOfHolder(ctx context.Context, result claim.Result) request.Outcome {
+	var outcome request.Outcome
+	if len(result.Outcome) > 0 && json.Unmarshal(result.Outcome, &outcome) == nil {
+		return outcome
 	}
-	for r.node.run.Err() == nil {
-		out, known := r.Fetch(ctx, c.Holder, maxFetchWait)
-		if known && out.State.Ended() {
-			return out
+	for r.node.context.Err() == nil {
+		outcome, known := r.Fetch(ctx, result.Holder, maxFetchWait)
+		if known && outcome.State.Ended() {
+			return outcome
 		}
 		if !known || ctx.Err() != nil {
 			break
 		}
 		time.Sleep(fetchPause)
 	}
-	return request.Outcome{ID: c.Holder, State: request.MayHaveRun, Reason: reasonHolder}
+	return request.Outcome{ID: result.Holder, State: request.MayHaveRun, Reason: reasonHolderUnreachable}
 }
 
-// inheritTimeout bounds the search for what became of a request whose entry VM
-// is gone.
-const inheritTimeout = 25 * time.Second
+// orphanedKeyTimeout bounds the search for the attempts of a request whose
+// entry VM is gone.
+const orphanedKeyTimeout = 25 * time.Second
 
-// inherit finds out what became of a claimed key whose entry VM is gone. The
-// request is fenced at the owners of its failure domain; when it is proved that
-// it never ran and never will, the key is released and claimed anew.
-func (r *Requests) inherit(ctx context.Context, w request.Work, c claim.Result) request.Outcome {
-	unknown := request.Outcome{ID: c.Holder, State: request.MayHaveRun, Reason: reasonHolder}
-	domain, _, ok := splitID(c.Holder)
+// recoverOrphanedKey handles a key that is held by a request whose entry VM is
+// gone. It fences that request at the owners of its failure domain. If an
+// attempt of it is found, it follows that attempt to its outcome. If it is
+// certain that the request never ran and never will, it releases the key and
+// claims it for w.
+func (r *Requests) recoverOrphanedKey(ctx context.Context, w request.Work, result claim.Result) request.Outcome {
+	unknownOutcome := request.Outcome{ID: result.Holder, State: request.MayHaveRun, Reason: reasonHolderUnreachable}
+	domain, _, ok := splitID(result.Holder)
 	if !ok {
-		return unknown
+		return unknownOutcome
 	}
-	search, cancel := context.WithTimeout(ctx, inheritTimeout)
+	searchContext, cancel := context.WithTimeout(ctx, orphanedKeyTimeout)
 	defer cancel()
 	barrier := time.Now().Add(2*entry.HolderLease + time.Second)
-	found, err := r.node.runner.TakeOver(search, domain, map[string]int{c.Holder: 1}, barrier)
+	found, err := r.node.runner.TakeOver(searchContext, domain, map[string]int{result.Holder: 1}, barrier)
 	if err != nil {
-		return unknown
+		return unknownOutcome
 	}
-	if f, ok := found[c.Holder]; ok {
-		former := request.Work{ID: c.Holder, Customer: w.Customer, Spec: w.Spec, Submitted: w.Submitted, Known: f.Attempt, KnownAt: f.Owner}
-		out := r.node.runner.Run(ctx, former)
-		go r.settle(former, out)
-		return out
+	if f, ok := found[result.Holder]; ok {
+		former := request.Work{ID: result.Holder, Customer: w.Customer, Spec: w.Spec, Submitted: w.Submitted, Known: f.Attempt, KnownAt: f.Owner}
+		outcome := r.node.runner.Run(ctx, former)
+		go r.settleKey(former, outcome)
+		return outcome
 	}
-	if err := r.node.claims.Release(search, w.Spec.Plan, w.Spec.Key, c.Holder); err != nil {
-		return unknown
+	if err := r.node.claims.Release(searchContext, w.Spec.Plan, w.Spec.Key, result.Holder); err != nil {
+		return unknownOutcome
 	}
-	r.node.Log.Info("key_inherited", "from", c.Holder, "by", w.ID)
-	return r.claimed(ctx, w)
+	r.node.Log.Info("key_inherited", "from", result.Holder, "by", w.ID)
+	return r.executeWithKey(ctx, w)
 }
--- a/internal/node/daemon/members.go
+++ b/internal/node/daemon/members.go
@@ -11,15 +11,20 @@
 )
 
 const (
-	// outsideSample is how many members of other domains get each heartbeat.
-	outsideSample = 1
-	// fullHeartbeatEvery is how often a heartbeat carries what peers know.
+	// crossDomainFanout is the number of members of other failure domains that
+	// get a heartbeat in each round.
+	crossDomainFanout = 1
+	// fullHeartbeatEvery is the number of rounds after which heartbeats are sent
+	// in full again. The others leave out fields that rarely change.
 	fullHeartbeatEvery = 10
 )
 
+// heartbeatLoop sends heartbeats, removes members that are silent, and updates
+// the assignment of workers. A round follows at each interval, or at once when
+// the first worker is adopted, so that peers learn of it.
 func (n *Node) heartbeatLoop() {
-	tick := time.NewTicker(time.Duration(n.Settings.HeartbeatInterval))
-	defer tick.Stop()
+	ticker := time.NewTicker(time.Duration(n.Settings.HeartbeatInterval))
+	defer ticker.Stop()
 	for {
 		n.sendHeartbeats()
 		n.mutex.Lock()
@@ -28,30 +33,31 @@
 		if changed {
 			n.membersChanged()
 		}
-		n.assign()
+		n.assignWorkers()
 		select {
-		case <-n.run.Done():
+		case <-n.context.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		case <-n.owner.Gained():
 		}
 	}
 }
 
-// sendHeartbeats greets every member of the own domain, a sample of the others,
-// and every address that has not answered yet.
+// sendHeartbeats sends a heartbeat to every member of the own failure domain,
+// to a random sample of the other members, and to every configured or listed
+// entry VM that is not a member yet.
 func (n *Node) sendHeartbeats() {
 	load, epoch := n.owner.Advertise(), n.owner.Epoch()
 	n.mutex.Lock()
-	n.view.SetSelf(membership.Advert{Free: load.FreeFraction, Waiting: load.TotalWaiting(), Workers: load.Workers}, epoch, n.store.Current().Offset, n.leaving)
+	n.view.SetSelf(membership.Advert{Free: load.FreeFraction, Waiting: load.TotalWaiting(), Workers: load.Workers}, epoch, n.configuration.Current().Offset, n.leaving)
 	self := n.view.Self()
 	targets := n.heartbeatTargets()
-	n.beats++
-	full := n.beats%fullHeartbeatEvery == 1
+	n.heartbeatRounds++
+	full := n.heartbeatRounds%fullHeartbeatEvery == 1
 	n.mutex.Unlock()
-	for a, known := range targets {
+	for a, hasAnswered := range targets {
 		h := self
-		if known && !full {
+		if hasAnswered && !full {
 			h = self.Brief()
 		}
 		if sent, err := n.heartbeats.Send(a, h); err == nil {
@@ -60,39 +66,41 @@
 	}
 }
 
-// heartbeatTargets returns the addresses to send to, and for each whether the
-// member there has been heard.
+// heartbeatTargets returns the addresses that get the next heartbeat. The value
+// is true if a heartbeat of the member at that address was received before.
 func (n *Node) heartbeatTargets() map[netip.AddrPort]bool {
 	targets := map[netip.AddrPort]bool{}
-	known := map[netip.AddrPort]bool{n.Settings.PeerAdvertise: true}
-	var outside []netip.AddrPort
+	knownAddresses := map[netip.AddrPort]bool{n.Settings.PeerAdvertise: true}
+	var otherDomains []netip.AddrPort
 	for _, m := range n.view.Members() {
-		known[m.Address] = true
+		knownAddresses[m.Address] = true
 		if m.Domain == n.Settings.Domain {
 			targets[m.Address] = true
 		} else {
-			outside = append(outside, m.Address)
+			otherDomains = append(otherDomains, m.Address)
 		}
 	}
-	for i := range min(outsideSample, len(outside)) {
-		j := i + n.gossip.IntN(len(outside)-i)
-		outside[i], outside[j] = outside[j], outside[i]
-		targets[outside[i]] = true
+	for i := range min(crossDomainFanout, len(otherDomains)) {
+		j := i + n.random.IntN(len(otherDomains)-i)
+		otherDomains[i], otherDomains[j] = otherDomains[j], otherDomains[i]
+		targets[otherDomains[i]] = true
 	}
 	for _, a := range n.Settings.Seeds {
-		if !known[a] {
+		if !knownAddresses[a] {
 			targets[a] = false
 		}
 	}
-	for _, v := range n.listed.VMs {
-		if v.Role == vmlist.Entry && !known[v.Address] {
+	for _, v := range n.vmList.VMs {
+		if v.Role == vmlist.Entry && !knownAddresses[v.Address] {
 			targets[v.Address] = false
 		}
 	}
 	return targets
 }
 
-func (n *Node) receiveLoop() {
+// receiveHeartbeatLoop applies received heartbeats to the membership view. It
+// answers a new incarnation with a full heartbeat.
+func (n *Node) receiveHeartbeatLoop() {
 	for {
 		received, err := n.heartbeats.Receive()
 		if err != nil {
@@ -110,23 +118,24 @@
 			h.Address = m.Address
 		}
 		n.mutex.Lock()
-		known := m.Incarnation >= h.Incarnation
+		knownIncarnation := m.Incarnation >= h.Incarnation
 		changed := n.view.Observe(time.Now(), received.Heartbeat)
 		self := n.view.Self()
 		n.mutex.Unlock()
-		if !known {
+		if !knownIncarnation {
 			_, _ = n.heartbeats.Send(received.From, self)
 		}
 		if changed {
 			n.membersChanged()
-			n.assign()
+			n.assignWorkers()
 		}
-		if h.Offset > n.store.Current().Offset {
-			n.learnConfiguration(h)
+		if h.Offset > n.configuration.Current().Offset {
+			n.fetchConfiguration(h)
 		}
 	}
 }
 
+// membersChanged logs the members and divides the append rate among them.
 func (n *Node) membersChanged() {
 	n.mutex.Lock()
 	members := n.view.Members()
@@ -137,54 +146,59 @@
 	n.recorder.SetRate(totalAppendsPerSecond / float64(1+len(members)))
 }
 
-// learnConfiguration fetches the newest lists from a peer that is ahead.
-func (n *Node) learnConfiguration(h membership.Heartbeat) {
+// fetchConfiguration fetches the configuration from a peer whose heartbeat
+// names a newer offset. It runs in the background and gives up if the call
+// fails.
+func (n *Node) fetchConfiguration(h membership.Heartbeat) {
 	go func() {
-		ctx, cancel := context.WithTimeout(n.run, entry.CallTimeout)
+		ctx, cancel := context.WithTimeout(n.context, entry.CallTimeout)
 		defer cancel()
 		var reply entry.ConfigurationReply
-		if err := n.client.Call(ctx, h.Address, "Configuration", entry.Nothing{}, &reply); err != nil {
+		if err := n.peerClient.Call(ctx, h.Address, "Configuration", entry.Nothing{}, &reply); err != nil {
 			return
 		}
-		if err := n.store.Learn(reply.Offset, reply.Lists); err != nil {
+		if err := n.configuration.Learn(reply.Offset, reply.Lists); err != nil {
 			n.Log.Error(err, "configuration_refused", "from", h.Name)
 		}
 	}()
 }
 
-// listLoop reads the VM list. During an outage the last list stays in use.
-func (n *Node) listLoop() {
-	tick := time.NewTicker(time.Duration(n.Settings.VMListInterval))
-	defer tick.Stop()
+// vmListLoop reads the VM list from the platform at intervals. If a read fails,
+// the last list stays in use.
+func (n *Node) vmListLoop() {
+	ticker := time.NewTicker(time.Duration(n.Settings.VMListInterval))
+	defer ticker.Stop()
 	for {
-		l, err := n.lister.List(n.run, "")
+		l, err := n.vmLister.List(n.context, "")
 		if err == nil {
 			n.mutex.Lock()
-			n.listed = l
+			n.vmList = l
 			n.mutex.Unlock()
-			n.assign()
+			n.assignWorkers()
 		}
 		select {
-		case <-n.run.Done():
+		case <-n.context.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// assign tells the owner which workers of the domain it should hold.
-func (n *Node) assign() {
+// assignWorkers passes to the owner the workers that this node has to adopt:
+// those listed workers of its failure domain that rendezvous hashing maps to
+// it.
+func (n *Node) assignWorkers() {
 	n.mutex.Lock()
 	owners := n.view.Owners()
-	var mine []vmlist.VM
-	for _, v := range n.listed.VMs {
+	var assigned []vmlist.VM
+	for _, v := range n.vmList.VMs {
 		if v.Role != vmlist.Worker || v.Domain != n.Settings.Domain {
 			continue
 		}
 		if membership.Rendezvous(v.Name, owners) == n.Settings.Name {
-			mine = append(mine, v)
+			assigned = append(assigned, v)
 		}
 	}
 	n.mutex.Unlock()
-	n.owner.Assign(mine)
+	n.owner.Assign(assigned)
 }
--- a/internal/node/daemon/node.go
+++ b/internal/node/daemon/node.go
@@ -1,5 +1,7 @@
-// Package daemon joins the parts of an entry VM: membership, ownership of
-// workers, configuration, requests and the caller interface.
+// Package daemon runs one entry VM of a cell whose entry VMs are peers. A Node
+// exchanges heartbeats with the other entry VMs, owns a part of the workers of
+// its failure domain, follows the configuration in the log, and runs the
+// requests and jobs of callers.
 package daemon
 
 import (
@@ -37,59 +39,73 @@
 // Kind classifies the errors of this package.
 type Kind string
 
-// KindForbidden means that the settings do not allow the call.
+// KindForbidden means that the settings do not allow the operation.
 const KindForbidden Kind = "forbidden"
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
 const (
-	// retryRatio and retryBurst bound retries against first attempts.
+	// retryRatio and retryBurst set the retry budget: retries per first attempt
+	// in the long run, and retries that may be made at once.
 	retryRatio = 0.1
 	retryBurst = 50
-	// totalAppendsPerSecond is shared by all entry VMs.
+	// totalAppendsPerSecond limits the log appends of all entry VMs together.
+	// Each one gets an equal part.
 	totalAppendsPerSecond = 200
-	// forgetAfter is when a removed member is dropped from the view.
+	// forgetAfter is how long a removed member stays in the membership view.
 	forgetAfter = 10 * time.Minute
 )
 
-// Node is one entry VM.
+// Node is the running process of one entry VM.
 type Node struct {
 	*common.Common
+	// incarnation is the start time of this process in Unix milliseconds. It
+	// distinguishes the process from earlier ones of the same name.
 	incarnation uint64
-	run         context.Context
-	stop        context.CancelFunc
+	// context ends when the node is closed.
+	context context.Context
+	cancel  context.CancelFunc
 
-	log        logservice.Log
-	lister     vmlist.Lister
-	client     *entry.Client
-	server     *entry.Server
-	heartbeats *entry.Heartbeats
-	owner      *owner.Owner
-	store      *configuration.Store
-	recorder   *recorder.Recorder
-	claims     *claim.Book
-	runner     *request.Runner
-	requests   *Requests
-	jobs       *Jobs
-	metrics    *metrics.Registry
-	traffic    *traffic.Counters
-	cut        *isolation.Cut
+	logService    logservice.Log
+	vmLister      vmlist.Lister
+	peerClient    *entry.Client
+	peerServer    *entry.Server
+	heartbeats    *entry.Heartbeats
+	owner         *owner.Owner
+	configuration *configuration.Store
+	recorder      *recorder.Recorder
+	claims        *claim.Book
+	runner        *request.Runner
+	requests      *Requests
+	jobs          *Jobs
+	metrics       *metrics.Registry
+	traffic       *traffic.Counters
+	// cut holds what fault injection cuts off.
+	cut *isolation.Cut
 
-	pendingMutex sync.Mutex
-	// pendingUsage holds sums that the log has not taken yet, oldest first.
+	// usageMutex guards pendingUsage.
+	usageMutex sync.Mutex
+	// pendingUsage holds the usage periods that still have to be appended to the
+	// log, oldest first.
 	pendingUsage []usage.Period
 
-	mutex   sync.Mutex
-	view    *membership.View
-	listed  vmlist.List
+	// mutex guards the fields below.
+	mutex sync.Mutex
+	// view is what this node knows of the other entry VMs.
+	view *membership.View
+	// vmList is the last VM list that was read from the platform.
+	vmList vmlist.List
+	// leaving is set when a planned stop begins.
 	leaving bool
-	gossip  *rand.Rand
-	// beats counts rounds of heartbeats.
-	beats uint64
+	// random selects the members of other domains that get a heartbeat.
+	random *rand.Rand
+	// heartbeatRounds counts the rounds of heartbeats that were sent.
+	heartbeatRounds uint64
 }
 
-// New starts an entry VM from its settings.
+// New starts an entry VM. It fails if the peer address of the settings cannot
+// be bound.
 func New(c *common.Common, registry *metrics.Registry) (*Node, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	counters := &traffic.Counters{}
@@ -98,34 +114,36 @@
 	platform := cut.Client(isolation.Platform, traffic.Client(&counters.Platform))
 	workers := traffic.Client(&counters.Workers)
 	n := &Node{
-		Common: c, incarnation: uint64(time.Now().UnixMilli()), run: ctx, stop: cancel,
-		log:     logservice.New(c.Settings.Log, platform),
-		lister:  vmlist.New(c.Settings.VMList, platform),
-		metrics: registry,
-		traffic: counters,
-		cut:     cut,
-		gossip:  rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		Common: c, incarnation: uint64(time.Now().UnixMilli()), context: ctx, cancel: cancel,
+		logService: logservice.New(c.Settings.Log, platform),
+		vmLister:   vmlist.New(c.Settings.VMList, platform),
+		metrics:    registry,
+		traffic:    counters,
+		cut:        cut,
+		random:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
-	n.client = entry.New(&counters.Peers, n.isBlocked)
-	if err := n.listen(); err != nil {
+	n.peerClient = entry.New(&counters.Peers, n.isPeerCutOff)
+	if err := n.listenForPeers(); err != nil {
 		cancel()
 		return nil, err
 	}
 	dial := func(v vmlist.VM) worker.Peer { return worker.New(v.Address, workers) }
-	n.owner = owner.New(ctx, c.Settings.Name, n.incarnation, owner.DefaultTiming, owner.Limits{Waiting: c.Settings.WaitingLimit, PayloadBytes: c.Settings.PayloadLimitBytes}, dial, observer{registry}, c.Log)
-	n.store = configuration.New(n.configurationChanged)
-	n.recorder = recorder.New(ctx, n.log, totalAppendsPerSecond)
-	n.claims = claim.New(n.recorder, n.log, time.Now)
+	n.owner = owner.New(ctx, c.Settings.Name, n.incarnation, owner.DefaultTiming, owner.Limits{Waiting: c.Settings.WaitingLimit, PayloadBytes: c.Settings.PayloadLimitBytes}, dial, startObserver{registry}, c.Log)
+	n.configuration = configuration.New(n.configurationChanged)
+	n.recorder = recorder.New(ctx, n.logService, totalAppendsPerSecond)
+	n.claims = claim.New(n.recorder, n.logService, time.Now)
 	n.runner = request.New(n, request.NewTwoChoices(c.Settings.Name, c.Settings.Domain, rand.New(rand.NewPCG(rand.Uint64(), n.incarnation))), retry.New(retryRatio, retryBurst), request.DefaultTiming, c.Log)
 	n.requests = NewRequests(n)
 	n.jobs = NewJobs(n)
 	n.publishVariables()
-	n.serve()
+	n.startLoops()
 	return n, nil
 }
 
-// listen opens the sockets for peers: TCP and UDP on one port.
-func (n *Node) listen() error {
+// listenForPeers opens the sockets for other entry VMs on one port: TCP for
+// calls and UDP for heartbeats. It also creates the membership view and the
+// call server.
+func (n *Node) listenForPeers() error {
 	l, err := net.Listen("tcp", n.Settings.PeerListen.String())
 	if err != nil {
 		return oops.In("daemon").With("address", n.Settings.PeerListen).Wrapf(err, "listen for peers")
@@ -144,15 +162,15 @@
 		RemoveAfter:  time.Duration(n.Settings.RemoveAfter),
 		ForgetAfter:  forgetAfter,
 	})
-	n.server, err = entry.NewServer(l, handler{n}, &n.traffic.Peers)
+	n.peerServer, err = entry.NewServer(l, peerHandler{n}, &n.traffic.Peers)
 	return oops.In("daemon").Wrapf(err, "serve peers")
 }
 
-// serve starts the loops.
-func (n *Node) serve() {
-	go configuration.Follow(n.run, n.log, n.store)
-	go n.listLoop()
-	go n.receiveLoop()
+// startLoops starts the background loops of the node.
+func (n *Node) startLoops() {
+	go configuration.Follow(n.context, n.logService, n.configuration)
+	go n.vmListLoop()
+	go n.receiveHeartbeatLoop()
 	go n.heartbeatLoop()
 	go n.usageLoop()
 	go n.snapshotLoop()
@@ -164,8 +182,8 @@
 	n.Log.Info("configuration_accepted", "offset", v.Offset, "plans", len(v.Lists.Entitlements.Plans))
 }
 
-// isBlocked reports whether fault injection cuts a peer off.
-func (n *Node) isBlocked(a netip.AddrPort) bool {
+// isPeerCutOff reports whether fault injection drops the calls to a peer.
+func (n *Node) isPeerCutOff(a netip.AddrPort) bool {
 	if !n.Settings.FaultInjection {
 		return false
 	}
@@ -179,38 +197,41 @@
 	return false
 }
 
-// SetCut cuts failure domains or the platform off, for tests. It fails unless
-// the settings allow fault injection.
+// SetCut simulates a network partition for tests: until the next call, calls to
+// the named failure domains or the platform get no answer, and heartbeats from
+// these domains are ignored. It returns an error of KindForbidden unless the
+// settings allow fault injection.
 func (n *Node) SetCut(names []string) error {
 	if !n.Settings.FaultInjection {
-		return fault.Newf("set_cut", KindForbidden, "field fault_injection is false")
+		return fault.Newf("set_cut", KindForbidden, "setting fault_injection is false")
 	}
 	n.cut.Set(names)
 	n.Log.Info("cut_set", "names", strings.Join(names, ","))
 	return nil
 }
 
-// PeerAddress returns the address that peers are told.
+// PeerAddress returns the address at which other entry VMs reach this one.
 func (n *Node) PeerAddress() netip.AddrPort { return n.Settings.PeerAdvertise }
 
-// Ready reports whether callers should be sent here: the lists are known, and
-// some entry VM offers workers.
+// Ready reports whether the load balancer should send callers to this VM: it is
+// not stopping, it has a configuration, and at least one entry VM accepts work
+// for its workers.
 func (n *Node) Ready() bool {
 	n.mutex.Lock()
 	leaving := n.leaving
 	n.mutex.Unlock()
-	if leaving || n.store.Current().Offset == 0 {
+	if leaving || n.configuration.Current().Offset == 0 {
 		return false
 	}
 	return slices.ContainsFunc(n.Targets(), func(t request.Target) bool { return t.Usable })
 }
 
-// drainPoll is the pause between checks during a graceful shutdown.
+// drainPoll is the pause between checks whether a drain has finished.
 const drainPoll = 50 * time.Millisecond
 
-// Drain begins a planned stop: no new work is admitted, the workers are taken
-// over by other entry VMs, and open requests run to their end. It returns when
-// that is done or ctx ends.
+// Drain prepares a planned stop: the node admits no new work for its workers,
+// other entry VMs take over its workers and jobs, and open requests run to
+// their end. Drain returns when this is done or ctx ends.
 func (n *Node) Drain(ctx context.Context) {
 	n.mutex.Lock()
 	n.leaving = true
@@ -228,22 +249,24 @@
 	n.Log.Info("drain_finished", "open", n.requests.Open(), "workers", n.owner.Held())
 }
 
+// hasSuccessor reports whether another entry VM of the failure domain can take
+// over the workers of this one, which is leaving.
 func (n *Node) hasSuccessor() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return len(n.view.Owners()) > 0
 }
 
-// Close stops every loop and connection at once.
+// Close stops all loops and closes all connections without draining.
 func (n *Node) Close() {
-	n.stop()
+	n.cancel()
 	n.heartbeats.Close()
-	n.server.Close()
-	n.client.Close()
+	n.peerServer.Close()
+	n.peerClient.Close()
 	n.Log.Info("stopped")
 }
 
-// ownerVariables is the load of the owner as expvar shows it.
+// ownerVariables is the value of the expvar "owner": the load of this node.
 type ownerVariables struct {
 	Workers      int     `json:"workers"`
 	FreeFraction float64 `json:"free_fraction"`
@@ -252,8 +275,8 @@
 	Offset       uint64  `json:"configuration_offset"`
 }
 
-// publishVariables shows the state in expvar. Only the first node of a process
-// is shown.
+// publishVariables publishes the load of this node as the expvar "owner". If a
+// process runs several nodes, only the first one is published.
 func (n *Node) publishVariables() {
 	if expvar.Get("owner") != nil {
 		return
@@ -261,15 +284,15 @@
 	expvar.Publish("owner", expvar.Func(func() any {
 		load := n.owner.Advertise()
 		return ownerVariables{
-			Workers: load.Workers, FreeFraction: load.FreeFraction, Waiting: load.Waiting[:], Open: n.requests.Open(), Offset: n.store.Current().Offset,
+			Workers: load.Workers, FreeFraction: load.FreeFraction, Waiting: load.Waiting[:], Open: n.requests.Open(), Offset: n.configuration.Current().Offset,
 		}
 	}))
 }
 
-// observer feeds starts into the metrics.
-type observer struct{ registry *metrics.Registry }
+// startObserver records the waiting time of started tasks in the metrics.
+type startObserver struct{ registry *metrics.Registry }
 
 // Started implements owner.Observer.
-func (o observer) Started(t entry.Task, waited time.Duration) {
+func (o startObserver) Started(t entry.Task, waited time.Duration) {
 	o.registry.Waited(metrics.Key{Customer: t.Customer, Plan: t.Plan, Class: string(t.Class)}, waited)
 }
--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -16,42 +16,44 @@
 	load, epoch := n.owner.Advertise(), n.owner.Epoch()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	out := []request.Target{{
+	targets := []request.Target{{
 		Name: n.Settings.Name, Epoch: epoch, Domain: n.Settings.Domain,
 		Free: load.FreeFraction, Waiting: load.TotalWaiting(),
 		Usable: !n.leaving && load.Workers > 0, Reachable: true,
 	}}
 	for _, m := range n.view.Members() {
-		out = append(out, request.Target{
+		targets = append(targets, request.Target{
 			Name: m.Name, Epoch: m.Epoch, Domain: m.Domain,
 			Free: m.Advert.Free, Waiting: m.Advert.Waiting,
 			Usable:    m.State == membership.Alive && m.Advert.Workers > 0,
 			Reachable: m.State != membership.Removed,
 		})
 	}
-	return out
+	return targets
 }
 
 // Workers implements request.Peers.
 func (n *Node) Workers(domain string) []string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	var out []string
-	for _, v := range n.listed.VMs {
+	var names []string
+	for _, v := range n.vmList.VMs {
 		if v.Role == vmlist.Worker && v.Domain == domain {
-			out = append(out, v.Name)
+			names = append(names, v.Name)
 		}
 	}
-	return out
+	return names
 }
 
-func (n *Node) address(name string) (netip.AddrPort, bool) {
+// addressOf returns the peer address of an entry VM, from its heartbeats or
+// else from the VM list.
+func (n *Node) addressOf(name string) (netip.AddrPort, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if m, ok := n.view.Member(name); ok {
 		return m.Address, true
 	}
-	for _, v := range n.listed.VMs {
+	for _, v := range n.vmList.VMs {
 		if v.Role == vmlist.Entry && v.Name == name {
 			return v.Address, true
 		}
@@ -59,23 +61,25 @@
 	return netip.AddrPort{}, false
 }
 
-// callPeer calls another entry VM by name.
+// callPeer makes a call to another entry VM. It returns an error of
+// entry.KindNotSent if the address of that VM is unknown.
 func callPeer[R any](ctx context.Context, n *Node, name, method string, args any) (reply R, err error) {
-	a, ok := n.address(name)
+	a, ok := n.addressOf(name)
 	if !ok {
-		return reply, fault.Newf(method, entry.KindNotSent, "no address of %s", name)
+		return reply, fault.Newf(method, entry.KindNotSent, "address of entry VM %s is unknown", name)
 	}
-	err = n.client.Call(ctx, a, method, args, &reply)
+	err = n.peerClient.Call(ctx, a, method, args, &reply)
 	return reply, err
 }
 
-// callOwner calls the own owner directly and others by name. An error of the
-// own owner gets the kind that a remote one has.
-func callOwner[R any](ctx context.Context, n *Node, t request.Target, method string, args any, own func() (R, error)) (R, error) {
+// callOwner calls the owner of the target. If the target is this node, it uses
+// callLocal instead of the network, and converts an error to the entry.Kind
+// that a remote call would return.
+func callOwner[R any](ctx context.Context, n *Node, t request.Target, method string, args any, callLocal func() (R, error)) (R, error) {
 	if t.Name != n.Settings.Name {
 		return callPeer[R](ctx, n, t.Name, method, args)
 	}
-	reply, err := own()
+	reply, err := callLocal()
 	if err != nil {
 		return reply, fault.New(method, entry.Kind(err.Error()), err)
 	}
@@ -108,34 +112,40 @@
 	return err
 }
 
-// handler serves the calls of other entry VMs.
-type handler struct{ *Node }
+// peerHandler implements the calls of other entry VMs.
+type peerHandler struct{ *Node }
 
 // Run implements entry.Handler.
-func (h handler) Run(a entry.RunArgs) (entry.Status, error) { return h.owner.Run(a) }
+func (h peerHandler) Run(a entry.RunArgs) (entry.Status, error) { return h.owner.Run(a) }
 
 // Await implements entry.Handler.
-func (h handler) Await(a entry.AwaitArgs) (entry.Status, error) { return h.owner.Await(a) }
+func (h peerHandler) Await(a entry.AwaitArgs) (entry.Status, error) { return h.owner.Await(a) }
 
 // Cancel implements entry.Handler.
-func (h handler) Cancel(a entry.CancelArgs) error { return h.owner.Cancel(a) }
+func (h peerHandler) Cancel(a entry.CancelArgs) error { return h.owner.Cancel(a) }
 
 // Resolve implements entry.Handler.
-func (h handler) Resolve(a entry.ResolveArgs) (entry.ResolveReply, error) { return h.owner.Resolve(a) }
+func (h peerHandler) Resolve(a entry.ResolveArgs) (entry.ResolveReply, error) {
+	return h.owner.Resolve(a)
+}
 
 // Fetch implements entry.Handler.
-func (h handler) Fetch(a entry.FetchArgs) (entry.FetchReply, error) { return h.requests.Serve(a), nil }
+func (h peerHandler) Fetch(a entry.FetchArgs) (entry.FetchReply, error) {
+	return h.requests.Serve(a), nil
+}
 
 // Configuration implements entry.Handler.
-func (h handler) Configuration() (entry.ConfigurationReply, error) {
-	v := h.store.Current()
+func (h peerHandler) Configuration() (entry.ConfigurationReply, error) {
+	v := h.configuration.Current()
 	return entry.ConfigurationReply{Offset: v.Offset, Lists: v.Lists}, nil
 }
 
 // Usage implements entry.Handler.
-func (h handler) Usage() (entry.UsageReply, error) {
+func (h peerHandler) Usage() (entry.UsageReply, error) {
 	return entry.UsageReply{Periods: h.currentUsage()}, nil
 }
 
 // Reserve implements entry.Handler.
-func (h handler) Reserve(a entry.ReserveArgs) (entry.ReserveReply, error) { return h.owner.Reserve(a) }
+func (h peerHandler) Reserve(a entry.ReserveArgs) (entry.ReserveReply, error) {
+	return h.owner.Reserve(a)
+}
--- a/internal/node/daemon/request_fetch.go
+++ b/internal/node/daemon/request_fetch.go
@@ -10,25 +10,27 @@
 	"github.com/almondpost/almondpost/internal/peer/entry"
 )
 
-// Serve answers a fetch of another entry VM.
+// Serve answers the call Fetch of another entry VM: it returns the outcome of a
+// request or the status of a job, or cancels a request.
 func (r *Requests) Serve(a entry.FetchArgs) entry.FetchReply {
 	if a.Job {
-		status, ok := r.node.jobs.wait(context.Background(), a.ID, a.Wait)
+		status, ok := r.node.jobs.awaitEnd(context.Background(), a.ID, a.Wait)
 		data, err := json.Marshal(status)
 		return entry.FetchReply{Known: ok && err == nil, Outcome: data}
 	}
 	if a.Cancel {
 		return entry.FetchReply{Known: r.Cancel(a.ID)}
 	}
-	out, ok := r.Wait(context.Background(), a.ID, min(a.Wait, maxFetchWait))
+	outcome, ok := r.Wait(context.Background(), a.ID, min(a.Wait, maxFetchWait))
 	if !ok {
 		return entry.FetchReply{}
 	}
-	data, err := json.Marshal(out)
+	data, err := json.Marshal(outcome)
 	return entry.FetchReply{Known: err == nil, Outcome: data}
 }
 
-// splitID returns the failure domain and the entry VM that an ID names.
+// splitID returns the failure domain and the entry VM in an ID that NewID
+// built. It returns false if the ID is malformed.
 func splitID(id string) (domain, vm string, ok bool) {
 	parts := strings.Split(id, ".")
 	if len(parts) != 3 {
@@ -37,7 +39,8 @@
 	return parts[0], parts[1], true
 }
 
-// Fetch returns the outcome of a request wherever it was submitted.
+// Fetch returns the outcome of a request that was submitted to any entry VM,
+// and waits for its end. It returns false if the request is unknown.
 func (r *Requests) Fetch(ctx context.Context, id string, wait time.Duration) (request.Outcome, bool) {
 	domain, vm, ok := splitID(id)
 	if !ok {
@@ -45,26 +48,28 @@
 	}
 	wait = min(wait, maxFetchWait)
 	if vm == r.node.Settings.Name {
-		if out, known := r.Wait(ctx, id, wait); known {
-			return out, true
+		if outcome, known := r.Wait(ctx, id, wait); known {
+			return outcome, true
 		}
-		return r.orphan(ctx, domain, id)
+		return r.findOrphan(ctx, domain, id)
 	}
 	callContext, cancel := context.WithTimeout(ctx, wait+entry.CallTimeout)
 	defer cancel()
 	reply, err := callPeer[entry.FetchReply](callContext, r.node, vm, "Fetch", entry.FetchArgs{ID: id, Wait: wait})
-	var out request.Outcome
-	if err == nil && reply.Known && json.Unmarshal(reply.Outcome, &out) == nil {
-		return out, true
+	var outcome request.Outcome
+	if err == nil && reply.Known && json.Unmarshal(reply.Outcome, &outcome) == nil {
+		return outcome, true
 	}
-	return r.orphan(ctx, domain, id)
+	return r.findOrphan(ctx, domain, id)
 }
 
-// orphan looks for a request whose entry VM is gone among the attempts that
-// the owners of its failure domain know.
-func (r *Requests) orphan(ctx context.Context, domain, id string) (request.Outcome, bool) {
-	attempts := make([]string, 0, orphanAttempts)
-	for i := range orphanAttempts {
+// findOrphan returns the outcome of a request whose entry VM is gone. It asks
+// the owners of the failure domain of that VM for the attempts of the request,
+// without fencing them. It returns false if no finished or open attempt is
+// found.
+func (r *Requests) findOrphan(ctx context.Context, domain, id string) (request.Outcome, bool) {
+	attempts := make([]string, 0, maxOrphanAttempts)
+	for i := range maxOrphanAttempts {
 		attempts = append(attempts, request.AttemptID(id, i+1))
 	}
 	for _, t := range r.node.Targets() {
@@ -79,9 +84,9 @@
 		}
 		for _, s := range reply.Found {
 			if s.State == entry.Finished {
-				out := request.Outcome{ID: id, State: request.Done}
-				out.SetAnswer(s.Answer)
-				return out, true
+				outcome := request.Outcome{ID: id, State: request.Done}
+				outcome.SetAnswer(s.Answer)
+				return outcome, true
 			}
 			if !s.State.Ended() {
 				return request.Outcome{ID: id, State: request.Pending}, true
--- a/internal/node/daemon/requests.go
+++ b/internal/node/daemon/requests.go
@@ -13,72 +13,81 @@
 )
 
 const (
-	// outcomeRetention is how long an outcome can be fetched.
+	// outcomeRetention is how long the outcome of an ended request is kept for
+	// callers to fetch.
 	outcomeRetention = 10 * time.Minute
-	// maxAnswerBytes bounds the answers that are kept, at each pruning.
-	maxAnswerBytes = 48 << 20
-	// maxFetchWait bounds the wait of one fetch.
+	// maxRetainedAnswerBytes bounds the total size of retained answers. It is
+	// enforced once per pruneInterval.
+	maxRetainedAnswerBytes = 48 << 20
+	// maxFetchWait bounds how long one fetch waits for the end of a request or
+	// job.
 	maxFetchWait = 30 * time.Second
-	// maxSettledAnswer bounds the answers that are kept in the log.
-	maxSettledAnswer = 16 << 10
-	// claimTimeout bounds the claim of an idempotency key.
+	// maxLoggedAnswerBytes bounds an answer that is written to the log. Larger
+	// answers are left out of it.
+	maxLoggedAnswerBytes = 16 << 10
+	// claimTimeout bounds one try to claim, settle or release an idempotency key
+	// in the log.
 	claimTimeout = 2 * time.Second
-	// orphanAttempts is how many attempt numbers are asked for when the entry
-	// VM of a request is gone.
-	orphanAttempts = 8
-	pruneInterval  = 2 * time.Second
-	// fetchPause is the pause between fetches of another request's outcome.
+	// maxOrphanAttempts is the number of attempts, from the first one on, that
+	// are looked up when the entry VM of a request is gone.
+	maxOrphanAttempts = 8
+	pruneInterval     = 2 * time.Second
+	// fetchPause is the pause between fetches of the outcome of the request that
+	// holds an idempotency key.
 	fetchPause = 200 * time.Millisecond
 )
 
-// Requests holds the requests that were submitted to this entry VM.
+// Requests tracks the requests that were submitted to this entry VM, from their
+// admission until outcomeRetention after their end.
 type Requests struct {
-	node  *Node
-	table *shard.Map[*open]
-	count atomic.Int64
-	// payload is the sum of the payloads of open requests, in bytes.
-	payload atomic.Int64
-	// answers is the sum of the answers in the table, in bytes.
-	answers atomic.Int64
+	node      *Node
+	table     *shard.Map[*trackedRequest]
+	openCount atomic.Int64
+	// openPayloadBytes is the total payload of open requests.
+	openPayloadBytes atomic.Int64
+	// answerBytes is the total size of the answers in the table.
+	answerBytes atomic.Int64
 }
 
-// open is a request of this VM, until outcomeRetention after its end.
-type open struct {
+// trackedRequest is an open or ended request. The fields outcome and ended are
+// valid once done is closed.
+type trackedRequest struct {
 	cancel  context.CancelFunc
 	done    chan struct{}
 	outcome request.Outcome
 	ended   time.Time
 }
 
-// NewRequests returns an empty table.
+// NewRequests returns an empty table of requests and starts to prune it.
 func NewRequests(n *Node) *Requests {
-	r := &Requests{node: n, table: shard.New[*open]()}
+	r := &Requests{node: n, table: shard.New[*trackedRequest]()}
 	go r.pruneLoop()
 	return r
 }
 
 func (r *Requests) pruneLoop() {
-	tick := time.NewTicker(pruneInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(pruneInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-r.node.run.Done():
+		case <-r.node.context.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		// Large answers are kept for a shorter time.
+		// If the answers exceed their limit, the retention is halved until they
+		// fit or it is below one second.
 		for retention := outcomeRetention; ; retention /= 2 {
 			r.prune(retention)
-			if r.answers.Load() <= maxAnswerBytes || retention < time.Second {
+			if r.answerBytes.Load() <= maxRetainedAnswerBytes || retention < time.Second {
 				break
 			}
 		}
 	}
 }
 
-// prune forgets the requests that ended longer ago than a time.
+// prune deletes the requests that ended longer ago than retention.
 func (r *Requests) prune(retention time.Duration) {
-	r.table.DeleteIf(func(_ string, o *open) bool {
+	r.table.DeleteIf(func(_ string, o *trackedRequest) bool {
 		select {
 		case <-o.done:
 		default:
@@ -87,87 +96,95 @@
 		if time.Since(o.ended) <= retention {
 			return false
 		}
-		r.answers.Add(-int64(len(o.outcome.Answer)))
+		r.answerBytes.Add(-int64(len(o.outcome.Answer)))
 		return true
 	})
 }
 
 // Open returns the number of requests that have not ended.
-func (r *Requests) Open() int { return int(r.count.Load()) }
+func (r *Requests) Open() int { return int(r.openCount.Load()) }
 
-// NewID returns an ID that names the failure domain and the entry VM.
+// NewID returns a unique ID for a request or job. It contains the failure
+// domain and the name of this entry VM, so that other entry VMs know where to
+// fetch it.
 func (n *Node) NewID() string {
 	return n.Settings.Domain + "." + n.Settings.Name + "." + ulid.Make().String()
 }
 
-// refused returns the outcome of a request that was not admitted.
-func refused(id, reason string, retryAfter time.Duration) request.Outcome {
+// refusedOutcome returns the outcome of a request that was refused, so it was
+// not run.
+func refusedOutcome(id, reason string, retryAfter time.Duration) request.Outcome {
 	return request.Outcome{ID: id, State: request.NotRun, Reason: reason, RetryAfterMilliseconds: retryAfter.Milliseconds()}
 }
 
-// Reasons of the gateway for "not run".
+// Reasons for refusing a request or for an unknown outcome, and the retry hints
+// that go with them.
 const (
-	reasonPayload   = "payload_limit"
-	reasonOverload  = "too_many_open"
-	reasonNoPlans   = "no_configuration"
-	reasonUnknown   = "unknown_plan"
-	reasonHolder    = "holder_unreachable"
-	retryAfterShort = time.Second
-	retryAfterLog   = 5 * time.Second
+	reasonPayloadLimit      = "payload_limit"
+	reasonTooManyOpen       = "too_many_open"
+	reasonNoConfiguration   = "no_configuration"
+	reasonUnknownPlan       = "unknown_plan"
+	reasonHolderUnreachable = "holder_unreachable"
+	retryAfterShort         = time.Second
+	retryAfterLogOutage     = 5 * time.Second
 )
 
-// Submit admits a request and returns its ID; the outcome follows through
-// Wait. A refused request has an outcome at once.
+// Submit admits a request and runs it in the background. It returns the ID with
+// which Wait returns the outcome. If the request is refused, it returns the
+// outcome at once.
 func (r *Requests) Submit(spec request.Spec) (string, *request.Outcome) {
 	n := r.node
 	id := n.NewID()
-	version := n.store.Current()
+	version := n.configuration.Current()
 	customer := version.Index.Customer(spec.Plan)
 	key := metrics.Key{Customer: customer, Plan: spec.Plan, Class: string(spec.Class)}
-	if reason, after := r.admission(spec); reason != "" {
+	if reason, retryAfter := r.checkAdmission(spec); reason != "" {
 		if customer != "" {
 			n.metrics.Update(key, func(s *metrics.Summary) { s.Submitted++; s.NotRun++ })
 		}
-		out := refused(id, reason, after)
-		return id, &out
+		outcome := refusedOutcome(id, reason, retryAfter)
+		return id, &outcome
 	}
 	n.metrics.Update(key, func(s *metrics.Summary) { s.Submitted++ })
 	ctx, cancel := context.WithCancel(context.Background())
-	o := &open{cancel: cancel, done: make(chan struct{})}
+	o := &trackedRequest{cancel: cancel, done: make(chan struct{})}
 	r.table.Set(id, o)
-	r.count.Add(1)
+	r.openCount.Add(1)
 	size := int64(len(spec.Payload))
-	r.payload.Add(size)
+	r.openPayloadBytes.Add(size)
 	go func() {
 		defer cancel()
-		outcome := r.work(ctx, request.Work{ID: id, Customer: customer, Spec: spec, Submitted: time.Now()})
-		r.account(key, spec, outcome)
+		outcome := r.execute(ctx, request.Work{ID: id, Customer: customer, Spec: spec, Submitted: time.Now()})
+		r.recordMetrics(key, spec, outcome)
 		o.outcome, o.ended = outcome, time.Now()
-		r.answers.Add(int64(len(outcome.Answer)))
+		r.answerBytes.Add(int64(len(outcome.Answer)))
 		close(o.done)
-		r.count.Add(-1)
-		r.payload.Add(-size)
+		r.openCount.Add(-1)
+		r.openPayloadBytes.Add(-size)
 	}()
 	return id, nil
 }
 
-func (r *Requests) admission(spec request.Spec) (reason string, retryAfter time.Duration) {
+// checkAdmission returns the reason for refusing a request and a retry hint, or
+// an empty reason if the request is admitted.
+func (r *Requests) checkAdmission(spec request.Spec) (reason string, retryAfter time.Duration) {
 	n := r.node
-	version := n.store.Current()
+	version := n.configuration.Current()
 	switch {
 	case version.Offset == 0:
-		return reasonNoPlans, retryAfterShort
+		return reasonNoConfiguration, retryAfterShort
 	case version.Index.Customer(spec.Plan) == "":
-		return reasonUnknown, 0
+		return reasonUnknownPlan, 0
 	case r.Open() >= n.Settings.OpenLimit:
-		return reasonOverload, retryAfterShort
-	case r.payload.Load()+int64(len(spec.Payload)) > n.Settings.PayloadLimitBytes:
-		return reasonPayload, retryAfterShort
+		return reasonTooManyOpen, retryAfterShort
+	case r.openPayloadBytes.Load()+int64(len(spec.Payload)) > n.Settings.PayloadLimitBytes:
+		return reasonPayloadLimit, retryAfterShort
 	}
 	return "", 0
 }
 
-func (r *Requests) account(key metrics.Key, spec request.Spec, o request.Outcome) {
+// recordMetrics counts the outcome of a request in the metrics.
+func (r *Requests) recordMetrics(key metrics.Key, spec request.Spec, o request.Outcome) {
 	r.node.metrics.Update(key, func(s *metrics.Summary) {
 		switch o.State {
 		case request.Done:
@@ -181,15 +198,18 @@
 	})
 }
 
-// work runs a request to its outcome. What may not repeat is claimed first.
-func (r *Requests) work(ctx context.Context, w request.Work) request.Outcome {
+// execute runs a request and returns its outcome. If the request has an
+// idempotency key, the key is claimed first.
+func (r *Requests) execute(ctx context.Context, w request.Work) request.Outcome {
 	if w.Spec.Key == "" {
 		return r.node.runner.Run(ctx, w)
 	}
-	return r.claimed(ctx, w)
+	return r.executeWithKey(ctx, w)
 }
 
-// Wait waits for the end of a request of this VM.
+// Wait waits for the end of a request that was submitted to this VM and returns
+// its outcome, which is pending if wait is over or ctx ends first. It returns
+// false if the request is unknown.
 func (r *Requests) Wait(ctx context.Context, id string, wait time.Duration) (request.Outcome, bool) {
 	o, ok := r.table.Get(id)
 	if !ok {
@@ -206,7 +226,8 @@
 	return request.Outcome{ID: id, State: request.Pending}, true
 }
 
-// Cancel cancels a request of this VM.
+// Cancel cancels a request that was submitted to this VM. It returns false if
+// the request is unknown.
 func (r *Requests) Cancel(id string) bool {
 	o, ok := r.table.Get(id)
 	if ok {
--- a/internal/node/daemon/usage.go
+++ b/internal/node/daemon/usage.go
@@ -16,30 +16,32 @@
 
 const (
 	usageStream = "usage"
-	// usageInterval is how often the sums are written to the log.
+	// usageInterval is the length of a usage period, at the end of which it is
+	// written to the log.
 	usageInterval  = 5 * time.Minute
 	usageReadLimit = 500
 )
 
-// usageLoop writes the sums of the own workers to the log.
+// usageLoop writes the usage of the workers of this node to the log at
+// intervals.
 func (n *Node) usageLoop() {
-	tick := time.NewTicker(usageInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(usageInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-n.run.Done():
+		case <-n.context.Done():
 			return
-		case <-tick.C:
-			n.recordUsage(n.run)
+		case <-ticker.C:
+			n.recordUsage(n.context)
 		}
 	}
 }
 
-// recordUsage writes the sums since the last time. When the log gives no answer
-// they are kept and written with the next ones.
+// recordUsage ends the current usage period and appends it to the log. Periods
+// whose append fails are kept and appended with the next one.
 func (n *Node) recordUsage(ctx context.Context) {
-	n.pendingMutex.Lock()
-	defer n.pendingMutex.Unlock()
+	n.usageMutex.Lock()
+	defer n.usageMutex.Unlock()
 	n.pendingUsage = append(n.pendingUsage, n.owner.CutUsage())
 	for len(n.pendingUsage) > 0 {
 		data, err := json.Marshal(n.pendingUsage[0])
@@ -52,19 +54,21 @@
 	}
 }
 
-// currentUsage returns what is not in the log yet.
+// currentUsage returns the usage periods that are not in the log yet, including
+// the current one.
 func (n *Node) currentUsage() []usage.Period {
-	n.pendingMutex.Lock()
-	defer n.pendingMutex.Unlock()
+	n.usageMutex.Lock()
+	defer n.usageMutex.Unlock()
 	return append(slices.Clone(n.pendingUsage), n.owner.CurrentUsage())
 }
 
-// Report gathers the sums of every entry VM and of the log. What gives no
-// answer is named.
+// Report implements caller.Service. It merges the usage periods of every entry
+// VM and of the log. The report names the entry VMs that did not answer and
+// tells whether the log could be read.
 func (n *Node) Report(ctx context.Context) report.Report {
 	periods := n.currentUsage()
 	var missing []string
-	for _, name := range n.otherEntries() {
+	for _, name := range n.otherEntryVMs() {
 		callContext, cancel := context.WithTimeout(ctx, entry.CallTimeout)
 		reply, err := callPeer[entry.UsageReply](callContext, n, name, "Usage", entry.Nothing{})
 		cancel()
@@ -76,56 +80,63 @@
 	}
 	logged, err := n.loggedUsage(ctx)
 	periods = append(periods, logged...)
-	return report.New(periods, n.store.Current().Index, missing, err == nil)
+	return report.New(periods, n.configuration.Current().Index, missing, err == nil)
 }
 
-func (n *Node) otherEntries() []string {
+// otherEntryVMs returns the names of the listed entry VMs that are not leaving,
+// without this one.
+func (n *Node) otherEntryVMs() []string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	var out []string
-	for _, v := range n.listed.VMs {
+	var names []string
+	for _, v := range n.vmList.VMs {
 		if v.Role == vmlist.Entry && v.Name != n.Settings.Name && !v.Leaving {
-			out = append(out, v.Name)
+			names = append(names, v.Name)
 		}
 	}
-	return out
+	return names
 }
 
+// loggedUsage returns all usage periods in the log. After an error it returns
+// those that were read before.
 func (n *Node) loggedUsage(ctx context.Context) ([]usage.Period, error) {
-	var out []usage.Period
-	for after := uint64(0); ; {
-		reply, err := n.log.Read(ctx, usageStream, after, usageReadLimit, 0)
+	var periods []usage.Period
+	for offset := uint64(0); ; {
+		reply, err := n.logService.Read(ctx, usageStream, offset, usageReadLimit, 0)
 		if err != nil {
-			return out, err
+			return periods, err
 		}
 		for _, r := range reply.Records {
-			after = r.Offset
+			offset = r.Offset
 			var p usage.Period
 			if json.Unmarshal(r.Data, &p) == nil {
-				out = append(out, p)
+				periods = append(periods, p)
 			}
 		}
 		if len(reply.Records) == 0 {
-			return out, nil
+			return periods, nil
 		}
 	}
 }
 
-// snapshotInterval is how often the current lists and the unfinished jobs are
-// repeated in the log. It has to be well below the retention of the log.
+// snapshotInterval is the longest pause between snapshots of the current
+// configuration and of the unfinished jobs in the log. It has to be well below
+// the retention of the log.
 const snapshotInterval = time.Hour
 
-// snapshotLoop repeats the lists and the own jobs before the log drops them. The pause is drawn
-// at random, so that mostly one entry VM does it and the others see it.
+// snapshotLoop appends snapshots of the configuration and of the jobs of this
+// process to the log, before the log drops the original records. The pause is
+// random, so that usually one entry VM appends the configuration and the others
+// then skip it.
 func (n *Node) snapshotLoop() {
 	for {
 		pause := snapshotInterval/2 + rand.N(snapshotInterval/2)
 		select {
-		case <-n.run.Done():
+		case <-n.context.Done():
 			return
 		case <-time.After(pause):
 		}
-		if data, due := n.store.SnapshotDue(n.Settings.Name); due {
+		if data, due := n.configuration.SnapshotDue(n.Settings.Name); due {
 			n.appendSnapshot(configuration.Stream, data)
 		}
 		for _, r := range n.jobs.repetitions() {
@@ -135,7 +146,7 @@
 }
 
 func (n *Node) appendSnapshot(stream string, data []byte) {
-	if _, err := n.recorder.Append(n.run, stream, data); err != nil {
+	if _, err := n.recorder.Append(n.context, stream, data); err != nil {
 		n.Log.Error(err, "snapshot_failed", "stream", stream)
 	}
 }
