--- a/internal/node/app/entry.go
+++ b/internal/node/app/entry.go
@@ -47,7 +47,7 @@
 
 // settingsFlags adds the flag that names the settings file and the flags that
 // override single settings. The returned function reads and validates the
-// settings after the flags were parsed.
+// settings; it must be called after the flags were parsed.
 func settingsFlags(c *invocation) func() (settings.Settings, error) {
 	file := c.flags.String("settings", "", "JSON file with the settings")
 	name := c.flags.String("name", "", "overrides the setting name")
--- a/internal/node/app/lists.go
+++ b/internal/node/app/lists.go
@@ -17,8 +17,8 @@
 )
 
 // listFlags adds the flags that name the files of the customer list and the
-// entitlement list. The returned function reads and validates both lists after
-// the flags were parsed.
+// entitlement list. The returned function reads and validates both lists; it
+// must be called after the flags were parsed.
 func listFlags(c *invocation) func() (plan.Lists, error) {
 	customers := c.flags.String("customers", "", "JSON file with each customer's plans")
 	entitlements := c.flags.String("entitlements", "", "JSON file with the shares and limits of each plan")
--- a/internal/node/app/operator.go
+++ b/internal/node/app/operator.go
@@ -18,7 +18,8 @@
 const operatorTimeout = 30 * time.Second
 
 // entryFlag adds the flag with the address of an entry VM. The returned
-// function returns the base URL of that entry VM after the flags were parsed.
+// function returns the base URL of that entry VM; it must be called after the
+// flags were parsed.
 func entryFlag(c *invocation) func() (string, error) {
 	text := c.flags.String("entry", "", "caller address of any entry VM")
 	return func() (string, error) {
--- a/internal/node/app/quickstart.go
+++ b/internal/node/app/quickstart.go
@@ -34,7 +34,7 @@
 // customers.
 type quickstart struct {
 	platform      standin.Server
-	entries       []*entryVM
+	entryVMs      []*entryVM
 	output        io.Writer
 	logAddress    netip.AddrPort
 	vmListAddress netip.AddrPort
@@ -64,7 +64,7 @@
 }
 
 func (q *quickstart) close() {
-	for _, e := range q.entries {
+	for _, e := range q.entryVMs {
 		_ = e.server.Close()
 		e.node.Close()
 	}
@@ -110,19 +110,19 @@
 	if err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(q.output, "started %d entry VMs and %d workers in %d failure domains; customer and entitlement lists published at offset %d\n", len(q.entries), len(rows), len(d.Domains), version.Offset)
+	_, _ = fmt.Fprintf(q.output, "started %d entry VMs and %d workers in %d failure domains; customer and entitlement lists published at offset %d\n", len(q.entryVMs), len(rows), len(d.Domains), version.Offset)
 	return q.awaitReady(ctx)
 }
 
 func (q *quickstart) startEntry(v deployment.Entry, logs io.Writer) (*entryVM, error) {
 	s := settings.Default()
 	s.Name, s.Domain, s.Log, s.VMList = v.Name, v.Domain, q.logAddress, q.vmListAddress
-	for _, e := range q.entries {
+	for _, e := range q.entryVMs {
 		s.Seeds = append(s.Seeds, e.node.PeerAddress())
 	}
 	e, err := startEntry(common.New(s, logs))
 	if err == nil {
-		q.entries = append(q.entries, e)
+		q.entryVMs = append(q.entryVMs, e)
 	}
 	return e, err
 }
@@ -131,7 +131,7 @@
 const readyPollInterval = 20 * time.Millisecond
 
 func (q *quickstart) awaitReady(ctx context.Context) error {
-	for _, e := range q.entries {
+	for _, e := range q.entryVMs {
 		for !e.node.Ready() {
 			if ctx.Err() != nil {
 				return ctx.Err()
@@ -148,6 +148,8 @@
 	spec  request.Spec
 }
 
+// newSpec returns a request of a plan that the worker stand-in runs for the
+// given time.
 func newSpec(plan string, class plan.Class, run time.Duration) request.Spec {
 	payload, _ := json.Marshal(standin.Work{RunMilliseconds: run.Milliseconds(), Nonce: plan})
 	return request.Spec{
@@ -166,7 +168,7 @@
 		{"hearthmark, the same letter sent again", letterSpec},
 	}
 	for i, x := range requests {
-		if err := q.runRequest(ctx, x, q.entries[i%len(q.entries)]); err != nil {
+		if err := q.runRequest(ctx, x, q.entryVMs[i%len(q.entryVMs)]); err != nil {
 			return err
 		}
 	}
@@ -200,7 +202,7 @@
 func (q *quickstart) runJob(ctx context.Context, title string, spec job.Spec) error {
 	began := time.Now()
 	var s job.Status
-	base := fmt.Sprintf("http://%s/v1/jobs", q.entries[0].address)
+	base := fmt.Sprintf("http://%s/v1/jobs", q.entryVMs[0].address)
 	if err := callJSON(ctx, http.MethodPost, base, spec, &s); err != nil {
 		return err
 	}
@@ -216,7 +218,7 @@
 
 func (q *quickstart) printReport(ctx context.Context) error {
 	var r report.Report
-	if err := callJSON(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/report", q.entries[0].address), nil, &r); err != nil {
+	if err := callJSON(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/report", q.entryVMs[0].address), nil, &r); err != nil {
 		return err
 	}
 	_, _ = fmt.Fprintln(q.output)
--- a/internal/node/app/script_test.go
+++ b/internal/node/app/script_test.go
@@ -17,8 +17,9 @@
 	})
 }
 
-// TestScripts runs the scenario files. Each gets a log service of its own,
-// whose address is in $LOG; outage switches it off and on.
+// TestScripts runs the files in testdata/script. Each script has its own log
+// service, whose address is in $LOG. The script command outage makes that log
+// service unavailable or available again.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/script",
@@ -35,20 +36,21 @@
 			return nil
 		},
 		Cmds: map[string]func(ts *testscript.TestScript, neg bool, args []string){
-			"outage": outage,
+			"outage": setOutage,
 		},
 	})
 }
 
+// logKey is the key of the log service in the values of a script.
 const logKey = "log"
 
-func outage(ts *testscript.TestScript, _ bool, args []string) {
+func setOutage(ts *testscript.TestScript, _ bool, args []string) {
 	if len(args) != 1 || args[0] != "on" && args[0] != "off" {
 		ts.Fatalf("usage: outage on|off")
 	}
 	log, ok := ts.Value(logKey).(*standin.Log)
 	if !ok {
-		ts.Fatalf("no log")
+		ts.Fatalf("the script has no log service")
 	}
 	log.SetFault(standin.LogFault{Outage: args[0] == "on"})
 }
--- a/internal/node/common/common_test.go
+++ b/internal/node/common/common_test.go
@@ -11,7 +11,7 @@
 	"github.com/almondpost/almondpost/internal/node/settings"
 )
 
-func TestOneLineOfKeysAndValuesPerEvent(t *testing.T) {
+func TestLogWritesOneLinePerEvent(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
 	c := common.New(settings.Default(), &out)
--- a/internal/node/daemon/job_calls.go
+++ b/internal/node/daemon/job_calls.go
@@ -75,7 +75,7 @@
 }
 
 // awaitEnd returns the status of a job of this failure domain once the job has
-// ended, wait is over or ctx ends. It returns false if the job is unknown.
+// ended, wait has elapsed or ctx ends. It returns false if the job is unknown.
 func (j *Jobs) awaitEnd(ctx context.Context, id string, wait time.Duration) (job.Status, bool) {
 	timer := time.NewTimer(min(wait, maxFetchWait))
 	defer timer.Stop()
@@ -101,7 +101,7 @@
 }
 
 // CancelJob implements caller.Service. It writes the cancellation to the log,
-// from where the holder of the job reads it.
+// where the holder of the job reads it.
 func (n *Node) CancelJob(ctx context.Context, id string) error {
 	domain, _, _ := splitID(id)
 	record := job.Record{Action: job.Cancelled, By: n.jobs.self, Job: id}
--- a/internal/node/daemon/job_run.go
+++ b/internal/node/daemon/job_run.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// attemptListRetention is how long after its start an attempt is certain to be
-// listed by its worker, less a margin for the difference between the clocks of
-// two holders.
+// attemptListRetention is the time after the start of an attempt for which its
+// worker is certain to list it. A margin for the difference between the clocks
+// of two holders is subtracted already.
 const attemptListRetention = 90 * time.Second
 
 // endUntraceableTasks ends tasks that must not run twice and whose outcome
@@ -120,8 +120,8 @@
 	return found
 }
 
-// newWork returns the work of one task for the runner, restricted to this
-// failure domain and to the time for which this process holds the job.
+// newWork describes one task to the runner. The task runs in this failure
+// domain only and starts only while this process holds the job.
 func (j *Jobs) newWork(r *jobRun, id string, task int, spec request.Spec) request.Work {
 	return request.Work{
 		ID: job.TaskID(id, task), Customer: j.node.configuration.Current().Index.Customer(spec.Plan), Spec: spec, Submitted: time.Now(),
--- a/internal/node/daemon/jobs.go
+++ b/internal/node/daemon/jobs.go
@@ -24,8 +24,9 @@
 	// start any more: its lease, the time for which an owner keeps a waiting
 	// attempt that nobody asks for, and a margin.
 	takeoverBarrier = jobLease + entry.HolderLease + time.Second
-	// maxTickGap is the gap between two rounds of takeoverLoop above which this
-	// process is considered to have been frozen, that is, suspended or starved.
+	// maxTickGap is the longest normal gap between two rounds of takeoverLoop.
+	// After a longer one, this process is considered to have been frozen, for
+	// example because the VM was suspended.
 	maxTickGap    = 2500 * time.Millisecond
 	appendTimeout = 5 * time.Second
 	// taskRetryPause is the pause before a task that was not run is offered to
@@ -42,8 +43,10 @@
 // the log decides who holds a job.
 type Jobs struct {
 	node *Node
+	// self identifies this process in the records of the job stream.
 	self job.Holder
 
+	// mutex guards the fields below.
 	mutex sync.Mutex
 	table *job.Table
 	// running maps the IDs of the jobs that this process runs to their runs.
@@ -62,12 +65,15 @@
 	takingOver map[job.Holder]bool
 }
 
-// jobRun is the execution of one job by this process. The channel abandoned is
-// closed when the job has ended or has another holder.
+// jobRun is the execution of one job by this process.
 type jobRun struct {
+	// generation counts the holders that the job has had. Owners refuse to start
+	// tasks of an older generation.
 	generation int
-	cancel     context.CancelFunc
-	abandoned  chan struct{}
+	// cancel cancels the tasks of the job.
+	cancel context.CancelFunc
+	// abandoned is closed when the job has ended or has another holder.
+	abandoned chan struct{}
 }
 
 // NewJobs starts to follow the job stream of the failure domain and to take
--- a/internal/node/daemon/keyed_requests.go
+++ b/internal/node/daemon/keyed_requests.go
@@ -12,7 +12,8 @@
 )
 
 // executeWithKey claims the idempotency key of a request and runs the request.
-// If another request holds the key, it returns the outcome of that one.
+// If another request holds the key, it returns the outcome of that one, or
+// recovers the key if the entry VM of that request is gone.
 func (r *Requests) executeWithKey(ctx context.Context, w request.Work) request.Outcome {
 	claimContext, cancel := context.WithTimeout(ctx, claimTimeout)
 	result, err := r.node.claims.Claim(claimContext, w.Spec.Plan, w.Spec.Key, w.ID)
--- a/internal/node/daemon/members.go
+++ b/internal/node/daemon/members.go
@@ -14,8 +14,8 @@
 	// crossDomainFanout is the number of members of other failure domains that
 	// get a heartbeat in each round.
 	crossDomainFanout = 1
-	// fullHeartbeatEvery is the number of rounds after which heartbeats are sent
-	// in full again. The others leave out fields that rarely change.
+	// fullHeartbeatEvery is the interval of full heartbeats in rounds. The other
+	// rounds leave out the domain and the address, which members know already.
 	fullHeartbeatEvery = 10
 )
 
@@ -55,9 +55,9 @@
 	n.heartbeatRounds++
 	full := n.heartbeatRounds%fullHeartbeatEvery == 1
 	n.mutex.Unlock()
-	for a, hasAnswered := range targets {
+	for a, isMember := range targets {
 		h := self
-		if hasAnswered && !full {
+		if isMember && !full {
 			h = self.Brief()
 		}
 		if sent, err := n.heartbeats.Send(a, h); err == nil {
@@ -67,7 +67,7 @@
 }
 
 // heartbeatTargets returns the addresses that get the next heartbeat. The value
-// is true if a heartbeat of the member at that address was received before.
+// is true if the address belongs to a known member. The caller holds the mutex.
 func (n *Node) heartbeatTargets() map[netip.AddrPort]bool {
 	targets := map[netip.AddrPort]bool{}
 	knownAddresses := map[netip.AddrPort]bool{n.Settings.PeerAdvertise: true}
--- a/internal/node/daemon/node.go
+++ b/internal/node/daemon/node.go
@@ -1,7 +1,8 @@
-// Package daemon runs one entry VM of a cell whose entry VMs are peers. A Node
-// exchanges heartbeats with the other entry VMs, owns a part of the workers of
-// its failure domain, follows the configuration in the log, and runs the
-// requests and jobs of callers.
+// Package daemon runs an entry VM in a cell whose entry VMs have equal roles. A
+// Node exchanges heartbeats with the other entry VMs, allocates tasks on its
+// part of the workers of its failure domain, follows the configuration in the
+// log, and runs the requests and jobs of callers. Package entryvm, in contrast,
+// runs entry VMs of which one leads the cell.
 package daemon
 
 import (
@@ -67,20 +68,24 @@
 	context context.Context
 	cancel  context.CancelFunc
 
-	logService    logservice.Log
-	vmLister      vmlist.Lister
-	peerClient    *entry.Client
-	peerServer    *entry.Server
-	heartbeats    *entry.Heartbeats
+	logService logservice.Log
+	vmLister   vmlist.Lister
+	peerClient *entry.Client
+	peerServer *entry.Server
+	heartbeats *entry.Heartbeats
+	// owner allocates tasks on the workers that this node has adopted.
 	owner         *owner.Owner
 	configuration *configuration.Store
-	recorder      *recorder.Recorder
-	claims        *claim.Book
-	runner        *request.Runner
-	requests      *Requests
-	jobs          *Jobs
-	metrics       *metrics.Registry
-	traffic       *traffic.Counters
+	// recorder appends records to the log at a limited rate.
+	recorder *recorder.Recorder
+	// claims claims idempotency keys in the log.
+	claims *claim.Book
+	// runner offers tasks to owners and follows them to their outcome.
+	runner   *request.Runner
+	requests *Requests
+	jobs     *Jobs
+	metrics  *metrics.Registry
+	traffic  *traffic.Counters
 	// cut holds what fault injection cuts off.
 	cut *isolation.Cut
 
@@ -96,7 +101,7 @@
 	view *membership.View
 	// vmList is the last VM list that was read from the platform.
 	vmList vmlist.List
-	// leaving is set when a planned stop begins.
+	// leaving is set when a drain begins.
 	leaving bool
 	// random selects the members of other domains that get a heartbeat.
 	random *rand.Rand
@@ -177,6 +182,7 @@
 	n.Log.Info("started", "domain", n.Settings.Domain, "peer_address", n.Settings.PeerAdvertise.String(), "incarnation", n.incarnation)
 }
 
+// configurationChanged applies a newly accepted configuration.
 func (n *Node) configurationChanged(v configuration.Version) {
 	n.owner.SetPlans(v.Index)
 	n.Log.Info("configuration_accepted", "offset", v.Offset, "plans", len(v.Lists.Entitlements.Plans))
@@ -214,7 +220,7 @@
 func (n *Node) PeerAddress() netip.AddrPort { return n.Settings.PeerAdvertise }
 
 // Ready reports whether the load balancer should send callers to this VM: it is
-// not stopping, it has a configuration, and at least one entry VM accepts work
+// not draining, it has a configuration, and at least one entry VM accepts work
 // for its workers.
 func (n *Node) Ready() bool {
 	n.mutex.Lock()
@@ -226,8 +232,8 @@
 	return slices.ContainsFunc(n.Targets(), func(t request.Target) bool { return t.Usable })
 }
 
-// drainPoll is the pause between checks whether a drain has finished.
-const drainPoll = 50 * time.Millisecond
+// drainPollInterval is how often Drain checks whether it has finished.
+const drainPollInterval = 50 * time.Millisecond
 
 // Drain prepares a planned stop: the node admits no new work for its workers,
 // other entry VMs take over its workers and jobs, and open requests run to
@@ -243,7 +249,7 @@
 		if n.jobs.handOver(ctx) && n.requests.Open() == 0 && (n.owner.Held() == 0 || !n.hasSuccessor()) {
 			break
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	n.recordUsage(ctx)
 	n.Log.Info("drain_finished", "open", n.requests.Open(), "workers", n.owner.Held())
--- a/internal/node/daemon/requests.go
+++ b/internal/node/daemon/requests.go
@@ -111,27 +111,29 @@
 	return n.Settings.Domain + "." + n.Settings.Name + "." + ulid.Make().String()
 }
 
-// refusedOutcome returns the outcome of a request that was refused, so it was
-// not run.
+// refusedOutcome returns the outcome of a request that was refused and never
+// ran.
 func refusedOutcome(id, reason string, retryAfter time.Duration) request.Outcome {
 	return request.Outcome{ID: id, State: request.NotRun, Reason: reason, RetryAfterMilliseconds: retryAfter.Milliseconds()}
 }
 
-// Reasons for refusing a request or for an unknown outcome, and the retry hints
-// that go with them.
+// Reasons and retry hints in the outcomes of requests that were refused or
+// whose outcome is unknown.
 const (
-	reasonPayloadLimit      = "payload_limit"
-	reasonTooManyOpen       = "too_many_open"
-	reasonNoConfiguration   = "no_configuration"
-	reasonUnknownPlan       = "unknown_plan"
+	reasonPayloadLimit    = "payload_limit"
+	reasonTooManyOpen     = "too_many_open"
+	reasonNoConfiguration = "no_configuration"
+	reasonUnknownPlan     = "unknown_plan"
+	// reasonHolderUnreachable means that the entry VM which held the request, its
+	// key or its job is gone, so it is unknown whether the request ran.
 	reasonHolderUnreachable = "holder_unreachable"
 	retryAfterShort         = time.Second
 	retryAfterLogOutage     = 5 * time.Second
 )
 
-// Submit admits a request and runs it in the background. It returns the ID with
-// which Wait returns the outcome. If the request is refused, it returns the
-// outcome at once.
+// Submit admits a request, starts it in the background and returns its ID. Wait
+// returns its outcome later. If the request is refused, Submit returns the
+// outcome as well.
 func (r *Requests) Submit(spec request.Spec) (string, *request.Outcome) {
 	n := r.node
 	id := n.NewID()
@@ -208,8 +210,8 @@
 }
 
 // Wait waits for the end of a request that was submitted to this VM and returns
-// its outcome, which is pending if wait is over or ctx ends first. It returns
-// false if the request is unknown.
+// its outcome. If wait has elapsed or ctx ends first, the state is pending. It
+// returns false if the request is unknown.
 func (r *Requests) Wait(ctx context.Context, id string, wait time.Duration) (request.Outcome, bool) {
 	o, ok := r.table.Get(id)
 	if !ok {
--- a/internal/node/daemon/usage.go
+++ b/internal/node/daemon/usage.go
@@ -16,8 +16,8 @@
 
 const (
 	usageStream = "usage"
-	// usageInterval is the length of a usage period, at the end of which it is
-	// written to the log.
+	// usageInterval is the length of a usage period. Each period is appended to
+	// the log when it ends.
 	usageInterval  = 5 * time.Minute
 	usageReadLimit = 500
 )
--- a/internal/node/settings/settings.go
+++ b/internal/node/settings/settings.go
@@ -57,8 +57,8 @@
 	Log netip.AddrPort `json:"log"`
 	// VMList is the address of the platform's VM list.
 	VMList netip.AddrPort `json:"vm_list"`
-	// Seeds are peer addresses of entry VMs that get heartbeats even before the
-	// VM list is read.
+	// Seeds are peer addresses of entry VMs that get heartbeats until they are
+	// known as members. They need not be in the VM list.
 	Seeds []netip.AddrPort `json:"seeds"`
 	// HeartbeatInterval is the interval between heartbeats.
 	HeartbeatInterval Duration `json:"heartbeat_interval"`
@@ -90,7 +90,8 @@
 	LogVerbosity int `json:"log_verbosity"`
 }
 
-// Default returns the values of settings that the file does not set.
+// Default returns the default settings. They apply where a settings file sets
+// no value.
 func Default() Settings {
 	loopback := netip.MustParseAddr("127.0.0.1")
 	return Settings{
