--- a/internal/node/app/entry.go
+++ b/internal/node/app/entry.go
@@ -36,10 +36,10 @@
 	memoryLimitBytes = 200 << 20
 )
 
-// Started is the JSON line that the entry command prints when the entry VM
-// accepts connections. It names the listen addresses for callers and for other
-// entry VMs.
-type Started struct {
+// StartedMessage is the JSON line that the entry command prints when the entry
+// VM accepts connections. It names the listen addresses for callers and for
+// other entry VMs.
+type StartedMessage struct {
 	Name   string         `json:"name"`
 	Caller netip.AddrPort `json:"caller"`
 	Peer   netip.AddrPort `json:"peer"`
@@ -118,7 +118,7 @@
 	if err != nil {
 		return fault.New("entry", KindFailed, err)
 	}
-	line, _ := json.Marshal(Started{Name: s.Name, Caller: e.address, Peer: e.node.PeerAddress()})
+	line, _ := json.Marshal(StartedMessage{Name: s.Name, Caller: e.address, Peer: e.node.PeerAddress()})
 	_, _ = fmt.Fprintln(c.stdout, string(line))
 	<-ctx.Done()
 	e.shutdown()
--- a/internal/node/daemon/job_run.go
+++ b/internal/node/daemon/job_run.go
@@ -32,7 +32,7 @@
 	found := map[string]request.Found{}
 	if r.generation > 1 {
 		var err error
-		if found, err = j.node.runner.TakeOver(ctx, j.node.Settings.Domain, tasks, time.Now().Add(takeoverBarrier)); err != nil {
+		if found, err = j.node.runner.TakeOver(ctx, j.node.Settings.Domain, tasks, time.Now().Add(takeoverGracePeriod)); err != nil {
 			j.node.Log.Error(err, "takeover_unresolved", "job", id)
 		}
 	}
@@ -162,8 +162,8 @@
 }
 
 // recordEnd writes the outcome of a task to the log. It retries until this
-// succeeds, the run is abandoned or the node is closed. Large answers are left
-// out.
+// succeeds, the run is abandoned or the node is closed. An answer larger than
+// maxLoggedAnswerBytes is left out of the record.
 func (j *Jobs) recordEnd(r *jobRun, id string, task int, outcome request.Outcome) {
 	if len(outcome.Answer) > maxLoggedAnswerBytes {
 		outcome.Reason = reasonAnswerNotKept
--- a/internal/node/daemon/jobs.go
+++ b/internal/node/daemon/jobs.go
@@ -20,10 +20,10 @@
 	// jobLease is the time after a read of the log for which this process may
 	// assume that it still holds its jobs.
 	jobLease = entry.HolderLease
-	// takeoverBarrier is the time after which a former holder cannot cause a
-	// start any more: its lease, the time for which an owner keeps a waiting
-	// attempt that nobody asks for, and a margin.
-	takeoverBarrier = jobLease + entry.HolderLease + time.Second
+	// takeoverGracePeriod is the time after which a former holder cannot cause a
+	// start any more: its lease, the time for which an owner keeps a queued
+	// attempt that its holder does not poll, and a margin.
+	takeoverGracePeriod = jobLease + entry.HolderLease + time.Second
 	// maxTickGap is the longest normal gap between two rounds of takeoverLoop.
 	// After a longer one, this process is considered to have been frozen, for
 	// example because the VM was suspended.
@@ -49,7 +49,7 @@
 	// mutex guards the fields below.
 	mutex sync.Mutex
 	table *job.Table
-	// running maps the IDs of the jobs that this process runs to their runs.
+	// running holds the run of each job that this process holds, by job ID.
 	running map[string]*jobRun
 	// confirmedAt is when the last read was sent that reached the end of the job
 	// stream. The lease on the jobs of this process begins at that time.
@@ -92,7 +92,8 @@
 
 // followStream reads the job stream and applies its records to the table.
 func (j *Jobs) followStream() {
-	// The first reads return at once, so that jobs are accepted early.
+	// The first reads return at once, so that jobs are accepted soon after
+	// the start.
 	wait := time.Duration(0)
 	for j.node.context.Err() == nil {
 		sentAt := time.Now()
--- a/internal/node/daemon/node.go
+++ b/internal/node/daemon/node.go
@@ -54,8 +54,9 @@
 	// totalAppendsPerSecond limits the log appends of all entry VMs together.
 	// Each one gets an equal part.
 	totalAppendsPerSecond = 200
-	// forgetAfter is how long a removed member stays in the membership view.
-	forgetAfter = 10 * time.Minute
+	// removedMemberRetention is how long a removed member stays in the membership
+	// view.
+	removedMemberRetention = 10 * time.Minute
 )
 
 // Node is the running process of one entry VM.
@@ -165,7 +166,7 @@
 	}, membership.Timing{
 		SuspectAfter: time.Duration(n.Settings.SuspectAfter),
 		RemoveAfter:  time.Duration(n.Settings.RemoveAfter),
-		ForgetAfter:  forgetAfter,
+		ForgetAfter:  removedMemberRetention,
 	})
 	n.peerServer, err = entry.NewServer(l, peerHandler{n}, &n.traffic.Peers)
 	return oops.In("daemon").Wrapf(err, "serve peers")
@@ -232,7 +233,7 @@
 	return slices.ContainsFunc(n.Targets(), func(t request.Target) bool { return t.Usable })
 }
 
-// drainPollInterval is how often Drain checks whether it has finished.
+// drainPollInterval is the interval at which Drain checks whether it is done.
 const drainPollInterval = 50 * time.Millisecond
 
 // Drain prepares a planned stop: the node admits no new work for its workers,
