--- a/internal/node/daemon/jobs.go
+++ b/internal/node/daemon/jobs.go
@@ -97,7 +97,7 @@
 	wait := time.Duration(0)
 	for j.node.context.Err() == nil {
 		sentAt := time.Now()
-		reply, err := j.node.logService.Read(j.node.context, j.stream(), j.table.Read(), jobReadLimit, wait)
+		reply, err := j.node.logService.Read(j.node.context, j.stream(), j.table.AppliedOffset(), jobReadLimit, wait)
 		if err != nil {
 			time.Sleep(jobRetryInterval)
 			continue
@@ -191,7 +191,7 @@
 func (j *Jobs) awaitOffset(ctx context.Context, offset uint64) bool {
 	for {
 		j.mutex.Lock()
-		read, changed := j.table.Read(), j.changed
+		read, changed := j.table.AppliedOffset(), j.changed
 		j.mutex.Unlock()
 		if read >= offset {
 			return true
--- a/internal/state/job/table.go
+++ b/internal/state/job/table.go
@@ -138,8 +138,8 @@
 // New returns an empty table.
 func New() *Table { return &Table{jobs: map[string]*Job{}} }
 
-// Read returns the offset of the last applied record.
-func (t *Table) Read() uint64 { return t.appliedOffset }
+// AppliedOffset returns the offset of the last applied record.
+func (t *Table) AppliedOffset() uint64 { return t.appliedOffset }
 
 // Job returns the job with an ID, or nil when the table does not contain it.
 func (t *Table) Job(id string) *Job { return t.jobs[id] }
--- a/internal/state/job/table_test.go
+++ b/internal/state/job/table_test.go
@@ -110,7 +110,7 @@
 
 // applyUnread applies the records of the log that the table has not read yet.
 func applyUnread(rt *rapid.T, t *job.Table, log []logservice.Record) {
-	for _, r := range log[t.Read():] {
+	for _, r := range log[t.AppliedOffset():] {
 		if err := t.Apply(r); err != nil {
 			rt.Fatal(err)
 		}
