--- a/internal/node/daemon/jobs.go
+++ b/internal/node/daemon/jobs.go
@@ -129,7 +129,7 @@
 func (j *Jobs) repetitions() []job.Record {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	return j.table.Repetitions(j.self)
+	return j.table.Snapshots(j.self)
 }
 
 // reconcile starts a run for each job that this process holds and abandons the
--- a/internal/state/job/table.go
+++ b/internal/state/job/table.go
@@ -243,8 +243,8 @@
 	}
 }
 
-// Repetitions returns a snapshot record for each unfinished job of a holder.
-func (t *Table) Repetitions(h Holder) []Record {
+// Snapshots returns a snapshot record for each unfinished job of a holder.
+func (t *Table) Snapshots(h Holder) []Record {
 	var out []Record
 	for _, j := range t.HeldBy(h) {
 		spec := Spec{Gang: j.Spec.Gang, Tasks: append([]request.Spec(nil), j.Spec.Tasks...)}
--- a/internal/state/job/table_test.go
+++ b/internal/state/job/table_test.go
@@ -137,7 +137,7 @@
 	}
 	apply(complete, 1, job.Record{Action: job.Accepted, By: a, Job: "j", Spec: newSpec(2)})
 	apply(complete, 2, job.Record{Action: job.TaskEnded, By: a, Job: "j", Task: 1, Outcome: &request.Outcome{State: request.Done}})
-	snapshots := complete.Repetitions(a)
+	snapshots := complete.Snapshots(a)
 	is.Equal(len(snapshots), 1)
 
 	fromSnapshot := job.New()
@@ -174,5 +174,5 @@
 		is.NoErr(table.Apply(logservice.Record{Offset: uint64(i + 1), Data: r.Encode()}))
 	}
 	is.Equal(table.Job("j").Started, []time.Time{{}, baseTime, {}})
-	is.Equal(table.Repetitions(b)[0].Started, []time.Time{{}, baseTime, {}})
+	is.Equal(table.Snapshots(b)[0].Started, []time.Time{{}, baseTime, {}})
 }
