--- a/internal/node/daemon/jobs.go
+++ b/internal/node/daemon/jobs.go
@@ -136,7 +136,7 @@
 // runs of jobs that ended or have another holder. The caller holds the mutex.
 func (j *Jobs) reconcile() {
 	for id, r := range j.running {
-		if k := j.table.Job(id); k == nil || k.Holder != j.self || k.Left == 0 {
+		if k := j.table.Job(id); k == nil || k.Holder != j.self || k.PendingTasks == 0 {
 			close(r.abandoned)
 			delete(j.running, id)
 		}
--- a/internal/state/job/spec.go
+++ b/internal/state/job/spec.go
@@ -53,7 +53,7 @@
 // has ended, then done if all tasks are done, else the state of the first task
 // that is not done.
 func (j *Job) Status() Status {
-	s := Status{ID: j.ID, State: request.Done, Tasks: len(j.Outcomes), Ended: len(j.Outcomes) - j.Left}
+	s := Status{ID: j.ID, State: request.Done, Tasks: len(j.Outcomes), Ended: len(j.Outcomes) - j.PendingTasks}
 	for i, o := range j.Outcomes {
 		if o == nil {
 			s.Outcomes = append(s.Outcomes, request.Outcome{ID: j.TaskID(i), State: request.Pending})
@@ -64,7 +64,7 @@
 			s.State = o.State
 		}
 	}
-	if j.Left > 0 {
+	if j.PendingTasks > 0 {
 		s.State = request.Pending
 	}
 	return s
--- a/internal/state/job/table.go
+++ b/internal/state/job/table.go
@@ -109,9 +109,9 @@
 	// non-repeatable task may have started, by the clock of its holder. It is
 	// zero before, and always for repeatable tasks.
 	Started []time.Time
-	// Left is the number of tasks that have not ended.
-	Left      int
-	Cancelled bool
+	// PendingTasks is the number of tasks that have not ended.
+	PendingTasks int
+	Cancelled    bool
 	// EndedAt is the offset of the record that ended the last task, or 0 while
 	// the job is unfinished.
 	EndedAt uint64
@@ -196,7 +196,7 @@
 	}
 	t.jobs[r.Job] = &Job{
 		ID: r.Job, Spec: *r.Spec, Holder: r.By, Generation: 1,
-		Outcomes: make([]*request.Outcome, len(r.Spec.Tasks)), Started: make([]time.Time, len(r.Spec.Tasks)), Left: len(r.Spec.Tasks),
+		Outcomes: make([]*request.Outcome, len(r.Spec.Tasks)), Started: make([]time.Time, len(r.Spec.Tasks)), PendingTasks: len(r.Spec.Tasks),
 	}
 }
 
@@ -209,8 +209,8 @@
 	}
 	j.Outcomes[r.Task] = r.Outcome
 	j.Spec.Tasks[r.Task].Payload = nil
-	j.Left--
-	if j.Left == 0 {
+	j.PendingTasks--
+	if j.PendingTasks == 0 {
 		j.EndedAt = offset
 		t.endedIDs = append(t.endedIDs, j.ID)
 		t.prune()
@@ -235,10 +235,10 @@
 	j := &Job{ID: r.Job, Spec: *r.Spec, Holder: r.By, Generation: r.Generation, Outcomes: r.Outcomes, Started: r.Started}
 	for _, o := range r.Outcomes {
 		if o == nil {
-			j.Left++
+			j.PendingTasks++
 		}
 	}
-	if j.Left > 0 {
+	if j.PendingTasks > 0 {
 		t.jobs[r.Job] = j
 	}
 }
@@ -263,7 +263,7 @@
 		return
 	}
 	for _, j := range t.jobs {
-		if j.Holder == *r.From && j.Left > 0 {
+		if j.Holder == *r.From && j.PendingTasks > 0 {
 			j.Holder = r.By
 			j.Generation++
 		}
@@ -274,7 +274,7 @@
 func (t *Table) HeldBy(h Holder) []*Job {
 	var out []*Job
 	for _, j := range t.jobs {
-		if j.Holder == h && j.Left > 0 {
+		if j.Holder == h && j.PendingTasks > 0 {
 			out = append(out, j)
 		}
 	}
@@ -285,7 +285,7 @@
 func (t *Table) Holders() map[Holder]bool {
 	out := map[Holder]bool{}
 	for _, j := range t.jobs {
-		if j.Left > 0 {
+		if j.PendingTasks > 0 {
 			out[j.Holder] = true
 		}
 	}
--- a/internal/state/job/table_test.go
+++ b/internal/state/job/table_test.go
@@ -83,7 +83,7 @@
 		applyUnread(rt, atOnce, log)
 		for id, h := range holders {
 			first, second := incremental.Job(id), atOnce.Job(id)
-			if first.Holder != second.Holder || first.Generation != second.Generation || first.Left != second.Left {
+			if first.Holder != second.Holder || first.Generation != second.Generation || first.PendingTasks != second.PendingTasks {
 				rt.Fatalf("tables differ on %s: %+v and %+v", id, first, second)
 			}
 			if first.Holder != h {
@@ -143,7 +143,7 @@
 	fromSnapshot := job.New()
 	apply(fromSnapshot, 3, snapshots[0])
 	is.Equal(fromSnapshot.Job("j").Holder, a)
-	is.Equal(fromSnapshot.Job("j").Left, 1)
+	is.Equal(fromSnapshot.Job("j").PendingTasks, 1)
 
 	// The writer had not read the takeover, so the snapshot names the former
 	// holder and is ignored.
@@ -153,7 +153,7 @@
 	is.Equal(withTakeover.Job("j"), nil)
 
 	apply(complete, 3, snapshots[0])
-	is.Equal(complete.Job("j").Left, 1)
+	is.Equal(complete.Job("j").PendingTasks, 1)
 }
 
 // TestStartedTasksAreRemembered guards against running a non-repeatable task twice
