--- a/internal/node/daemon/node.go
+++ b/internal/node/daemon/node.go
@@ -80,7 +80,7 @@
 	// recorder appends records to the log at a limited rate.
 	recorder *recorder.Recorder
 	// claims claims idempotency keys in the log.
-	claims *claim.Book
+	claims *claim.Registry
 	// runner offers tasks to owners and follows them to their outcome.
 	runner   *request.Runner
 	requests *Requests
--- a/internal/state/claim/claim.go
+++ b/internal/state/claim/claim.go
@@ -88,9 +88,9 @@
 	Outcome json.RawMessage
 }
 
-// Book claims keys for one entry VM and tracks who holds them. It is safe for
+// Registry claims keys for one entry VM and tracks who holds them. It is safe for
 // concurrent use.
-type Book struct {
+type Registry struct {
 	appender Appender
 	log      logservice.Log
 	now      func() time.Time
@@ -117,8 +117,8 @@
 
 // New returns a Book that has not read the log yet. It appends with a, reads from
 // log and compares the timestamps of keys to the clock now.
-func New(a Appender, log logservice.Log, now func() time.Time) *Book {
-	b := &Book{appender: a, log: log, now: now}
+func New(a Appender, log logservice.Log, now func() time.Time) *Registry {
+	b := &Registry{appender: a, log: log, now: now}
 	for i := range b.streams {
 		b.streams[i].name = fmt.Sprintf("claims-%d", i)
 		b.streams[i].keys = map[string]*keyClaim{}
@@ -128,7 +128,7 @@
 
 // CheckKey returns an error of KindMalformed, KindExpired or KindFuture if the key
 // is not a ULID or its timestamp is too old or too far ahead of the clock.
-func (b *Book) CheckKey(key string) error {
+func (b *Registry) CheckKey(key string) error {
 	id, err := ulid.ParseStrict(key)
 	if err != nil {
 		return fault.Newf("claim", KindMalformed, "key %q is not a ULID", key)
@@ -144,7 +144,7 @@
 }
 
 // streamOf returns the stream that contains the claims of a scoped key.
-func (b *Book) streamOf(key string) *stream {
+func (b *Registry) streamOf(key string) *stream {
 	return &b.streams[xxhash.Sum64String(key)%Streams]
 }
 
@@ -154,7 +154,7 @@
 // Claim claims a key of a plan for a request and returns who holds the key. After
 // an error the work must not start. After one of KindUnavailable the claim may be
 // in the log, so the caller must call Release.
-func (b *Book) Claim(ctx context.Context, plan, key, requestID string) (Result, error) {
+func (b *Registry) Claim(ctx context.Context, plan, key, requestID string) (Result, error) {
 	if err := b.CheckKey(key); err != nil {
 		return Result{}, err
 	}
@@ -182,21 +182,21 @@
 
 // Release frees a key whose work did not run and never will, so that another
 // request can claim it.
-func (b *Book) Release(ctx context.Context, plan, key, requestID string) error {
+func (b *Registry) Release(ctx context.Context, plan, key, requestID string) error {
 	scoped := scopedKey(plan, key)
 	_, err := b.append(ctx, b.streamOf(scoped), record{Action: released, Key: scoped, ID: requestID})
 	return err
 }
 
 // Settle records the outcome of the request that holds a key.
-func (b *Book) Settle(ctx context.Context, plan, key, requestID string, outcome json.RawMessage) error {
+func (b *Registry) Settle(ctx context.Context, plan, key, requestID string, outcome json.RawMessage) error {
 	scoped := scopedKey(plan, key)
 	_, err := b.append(ctx, b.streamOf(scoped), record{Action: settled, Key: scoped, ID: requestID, Outcome: outcome})
 	return err
 }
 
 // append appends a record to a stream and returns its offset.
-func (b *Book) append(ctx context.Context, s *stream, r record) (uint64, error) {
+func (b *Registry) append(ctx context.Context, s *stream, r record) (uint64, error) {
 	data, err := json.Marshal(r)
 	if err != nil {
 		return 0, fault.New("append", KindMalformed, err)
@@ -209,7 +209,7 @@
 }
 
 // catchUp reads a stream until it has applied the record at an offset.
-func (b *Book) catchUp(ctx context.Context, s *stream, until uint64) error {
+func (b *Registry) catchUp(ctx context.Context, s *stream, until uint64) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for s.readOffset < until {
@@ -250,7 +250,7 @@
 
 // prune forgets expired keys, whose claims CheckKey refuses. It does so only after
 // pruneEvery records were read from the stream.
-func (b *Book) prune(s *stream) {
+func (b *Registry) prune(s *stream) {
 	if s.readSincePrune < pruneEvery {
 		return
 	}
--- a/internal/state/claim/claim_test.go
+++ b/internal/state/claim/claim_test.go
@@ -61,7 +61,7 @@
 	return l.fakeLog.Append(ctx, stream, records[0])
 }
 
-func newRegistry(l *fakeLog, now func() time.Time) *claim.Book {
+func newRegistry(l *fakeLog, now func() time.Time) *claim.Registry {
 	return claim.New(l, fakeLogClient{l}, now)
 }
 
@@ -117,7 +117,7 @@
 		ctx := context.Background()
 		l := &fakeLog{streams: map[string][]logservice.Record{}}
 		now := func() time.Time { return baseTime }
-		entryVMs := []*claim.Book{newRegistry(l, now), newRegistry(l, now), newRegistry(l, now)}
+		entryVMs := []*claim.Registry{newRegistry(l, now), newRegistry(l, now), newRegistry(l, now)}
 		keys := []string{keyAt(baseTime), keyAt(baseTime.Add(time.Second))}
 		holders := map[string]string{}
 		settled := map[string]bool{}
