--- a/internal/node/daemon/keyed_requests.go
+++ b/internal/node/daemon/keyed_requests.go
@@ -84,7 +84,7 @@
 // accepted any more.
 func (r *Requests) retryAppend(appendRecord func(ctx context.Context) error) {
 	pause := time.Second
-	for began := time.Now(); time.Since(began) < claim.Window; {
+	for began := time.Now(); time.Since(began) < claim.MaxKeyAge; {
 		ctx, cancel := context.WithTimeout(r.node.context, claimTimeout)
 		err := appendRecord(ctx)
 		cancel()
--- a/internal/state/claim/claim.go
+++ b/internal/state/claim/claim.go
@@ -39,9 +39,9 @@
 type Error = fault.Error[Kind]
 
 const (
-	// Window is the maximum age of a key. It must be well below the retention of
+	// MaxKeyAge is the maximum age of a key. It must be well below the retention of
 	// the log, so that the log still has every earlier claim of a valid key.
-	Window = 12 * time.Hour
+	MaxKeyAge = 12 * time.Hour
 	// MaxAhead is the maximum time by which a key's timestamp may be ahead of the
 	// clock.
 	MaxAhead = 5 * time.Minute
@@ -134,8 +134,8 @@
 		return fault.Newf("claim", KindMalformed, "key %q is not a ULID", key)
 	}
 	age := b.now().Sub(ulid.Time(id.Time()))
-	if age > Window {
-		return fault.Newf("claim", KindExpired, "key is %s old, the maximum age is %s", age.Round(time.Second), Window)
+	if age > MaxKeyAge {
+		return fault.Newf("claim", KindExpired, "key is %s old, the maximum age is %s", age.Round(time.Second), MaxKeyAge)
 	}
 	if age < -MaxAhead {
 		return fault.Newf("claim", KindFuture, "key is %s ahead of the clock", (-age).Round(time.Second))
--- a/internal/state/claim/claim_test.go
+++ b/internal/state/claim/claim_test.go
@@ -72,7 +72,7 @@
 		expected claim.Kind
 	}{
 		{"not a ULID", "letter-1", claim.KindMalformed},
-		{"older than the window", keyAt(baseTime.Add(-claim.Window - time.Second)), claim.KindExpired},
+		{"older than the window", keyAt(baseTime.Add(-claim.MaxKeyAge - time.Second)), claim.KindExpired},
 		{"ahead of the clock", keyAt(baseTime.Add(claim.MaxAhead + time.Second)), claim.KindFuture},
 		{"within the window", keyAt(baseTime.Add(-time.Hour)), ""},
 	}
