--- a/internal/node/daemon/node.go
+++ b/internal/node/daemon/node.go
@@ -128,7 +128,7 @@
 		cut:        cut,
 		random:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
-	n.peerClient = entry.New(&counters.Peers, n.isPeerCutOff)
+	n.peerClient = entry.NewClient(&counters.Peers, n.isPeerCutOff)
 	if err := n.listenForPeers(); err != nil {
 		cancel()
 		return nil, err
--- a/internal/peer/entry/client.go
+++ b/internal/peer/entry/client.go
@@ -51,9 +51,9 @@
 	probing bool
 }
 
-// New returns a client that counts its traffic in counter. Calls to peers for which
+// NewClient returns a client that counts its traffic in counter. Calls to peers for which
 // blocked returns true fail.
-func New(counter *traffic.Counter, blocked func(a netip.AddrPort) bool) *Client {
+func NewClient(counter *traffic.Counter, blocked func(a netip.AddrPort) bool) *Client {
 	return &Client{counter: counter, blocked: blocked, connections: map[netip.AddrPort]*connection{}}
 }
 
--- a/internal/peer/entry/client_test.go
+++ b/internal/peer/entry/client_test.go
@@ -71,7 +71,7 @@
 			accepted <- c
 		}
 	}()
-	c := entry.New(&traffic.Counter{}, neverBlocked)
+	c := entry.NewClient(&traffic.Counter{}, neverBlocked)
 	defer c.Close()
 	err := c.Call(context.Background(), address, "Await", entry.AwaitArgs{}, &entry.Status{})
 	is.Equal(fault.KindOf[entry.Kind](err), entry.KindUnknown)
@@ -97,7 +97,7 @@
 	server, err := entry.NewServer(l, h, &traffic.Counter{})
 	is.NoErr(err)
 	defer server.Close()
-	c := entry.New(&traffic.Counter{}, neverBlocked)
+	c := entry.NewClient(&traffic.Counter{}, neverBlocked)
 	defer c.Close()
 	done := make(chan error, 1)
 	go func() {
@@ -114,7 +114,7 @@
 func TestKindsOfCallErrors(t *testing.T) {
 	is := is.New(t)
 	l, address := listen(is)
-	c := entry.New(&traffic.Counter{}, neverBlocked)
+	c := entry.NewClient(&traffic.Counter{}, neverBlocked)
 	defer c.Close()
 	server, err := entry.NewServer(l, slowHandler{}, &traffic.Counter{})
 	is.NoErr(err)
