--- a/internal/node/daemon/members.go
+++ b/internal/node/daemon/members.go
@@ -154,7 +154,7 @@
 		ctx, cancel := context.WithTimeout(n.context, entry.CallTimeout)
 		defer cancel()
 		var reply entry.ConfigurationReply
-		if err := n.peerClient.Call(ctx, h.Address, "Configuration", entry.Nothing{}, &reply); err != nil {
+		if err := n.peerClient.Call(ctx, h.Address, "Configuration", entry.Empty{}, &reply); err != nil {
 			return
 		}
 		if err := n.configuration.Learn(reply.Offset, reply.Lists); err != nil {
--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -108,7 +108,7 @@
 
 // Cancel implements request.Peers.
 func (n *Node) Cancel(ctx context.Context, t request.Target, a entry.CancelArgs) error {
-	_, err := callOwner(ctx, n, t, "Cancel", a, func() (entry.Nothing, error) { return entry.Nothing{}, n.owner.Cancel(a) })
+	_, err := callOwner(ctx, n, t, "Cancel", a, func() (entry.Empty, error) { return entry.Empty{}, n.owner.Cancel(a) })
 	return err
 }
 
--- a/internal/node/daemon/usage.go
+++ b/internal/node/daemon/usage.go
@@ -70,7 +70,7 @@
 	var missing []string
 	for _, name := range n.otherEntryVMs() {
 		callContext, cancel := context.WithTimeout(ctx, entry.CallTimeout)
-		reply, err := callPeer[entry.UsageReply](callContext, n, name, "Usage", entry.Nothing{})
+		reply, err := callPeer[entry.UsageReply](callContext, n, name, "Usage", entry.Empty{})
 		cancel()
 		if err != nil {
 			missing = append(missing, name)
--- a/internal/peer/entry/client.go
+++ b/internal/peer/entry/client.go
@@ -102,7 +102,7 @@
 				return
 			}
 			c.mutex.Unlock()
-			call := p.rpc.Go(ServiceName+".Ping", Nothing{}, &Nothing{}, make(chan *rpc.Call, 1))
+			call := p.rpc.Go(ServiceName+".Ping", Empty{}, &Empty{}, make(chan *rpc.Call, 1))
 			select {
 			case <-call.Done:
 				if call.Error == nil && !c.blocked(a) {
--- a/internal/peer/entry/protocol.go
+++ b/internal/peer/entry/protocol.go
@@ -223,5 +223,5 @@
 	Periods []usage.Period
 }
 
-// Nothing is the argument or reply of a method without one.
-type Nothing struct{}
+// Empty is the argument or reply of a method without one.
+type Empty struct{}
--- a/internal/peer/entry/server.go
+++ b/internal/peer/entry/server.go
@@ -29,7 +29,7 @@
 type service struct{ h Handler }
 
 // Ping lets a client check that the connection works.
-func (s *service) Ping(_ Nothing, _ *Nothing) error { return nil }
+func (s *service) Ping(_ Empty, _ *Empty) error { return nil }
 
 // Run calls Handler.Run.
 func (s *service) Run(a RunArgs, r *Status) (err error) {
@@ -44,7 +44,7 @@
 }
 
 // Cancel calls Handler.Cancel.
-func (s *service) Cancel(a CancelArgs, _ *Nothing) error { return s.h.Cancel(a) }
+func (s *service) Cancel(a CancelArgs, _ *Empty) error { return s.h.Cancel(a) }
 
 // Resolve calls Handler.Resolve.
 func (s *service) Resolve(a ResolveArgs, r *ResolveReply) (err error) {
@@ -59,13 +59,13 @@
 }
 
 // Configuration calls Handler.Configuration.
-func (s *service) Configuration(_ Nothing, r *ConfigurationReply) (err error) {
+func (s *service) Configuration(_ Empty, r *ConfigurationReply) (err error) {
 	*r, err = s.h.Configuration()
 	return err
 }
 
 // Usage calls Handler.Usage.
-func (s *service) Usage(_ Nothing, r *UsageReply) (err error) {
+func (s *service) Usage(_ Empty, r *UsageReply) (err error) {
 	*r, err = s.h.Usage()
 	return err
 }
