--- a/internal/node/daemon/node.go
+++ b/internal/node/daemon/node.go
@@ -301,5 +301,5 @@
 
 // Started implements owner.Observer.
 func (o startObserver) Started(t entry.Task, waited time.Duration) {
-	o.registry.Waited(metrics.Key{Customer: t.Customer, Plan: t.Plan, Class: string(t.Class)}, waited)
+	o.registry.RecordWait(metrics.Key{Customer: t.Customer, Plan: t.Plan, Class: string(t.Class)}, waited)
 }
--- a/internal/operate/metrics/metrics.go
+++ b/internal/operate/metrics/metrics.go
@@ -91,8 +91,8 @@
 	change(&g.summary)
 }
 
-// Waited records the start of a task and how long the task waited for it.
-func (r *Registry) Waited(k Key, d time.Duration) {
+// RecordWait records the start of a task and how long the task waited for it.
+func (r *Registry) RecordWait(k Key, d time.Duration) {
 	g := r.group(k)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
