--- a/internal/node/daemon/members.go
+++ b/internal/node/daemon/members.go
@@ -38,7 +38,7 @@
 		case <-n.context.Done():
 			return
 		case <-ticker.C:
-		case <-n.owner.Gained():
+		case <-n.owner.FirstWorkerAdopted():
 		}
 	}
 }
--- a/internal/node/owner/owner.go
+++ b/internal/node/owner/owner.go
@@ -176,9 +176,9 @@
 	return o.alloc.Advertise()
 }
 
-// Gained returns a channel that receives a value when the owner adopts its first
+// FirstWorkerAdopted returns a channel that receives a value when the owner adopts its first
 // worker, so that the entry VM can advertise it to its peers at once.
-func (o *Owner) Gained() <-chan struct{} { return o.firstWorker }
+func (o *Owner) FirstWorkerAdopted() <-chan struct{} { return o.firstWorker }
 
 // wakeLoop makes the loop dispatch attempts without waiting for the next tick.
 func (o *Owner) wakeLoop() {
