--- a/internal/node/daemon/node.go
+++ b/internal/node/daemon/node.go
@@ -243,17 +243,17 @@
 	n.mutex.Lock()
 	n.leaving = true
 	n.mutex.Unlock()
-	n.Log.Info("drain_started", "open", n.requests.Open(), "workers", n.owner.Held())
+	n.Log.Info("drain_started", "open", n.requests.Open(), "workers", n.owner.AdoptedWorkers())
 	n.owner.Drain()
 	n.sendHeartbeats()
 	for ctx.Err() == nil {
-		if n.jobs.handOver(ctx) && n.requests.Open() == 0 && (n.owner.Held() == 0 || !n.hasSuccessor()) {
+		if n.jobs.handOver(ctx) && n.requests.Open() == 0 && (n.owner.AdoptedWorkers() == 0 || !n.hasSuccessor()) {
 			break
 		}
 		time.Sleep(drainPollInterval)
 	}
 	n.recordUsage(ctx)
-	n.Log.Info("drain_finished", "open", n.requests.Open(), "workers", n.owner.Held())
+	n.Log.Info("drain_finished", "open", n.requests.Open(), "workers", n.owner.AdoptedWorkers())
 }
 
 // hasSuccessor reports whether another entry VM of the failure domain can take
--- a/internal/node/owner/session.go
+++ b/internal/node/owner/session.go
@@ -289,8 +289,8 @@
 	}
 }
 
-// Held returns the number of workers that this owner has adopted.
-func (o *Owner) Held() int {
+// AdoptedWorkers returns the number of workers that this owner has adopted.
+func (o *Owner) AdoptedWorkers() int {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	n := 0
