--- a/internal/node/daemon/usage.go
+++ b/internal/node/daemon/usage.go
@@ -42,7 +42,7 @@
 func (n *Node) recordUsage(ctx context.Context) {
 	n.usageMutex.Lock()
 	defer n.usageMutex.Unlock()
-	n.pendingUsage = append(n.pendingUsage, n.owner.CutUsage())
+	n.pendingUsage = append(n.pendingUsage, n.owner.EndUsagePeriod())
 	for len(n.pendingUsage) > 0 {
 		data, err := json.Marshal(n.pendingUsage[0])
 		if err != nil {
--- a/internal/node/owner/maintenance.go
+++ b/internal/node/owner/maintenance.go
@@ -21,9 +21,9 @@
 	return o.meter.Current()
 }
 
-// CutUsage returns the usage sums since the last call of CutUsage and starts a
+// EndUsagePeriod returns the usage sums since the last call of EndUsagePeriod and starts a
 // new period.
-func (o *Owner) CutUsage() usage.Period {
+func (o *Owner) EndUsagePeriod() usage.Period {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.advanceMeter(time.Now())
