--- a/internal/node/daemon/job_run.go
+++ b/internal/node/daemon/job_run.go
@@ -107,7 +107,7 @@
 	for _, i := range unfinished {
 		works = append(works, j.newWork(r, id, i, spec.Tasks[i]))
 	}
-	placed, err := j.node.runner.Gang(ctx, j.node.Settings.Domain, works)
+	placed, err := j.node.runner.ReserveGang(ctx, j.node.Settings.Domain, works)
 	if err != nil {
 		return nil
 	}
--- a/internal/node/request/gang.go
+++ b/internal/node/request/gang.go
@@ -33,11 +33,11 @@
 	Owner Target
 }
 
-// Gang reserves capacity for all tasks of a job, at the owners of one failure
+// ReserveGang reserves capacity for all tasks of a job, at the owners of one failure
 // domain in the order of their names. It tries until all tasks have capacity;
 // the caller then starts each one with Commit. It fails when ctx ends or the
 // job is abandoned, and then gives all capacity back.
-func (r *Runner) Gang(ctx context.Context, domain string, works []Work) ([]ReservedTask, error) {
+func (r *Runner) ReserveGang(ctx context.Context, domain string, works []Work) ([]ReservedTask, error) {
 	began := time.Now()
 	for try := 1; ctx.Err() == nil && !works[0].isAbandoned(); try++ {
 		if works[0].isPermitted() {
