--- a/internal/node/daemon/job_run.go
+++ b/internal/node/daemon/job_run.go
@@ -29,7 +29,7 @@
 	spec := job.Spec{Gang: k.Spec.Gang, Tasks: append([]request.Spec(nil), k.Spec.Tasks...)}
 	started := append([]time.Time(nil), k.Started...)
 	j.mutex.Unlock()
-	found := map[string]request.Found{}
+	found := map[string]request.LocatedAttempt{}
 	if r.generation > 1 {
 		var err error
 		if found, err = j.node.runner.TakeOver(ctx, j.node.Settings.Domain, tasks, time.Now().Add(takeoverGracePeriod)); err != nil {
@@ -59,7 +59,7 @@
 // cannot be found any more: a former holder may have started them longer ago
 // than attemptListRetention, and no attempt was found. It records that they may
 // have run and returns the remaining tasks.
-func (j *Jobs) endUntraceableTasks(r *jobRun, id string, unfinished []int, started []time.Time, found map[string]request.Found) []int {
+func (j *Jobs) endUntraceableTasks(r *jobRun, id string, unfinished []int, started []time.Time, found map[string]request.LocatedAttempt) []int {
 	var remaining []int
 	for _, i := range unfinished {
 		if _, ok := found[job.TaskID(id, i)]; ok || started[i].IsZero() || time.Since(started[i]) < attemptListRetention {
@@ -102,7 +102,7 @@
 // returns their attempts. It returns nil if the job was cancelled or has
 // another holder. It is not used if a takeover found attempts of the gang; the
 // other tasks then start one by one.
-func (j *Jobs) startGang(ctx context.Context, r *jobRun, id string, unfinished []int, spec job.Spec) map[string]request.Found {
+func (j *Jobs) startGang(ctx context.Context, r *jobRun, id string, unfinished []int, spec job.Spec) map[string]request.LocatedAttempt {
 	works := make([]request.Work, 0, len(unfinished))
 	for _, i := range unfinished {
 		works = append(works, j.newWork(r, id, i, spec.Tasks[i]))
@@ -111,10 +111,10 @@
 	if err != nil {
 		return nil
 	}
-	found := map[string]request.Found{}
+	found := map[string]request.LocatedAttempt{}
 	for i, p := range placed {
 		attempt, target := j.node.runner.Commit(p)
-		found[job.TaskID(id, unfinished[i])] = request.Found{Attempt: attempt, Owner: target}
+		found[job.TaskID(id, unfinished[i])] = request.LocatedAttempt{Attempt: attempt, Owner: target}
 	}
 	j.node.Log.Info("gang_started", "job", id, "tasks", len(placed))
 	return found
@@ -131,7 +131,7 @@
 
 // runTask runs one task until it has a final outcome and records that outcome.
 // A task that was found running is followed instead of started again.
-func (j *Jobs) runTask(ctx context.Context, r *jobRun, id string, task int, spec request.Spec, found request.Found) {
+func (j *Jobs) runTask(ctx context.Context, r *jobRun, id string, task int, spec request.Spec, found request.LocatedAttempt) {
 	w := j.newWork(r, id, task, spec)
 	if !spec.Repeatable && found.Attempt.Attempt == "" && !j.recordStart(ctx, r, id, task) {
 		if ctx.Err() != nil {
--- a/internal/node/request/resolve.go
+++ b/internal/node/request/resolve.go
@@ -188,9 +188,9 @@
 	return unproved
 }
 
-// Found is an attempt of a task that a former holder left behind, and its
+// LocatedAttempt is an attempt of a task that a former holder left behind, and its
 // owner.
-type Found struct {
+type LocatedAttempt struct {
 	Attempt entry.FoundAttempt
 	Owner   Target
 }
@@ -201,9 +201,9 @@
 // proved never to start under a former generation, which needs every worker of
 // the domain to be proved held after the barrier. The error is that of ctx,
 // when ctx ends first.
-func (r *Runner) TakeOver(ctx context.Context, domain string, tasks map[string]int, barrier time.Time) (map[string]Found, error) {
+func (r *Runner) TakeOver(ctx context.Context, domain string, tasks map[string]int, barrier time.Time) (map[string]LocatedAttempt, error) {
 	for {
-		found := map[string]Found{}
+		found := map[string]LocatedAttempt{}
 		answers := r.askAllOwners(domain, entry.ResolveArgs{Tasks: tasks})
 		for _, a := range answers {
 			for name, f := range a.reply.FoundTasks {
@@ -212,7 +212,7 @@
 					continue
 				}
 				a.target.Epoch = a.reply.Epoch
-				found[name] = Found{f, a.target}
+				found[name] = LocatedAttempt{f, a.target}
 			}
 		}
 		if len(found) == len(tasks) || len(r.unprovedWorkers(Target{Domain: domain}, answers, barrier)) == 0 {
