--- a/internal/node/daemon/job_run.go
+++ b/internal/node/daemon/job_run.go
@@ -139,7 +139,7 @@
 		}
 		return
 	}
-	w.Known, w.KnownAt = found.Attempt, found.Owner
+	w.ExistingAttempt, w.KnownAt = found.Attempt, found.Owner
 	for {
 		outcome := j.node.runner.Run(ctx, w)
 		select {
@@ -151,7 +151,7 @@
 		// or interrupted is offered again.
 		shouldRetry := outcome.State == request.NotRun && !request.IsPermanent(outcome.Reason) || outcome.Reason == entry.ReasonInterrupted
 		if shouldRetry && ctx.Err() == nil {
-			w.Known = entry.FoundAttempt{}
+			w.ExistingAttempt = entry.FoundAttempt{}
 			w.FirstAttempt = outcome.NextAttempt
 			time.Sleep(taskRetryPause)
 			continue
--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -114,10 +114,10 @@
 	Abandoned <-chan struct{}
 	// resumed is true once an attempt ran and was stopped or failed.
 	resumed bool
-	// Known is an attempt that exists already: one that a former holder left
+	// ExistingAttempt is an attempt that exists already: one that a former holder left
 	// behind or that Commit has started. It is followed to its end before a new
 	// attempt is made.
-	Known entry.FoundAttempt
+	ExistingAttempt entry.FoundAttempt
 	// KnownAt is the owner of Known.
 	KnownAt Target
 }
@@ -160,9 +160,9 @@
 	n := max(1, w.FirstAttempt)
 	for {
 		var status entry.Status
-		if w.Known.Attempt != "" {
-			status = r.followAttempt(ctx, w, w.KnownAt, w.Known.Attempt, w.Known.Status, time.Now())
-			w.Known = entry.FoundAttempt{}
+		if w.ExistingAttempt.Attempt != "" {
+			status = r.followAttempt(ctx, w, w.KnownAt, w.ExistingAttempt.Attempt, w.ExistingAttempt.Status, time.Now())
+			w.ExistingAttempt = entry.FoundAttempt{}
 		} else {
 			status = r.tryOwners(ctx, w, &n)
 		}
