--- a/internal/node/daemon/job_run.go
+++ b/internal/node/daemon/job_run.go
@@ -139,7 +139,7 @@
 		}
 		return
 	}
-	w.ExistingAttempt, w.KnownAt = found.Attempt, found.Owner
+	w.ExistingAttempt, w.ExistingAttemptOwner = found.Attempt, found.Owner
 	for {
 		outcome := j.node.runner.Run(ctx, w)
 		select {
--- a/internal/node/daemon/keyed_requests.go
+++ b/internal/node/daemon/keyed_requests.go
@@ -144,7 +144,7 @@
 		return unknownOutcome
 	}
 	if f, ok := found[result.Holder]; ok {
-		former := request.Work{ID: result.Holder, Customer: w.Customer, Spec: w.Spec, Submitted: w.Submitted, ExistingAttempt: f.Attempt, KnownAt: f.Owner}
+		former := request.Work{ID: result.Holder, Customer: w.Customer, Spec: w.Spec, Submitted: w.Submitted, ExistingAttempt: f.Attempt, ExistingAttemptOwner: f.Owner}
 		outcome := r.node.runner.Run(ctx, former)
 		go r.settleKey(former, outcome)
 		return outcome
--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -118,8 +118,8 @@
 	// behind or that Commit has started. It is followed to its end before a new
 	// attempt is made.
 	ExistingAttempt entry.FoundAttempt
-	// KnownAt is the owner of Known.
-	KnownAt Target
+	// ExistingAttemptOwner is the owner of Known.
+	ExistingAttemptOwner Target
 }
 
 func (w Work) isAbandoned() bool {
@@ -161,7 +161,7 @@
 	for {
 		var status entry.Status
 		if w.ExistingAttempt.Attempt != "" {
-			status = r.followAttempt(ctx, w, w.KnownAt, w.ExistingAttempt.Attempt, w.ExistingAttempt.Status, time.Now())
+			status = r.followAttempt(ctx, w, w.ExistingAttemptOwner, w.ExistingAttempt.Attempt, w.ExistingAttempt.Status, time.Now())
 			w.ExistingAttempt = entry.FoundAttempt{}
 		} else {
 			status = r.tryOwners(ctx, w, &n)
