--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -18,13 +18,13 @@
 	defer n.mutex.Unlock()
 	targets := []request.Target{{
 		Name: n.Settings.Name, Epoch: epoch, Domain: n.Settings.Domain,
-		Free: load.FreeFraction, Waiting: load.TotalWaiting(),
+		FreeFraction: load.FreeFraction, Waiting: load.TotalWaiting(),
 		Usable: !n.leaving && load.Workers > 0, Reachable: true,
 	}}
 	for _, m := range n.view.Members() {
 		targets = append(targets, request.Target{
 			Name: m.Name, Epoch: m.Epoch, Domain: m.Domain,
-			Free: m.Advert.Free, Waiting: m.Advert.Waiting,
+			FreeFraction: m.Advert.Free, Waiting: m.Advert.Waiting,
 			Usable:    m.State == membership.Alive && m.Advert.Workers > 0,
 			Reachable: m.State != membership.Removed,
 		})
--- a/internal/node/request/resolve_test.go
+++ b/internal/node/request/resolve_test.go
@@ -31,8 +31,8 @@
 
 func (p *lostReplyPeers) Targets() []request.Target {
 	return []request.Target{
-		{Name: "gone", Epoch: 1, Domain: "d", Free: 1, Usable: p.runCalls == 0, Reachable: false},
-		{Name: "other", Epoch: 1, Domain: "d", Free: 1, Usable: true, Reachable: true},
+		{Name: "gone", Epoch: 1, Domain: "d", FreeFraction: 1, Usable: p.runCalls == 0, Reachable: false},
+		{Name: "other", Epoch: 1, Domain: "d", FreeFraction: 1, Usable: true, Reachable: true},
 	}
 }
 
@@ -117,7 +117,7 @@
 type remoteDomainPeers struct{ lostReplyPeers }
 
 func (p *remoteDomainPeers) Targets() []request.Target {
-	return []request.Target{{Name: "other", Epoch: 1, Domain: "far", Free: 1, Usable: true, Reachable: true}}
+	return []request.Target{{Name: "other", Epoch: 1, Domain: "far", FreeFraction: 1, Usable: true, Reachable: true}}
 }
 
 // TestWorkOfADomainStaysThere checks that a task restricted to one failure
--- a/internal/node/request/route.go
+++ b/internal/node/request/route.go
@@ -40,7 +40,7 @@
 	for _, t := range targets {
 		switch {
 		case !t.Usable || tried[t.Name]:
-		case t.Name == c.name && t.Free > minLocalFree && t.Waiting == 0:
+		case t.Name == c.name && t.FreeFraction > minLocalFree && t.Waiting == 0:
 			return t, true
 		case t.Domain == c.domain:
 			own = append(own, t)
@@ -49,14 +49,14 @@
 		}
 	}
 	best, ok := c.pickLessLoaded(own)
-	if ok && (best.Waiting == 0 || best.Free > 0) {
+	if ok && (best.Waiting == 0 || best.FreeFraction > 0) {
 		return best, true
 	}
 	remote, found := c.pickLessLoaded(other)
 	switch {
 	case !ok:
 		return remote, found
-	case found && remote.Free > minRemoteFree && remote.Waiting == 0:
+	case found && remote.FreeFraction > minRemoteFree && remote.Waiting == 0:
 		return remote, true
 	}
 	return best, true
@@ -81,5 +81,5 @@
 	if a.Waiting != b.Waiting {
 		return a.Waiting < b.Waiting
 	}
-	return a.Free > b.Free
+	return a.FreeFraction > b.FreeFraction
 }
--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -21,9 +21,9 @@
 	Name   string
 	Epoch  uint64
 	Domain string
-	// Free is the free fraction, 0 to 1, of the scarcest resource over all its
+	// FreeFraction is the free fraction, 0 to 1, of the scarcest resource over all its
 	// workers.
-	Free float64
+	FreeFraction float64
 	// Waiting is the number of attempts in its queues.
 	Waiting int
 	// Usable targets are alive and neither suspected of a failure nor leaving.
--- a/internal/node/request/runner_test.go
+++ b/internal/node/request/runner_test.go
@@ -456,7 +456,7 @@
 	for name, o := range d.owners {
 		load := o.Advertise()
 		out = append(out, request.Target{
-			Name: name, Epoch: o.Epoch(), Domain: "d", Free: load.FreeFraction, Usable: load.Workers > 0 && !d.unreachable[name], Reachable: !d.unreachable[name],
+			Name: name, Epoch: o.Epoch(), Domain: "d", FreeFraction: load.FreeFraction, Usable: load.Workers > 0 && !d.unreachable[name], Reachable: !d.unreachable[name],
 		})
 	}
 	slices.SortFunc(out, func(a, b request.Target) int {
@@ -718,7 +718,7 @@
 }
 
 func (p *scriptedPeers) Targets() []request.Target {
-	return []request.Target{{Name: "o", Domain: "d", Free: 1, Usable: true, Reachable: true}}
+	return []request.Target{{Name: "o", Domain: "d", FreeFraction: 1, Usable: true, Reachable: true}}
 }
 
 func (p *scriptedPeers) Run(_ context.Context, _ request.Target, a entry.RunArgs) (entry.Status, error) {
