--- a/internal/emulate/cluster/cluster.go
+++ b/internal/emulate/cluster/cluster.go
@@ -1,5 +1,7 @@
-// Package cluster starts the programs of a deployment as separate processes on
-// loopback, for the load program and for tests. The daemon never uses it.
+// Package cluster runs a whole deployment on loopback for the load program and for
+// tests: the entry VMs and stand-ins for the platform and the workers, each as a
+// separate process. It can kill and pause processes and inject faults. The daemon
+// does not import it.
 package cluster
 
 import (
@@ -40,16 +42,19 @@
 type Error = fault.Error[Kind]
 
 const (
+	// startTimeout is how long WaitReady waits for a new deployment.
 	startTimeout = 20 * time.Second
-	readyPoll    = 20 * time.Millisecond
+	// pollInterval is the pause between two checks while waiting.
+	pollInterval = 20 * time.Millisecond
 )
 
-// Programs are the paths of the built programs.
+// Programs holds the file paths of the built programs.
 type Programs struct{ Almondpost, Standin string }
 
-// Build builds the programs from the module's root into a folder.
-func Build(ctx context.Context, root, into string) (Programs, error) {
-	p := Programs{Almondpost: filepath.Join(into, "almondpost"), Standin: filepath.Join(into, "standin")}
+// Build compiles the programs into a folder. root is the root folder of the module.
+// A compile error is returned with the compiler's output.
+func Build(ctx context.Context, root, folder string) (Programs, error) {
+	p := Programs{Almondpost: filepath.Join(folder, "almondpost"), Standin: filepath.Join(folder, "standin")}
 	for path, source := range map[string]string{p.Almondpost: ".", p.Standin: "./cmd/standin"} {
 		c := exec.CommandContext(ctx, "go", "build", "-o", path, source)
 		c.Dir = root
@@ -60,69 +65,82 @@
 	return p, nil
 }
 
-// Process is one started program.
+// Process is a program that was started.
 type Process struct {
 	Name    string
 	command *exec.Cmd
-	done    chan struct{}
+	// done is closed when the process has ended.
+	done chan struct{}
 }
 
-// Kill ends the process at once.
+// Kill kills the process with SIGKILL and waits until it has ended.
 func (p *Process) Kill() { _ = p.command.Process.Kill(); <-p.done }
 
-// Terminate asks the process to stop.
+// Terminate sends SIGTERM, on which an entry VM drains and stops. It does not wait.
 func (p *Process) Terminate() { _ = p.command.Process.Signal(syscall.SIGTERM) }
 
-// Freeze pauses the process.
+// Freeze pauses the process with SIGSTOP.
 func (p *Process) Freeze() { _ = p.command.Process.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a paused process with SIGCONT.
 func (p *Process) Thaw() { _ = p.command.Process.Signal(syscall.SIGCONT) }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// ID returns the process ID.
-func (p *Process) ID() int { return p.command.Process.Pid }
+// PID returns the process ID.
+func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Entry is one running entry VM.
+// Entry is the process of one entry VM.
 type Entry struct {
 	*Process
+	// Domain is the failure domain.
 	Domain string
-	Caller netip.AddrPort
-	Peer   netip.AddrPort
+	// CallerAddress is where the entry VM serves callers over HTTP.
+	CallerAddress netip.AddrPort
+	// PeerAddress is where the entry VM serves other entry VMs.
+	PeerAddress netip.AddrPort
 }
 
 // Cluster is a running deployment.
 type Cluster struct {
 	Deployment deployment.Deployment
-	Log        logservice.Log
-	Entries    []*Entry
+	// Log is a client of the stand-in log service.
+	Log logservice.Log
+	// Entries are the entry VMs that were started, including those that have ended.
+	Entries []*Entry
 
 	programs  Programs
 	folder    string
 	client    *http.Client
 	processes []*Process
-	logAt     netip.AddrPort
-	listAt    netip.AddrPort
-	fleets    []netip.AddrPort
-	mutex     sync.Mutex
-	adjust    func(s *settings.Settings)
+	// logAddress and listAddress are those of the stand-in log service and VM list.
+	logAddress  netip.AddrPort
+	listAddress netip.AddrPort
+	// workerControls are the addresses of the control interfaces of the stand-in
+	// worker processes.
+	workerControls []netip.AddrPort
+	// mutex guards processes.
+	mutex          sync.Mutex
+	adjustSettings func(s *settings.Settings)
 }
 
-// Options change what Start does.
+// Options configures Start.
 type Options struct {
-	// Folder keeps settings and logs of the processes.
+	// Folder is where the settings and logs of the processes are written.
 	Folder string
-	// Adjust changes the settings of every entry VM.
-	Adjust func(s *settings.Settings)
-	// RetainedRecords is what a log stream retains; 0 means the default.
+	// AdjustSettings changes the settings of each entry VM before its start; nil
+	// keeps the defaults.
+	AdjustSettings func(s *settings.Settings)
+	// RetainedRecords is the number of records that each log stream retains; 0 means
+	// the default.
 	RetainedRecords int
 }
 
-// Start starts every process of a deployment and publishes its lists.
+// Start starts every process of a deployment, publishes its lists of customers and
+// entitlements, and waits until it is ready. On an error it ends the processes.
 func Start(ctx context.Context, p Programs, d deployment.Deployment, o Options) (*Cluster, error) {
-	c := &Cluster{Deployment: d, programs: p, folder: o.Folder, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}, adjust: o.Adjust}
+	c := &Cluster{Deployment: d, programs: p, folder: o.Folder, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}, adjustSettings: o.AdjustSettings}
 	if err := c.start(ctx, o); err != nil {
 		c.Close()
 		return nil, err
@@ -130,26 +148,27 @@
 	return c, nil
 }
 
+// start implements Start without the cleanup after an error.
 func (c *Cluster) start(ctx context.Context, o Options) error {
 	var args []string
 	if o.RetainedRecords > 0 {
 		args = []string{"-retained", fmt.Sprint(o.RetainedRecords)}
 	}
-	log, err := c.standin("log", nil, args...)
+	log, err := c.startStandin("log", nil, args...)
 	if err != nil {
 		return err
 	}
-	c.logAt = log.Address
-	c.Log = logservice.New(c.logAt, c.client)
+	c.logAddress = log.Address
+	c.Log = logservice.New(c.logAddress, c.client)
 	rows, err := c.startWorkers()
 	if err != nil {
 		return err
 	}
-	list, err := c.standin("vms", &standin.FileSettings{VMs: rows})
+	list, err := c.startStandin("vms", &standin.FileSettings{VMs: rows})
 	if err != nil {
 		return err
 	}
-	c.listAt = list.Address
+	c.listAddress = list.Address
 	for _, e := range c.Deployment.Entries() {
 		if _, err := c.StartEntry(ctx, e.Name, e.Domain); err != nil {
 			return err
@@ -161,7 +180,8 @@
 	return c.WaitReady(ctx)
 }
 
-// startWorkers starts one stand-in process for the workers of each domain.
+// startWorkers starts one stand-in process for the workers of each failure domain
+// and returns the workers' rows of the VM list.
 func (c *Cluster) startWorkers() ([]vmlist.VM, error) {
 	var rows []vmlist.VM
 	for _, domain := range c.Deployment.Domains {
@@ -172,11 +192,11 @@
 				file.Workers = append(file.Workers, standin.WorkerSettings{Name: w.Name, Domain: w.Domain, Rack: w.Rack, Capacity: w.Capacity, Listen: loopback})
 			}
 		}
-		started, err := c.standin("workers", file)
+		started, err := c.startStandin("workers", file)
 		if err != nil {
 			return nil, err
 		}
-		c.fleets = append(c.fleets, started.Address)
+		c.workerControls = append(c.workerControls, started.Address)
 		for _, w := range file.Workers {
 			rows = append(rows, vmlist.VM{Name: w.Name, Role: vmlist.Worker, Domain: w.Domain, Rack: w.Rack, Address: started.Workers[w.Name]})
 		}
@@ -184,11 +204,13 @@
 	return rows, nil
 }
 
-func (c *Cluster) standin(role string, file *standin.FileSettings, more ...string) (standin.Started, error) {
-	args := append([]string{"-role", role}, more...)
+// startStandin starts the stand-in program in a role. file is its settings file and
+// may be nil.
+func (c *Cluster) startStandin(role string, file *standin.FileSettings, extraArgs ...string) (standin.Started, error) {
+	args := append([]string{"-role", role}, extraArgs...)
 	name := fmt.Sprintf("%s-%d", role, len(c.processes))
 	if file != nil {
-		path, err := c.write(name, file)
+		path, err := c.writeJSON(name, file)
 		if err != nil {
 			return standin.Started{}, err
 		}
@@ -199,7 +221,8 @@
 	return started, err
 }
 
-func (c *Cluster) write(name string, value any) (string, error) {
+// writeJSON writes a value to a JSON file in the folder and returns the file's path.
+func (c *Cluster) writeJSON(name string, value any) (string, error) {
 	data, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
 		return "", err
@@ -208,7 +231,8 @@
 	return path, os.WriteFile(path, data, 0o600)
 }
 
-// launch starts a program and decodes the line that it prints once it serves.
+// launch starts a program and decodes the JSON line that it prints to its standard
+// output once it accepts connections. Its standard error goes to a log file.
 func (c *Cluster) launch(name, program string, args []string, started any) (*Process, error) {
 	logFile, err := os.OpenFile(filepath.Join(c.folder, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -236,7 +260,7 @@
 		close(p.done)
 	}()
 	if readErr != nil {
-		return nil, fault.Newf("launch", KindStart, "%s ended before it served: %w", name, readErr)
+		return nil, fault.Newf("launch", KindStart, "%s ended before it printed its addresses: %w", name, readErr)
 	}
 	if err := json.Unmarshal(line, started); err != nil {
 		return nil, fault.New("launch", KindStart, err)
@@ -244,41 +268,43 @@
 	return p, nil
 }
 
-// started is the line of an entry VM.
-type started struct {
+// entryAddresses is the JSON line that an entry VM prints once it accepts
+// connections.
+type entryAddresses struct {
 	Name   string         `json:"name"`
 	Caller netip.AddrPort `json:"caller"`
 	Peer   netip.AddrPort `json:"peer"`
 }
 
-// StartEntry starts an entry VM and adds it to the VM list.
+// StartEntry starts an entry VM with the other entry VMs as seeds and adds it to
+// the VM list. It does not wait until the entry VM is ready.
 func (c *Cluster) StartEntry(ctx context.Context, name, domain string) (*Entry, error) {
 	s := settings.Default()
-	s.Name, s.Domain, s.Log, s.VMList = name, domain, c.logAt, c.listAt
+	s.Name, s.Domain, s.Log, s.VMList = name, domain, c.logAddress, c.listAddress
 	for _, e := range c.Entries {
-		s.Seeds = append(s.Seeds, e.Peer)
+		s.Seeds = append(s.Seeds, e.PeerAddress)
 	}
-	if c.adjust != nil {
-		c.adjust(&s)
+	if c.adjustSettings != nil {
+		c.adjustSettings(&s)
 	}
-	path, err := c.write("entry-"+name, s)
+	path, err := c.writeJSON("entry-"+name, s)
 	if err != nil {
 		return nil, err
 	}
-	var line started
-	p, err := c.launch("entry-"+name, c.programs.Almondpost, []string{"entry", "-settings", path}, &line)
+	var addresses entryAddresses
+	p, err := c.launch("entry-"+name, c.programs.Almondpost, []string{"entry", "-settings", path}, &addresses)
 	if err != nil {
 		return nil, err
 	}
-	e := &Entry{Process: p, Domain: domain, Caller: line.Caller, Peer: line.Peer}
+	e := &Entry{Process: p, Domain: domain, CallerAddress: addresses.Caller, PeerAddress: addresses.Peer}
 	e.Name = name
 	c.Entries = append(c.Entries, e)
-	return e, c.control(ctx, c.listAt, "set", vmlist.VM{Name: name, Role: vmlist.Entry, Domain: domain, Address: e.Peer})
+	return e, c.postControl(ctx, c.listAddress, "set", vmlist.VM{Name: name, Role: vmlist.Entry, Domain: domain, Address: e.PeerAddress})
 }
 
-// IsReady reports whether an entry VM is ready.
+// IsReady reports whether an entry VM answers its readiness check with status 200.
 func (c *Cluster) IsReady(ctx context.Context, e *Entry) bool {
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.Caller.String()+"/readyz", nil)
+	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.CallerAddress.String()+"/readyz", nil)
 	if err != nil {
 		return false
 	}
@@ -290,20 +316,22 @@
 	return r.StatusCode == http.StatusOK
 }
 
-// WaitReady waits until every entry VM is ready and every worker adopted.
+// WaitReady waits until every live entry VM is ready and they have adopted every
+// worker. It returns KindTimeout after startTimeout.
 func (c *Cluster) WaitReady(ctx context.Context) error {
 	deadline := time.Now().Add(startTimeout)
 	for time.Now().Before(deadline) {
-		if c.ready(ctx) {
+		if c.allReady(ctx) {
 			return nil
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(pollInterval)
 	}
-	return fault.Newf("wait", KindTimeout, "not ready after %s", startTimeout)
+	return fault.Newf("wait", KindTimeout, "cluster is not ready after %s", startTimeout)
 }
 
-// AwaitAdopted waits until the live entry VMs hold every worker.
-func (c *Cluster) AwaitAdopted(ctx context.Context) error {
+// WaitAdopted waits until the live entry VMs have adopted every worker. It returns
+// the error of ctx when ctx ends first.
+func (c *Cluster) WaitAdopted(ctx context.Context) error {
 	for {
 		adopted := 0
 		for _, e := range c.Entries {
@@ -312,7 +340,7 @@
 				continue
 			default:
 			}
-			if v, err := c.variables(ctx, e); err == nil {
+			if v, err := c.readVariables(ctx, e); err == nil {
 				adopted += v.Owner.Workers
 			}
 		}
@@ -322,11 +350,13 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(pollInterval)
 	}
 }
 
-func (c *Cluster) ready(ctx context.Context) bool {
+// allReady reports whether every live entry VM is ready and they have adopted every
+// worker.
+func (c *Cluster) allReady(ctx context.Context) bool {
 	adopted := 0
 	for _, e := range c.Entries {
 		select {
@@ -334,7 +364,7 @@
 			continue
 		default:
 		}
-		v, err := c.variables(ctx, e)
+		v, err := c.readVariables(ctx, e)
 		if err != nil || !c.IsReady(ctx, e) {
 			return false
 		}
@@ -343,7 +373,7 @@
 	return adopted == len(c.Deployment.Workers())
 }
 
-// Close ends every process.
+// Close kills every process, the latest first, and waits until they have ended.
 func (c *Cluster) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/emulate/cluster/jobs_test.go
+++ b/internal/emulate/cluster/jobs_test.go
@@ -19,17 +19,20 @@
 	"github.com/almondpost/almondpost/internal/state/plan"
 )
 
+// jobSpec returns a job of repeatable tasks, which return their name in the answer.
 func jobSpec(tasks int, run time.Duration) job.Spec {
 	var s job.Spec
 	for i := range tasks {
-		k := spec(fmt.Sprintf("task-%d", i), run)
-		k.Class = plan.Overnight
-		s.Tasks = append(s.Tasks, k)
+		task := requestSpec(fmt.Sprintf("task-%d", i), run)
+		task.Class = plan.Overnight
+		s.Tasks = append(s.Tasks, task)
 	}
 	return s
 }
 
-func doJob(method, url string, body []byte) (s job.Status, status int, err error) {
+// doJobRequest sends an HTTP request and returns the decoded job status and the
+// HTTP status.
+func doJobRequest(method, url string, body []byte) (s job.Status, status int, err error) {
 	q, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
 		return s, 0, err
@@ -46,7 +49,7 @@
 	is.Helper()
 	body, err := json.Marshal(s)
 	is.NoErr(err)
-	out, status, err := doJob(http.MethodPost, fmt.Sprintf("http://%s/v1/jobs", e.Caller), body)
+	out, status, err := doJobRequest(http.MethodPost, fmt.Sprintf("http://%s/v1/jobs", e.CallerAddress), body)
 	is.NoErr(err)
 	is.Equal(status, http.StatusAccepted)
 	return out
@@ -54,21 +57,21 @@
 
 func awaitJob(is *is.I, e *cluster.Entry, id string) job.Status {
 	is.Helper()
-	out, _, err := doJob(http.MethodGet, fmt.Sprintf("http://%s/v1/jobs/%s?wait_milliseconds=30000", e.Caller, id), nil)
+	out, _, err := doJobRequest(http.MethodGet, fmt.Sprintf("http://%s/v1/jobs/%s?wait_milliseconds=30000", e.CallerAddress, id), nil)
 	is.NoErr(err)
 	return out
 }
 
-// overlaps counts the tasks that ran in two places at once, by the workers' own
-// records.
-func overlaps(histories []standin.History) int {
+// countOverlaps returns the number of pairs of runs of one task that overlapped in
+// time, according to the workers' histories.
+func countOverlaps(histories []standin.History) int {
 	byTask := map[string][]standin.Run{}
 	n := 0
 	for _, h := range histories {
 		for _, r := range h.Runs {
 			name, _, _ := strings.Cut(r.Attempt, "/")
-			for _, o := range byTask[name] {
-				if (o.Ended.IsZero() || o.Ended.After(r.Started)) && (r.Ended.IsZero() || r.Ended.After(o.Started)) {
+			for _, other := range byTask[name] {
+				if (other.Ended.IsZero() || other.Ended.After(r.Started)) && (r.Ended.IsZero() || r.Ended.After(other.Started)) {
 					n++
 				}
 			}
@@ -78,7 +81,9 @@
 	return n
 }
 
-func checkJob(is *is.I, c *cluster.Cluster, s job.Status, tasks int) {
+// checkJobCompleted checks that every task of a job returned its own, complete
+// answer and that no task ran on two workers at once.
+func checkJobCompleted(is *is.I, c *cluster.Cluster, s job.Status, tasks int) {
 	is.Helper()
 	is.Equal(s.State, request.Done)
 	is.Equal(s.Ended, tasks)
@@ -88,20 +93,23 @@
 	}
 	histories, err := c.Histories(context.Background())
 	is.NoErr(err)
-	is.Equal(overlaps(histories), 0)
+	is.Equal(countOverlaps(histories), 0)
 }
 
-func TestJobIsAnsweredWholeThroughAnyEntryVM(t *testing.T) {
+// The outcomes of a job can be fetched from every entry VM, not only from the one
+// that accepted it.
+func TestJobOutcomesAreCompleteThroughAnyEntryVM(t *testing.T) {
 	is := is.New(t)
-	c := start(t)
+	c := startCluster(t)
 	s := submitJob(is, c.Entries[0], jobSpec(20, 100*time.Millisecond))
 	for _, e := range c.Entries {
-		checkJob(is, c, awaitJob(is, e, s.ID), 20)
+		checkJobCompleted(is, c, awaitJob(is, e, s.ID), 20)
 	}
 }
 
-// runsOf counts how often a task started, by the workers' own records.
-func runsOf(histories []standin.History, task string) int {
+// countRuns returns how often a task was started, according to the workers'
+// histories.
+func countRuns(histories []standin.History, task string) int {
 	n := 0
 	for _, h := range histories {
 		for _, r := range h.Runs {
@@ -113,9 +121,11 @@
 	return n
 }
 
+// A job survives the loss of the entry VM that accepted it: every task is answered,
+// and tasks that are not repeatable run exactly once.
 func TestJobOutlivesItsEntryVM(t *testing.T) {
-	// onlyOnce is how many tasks of the job may not repeat.
-	const onlyOnce = 4
+	// notRepeatable is the number of tasks that must not run twice.
+	const notRepeatable = 4
 	scenarios := []struct {
 		testName string
 		act      func(c *cluster.Cluster, e *cluster.Entry)
@@ -131,30 +141,30 @@
 		t.Run(s.testName, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			c := start(t)
+			c := startCluster(t)
 			spec := jobSpec(40, 2*time.Second)
-			for i := range onlyOnce {
+			for i := range notRepeatable {
 				spec.Tasks[i].Repeatable = false
 			}
 			accepted := submitJob(is, c.Entries[0], spec)
 			time.Sleep(500 * time.Millisecond)
 			s.act(c, c.Entries[0])
-			checkJob(is, c, awaitJob(is, c.Entries[2], accepted.ID), 40)
+			checkJobCompleted(is, c, awaitJob(is, c.Entries[2], accepted.ID), 40)
 			histories, err := c.Histories(context.Background())
 			is.NoErr(err)
-			for i := range onlyOnce {
-				is.Equal(runsOf(histories, job.TaskID(accepted.ID, i)), 1)
+			for i := range notRepeatable {
+				is.Equal(countRuns(histories, job.TaskID(accepted.ID, i)), 1)
 			}
 		})
 	}
 }
 
-// TestGangsRunWhole lets several gangs compete, each too large to run beside
-// another, and checks by the workers' own records that the tasks of each gang
-// ran at the same time.
-func TestGangsRunWhole(t *testing.T) {
+// The tasks of a gang run at the same time, also when several gangs compete. Each
+// gang is too large to run beside another one, so that gangs which start in parts
+// would block each other.
+func TestGangTasksRunAtTheSameTime(t *testing.T) {
 	is := is.New(t)
-	c := start(t)
+	c := startCluster(t)
 	const gangs, tasks = 3, 10
 	ids := make([]string, gangs)
 	for i := range gangs {
@@ -163,7 +173,7 @@
 		ids[i] = submitJob(is, c.Entries[0], s).ID
 	}
 	for _, id := range ids {
-		checkJob(is, c, awaitJob(is, c.Entries[2], id), tasks)
+		checkJobCompleted(is, c, awaitJob(is, c.Entries[2], id), tasks)
 	}
 	histories, err := c.Histories(context.Background())
 	is.NoErr(err)
--- a/internal/emulate/cluster/outage_test.go
+++ b/internal/emulate/cluster/outage_test.go
@@ -15,82 +15,82 @@
 	"github.com/almondpost/almondpost/internal/node/request"
 )
 
-// TestPlatformAway kills an entry VM while log and VM list are away. The others
-// take its workers over and go on with repeatable work; work with a key is
-// refused as not run; an entry VM that is born then learns the lists from a
-// peer.
+// An entry VM is killed while the log service and the VM list are unavailable. The
+// other entry VMs adopt its workers and continue to run repeatable requests.
+// Requests with a key are refused as not run until the log is available again. An
+// entry VM that starts during the outage gets the configuration from a peer.
 func TestPlatformAway(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	c := start(t)
+	c := startCluster(t)
 	is.NoErr(c.SetLogFault(ctx, standin.LogFault{Outage: true}))
 	is.NoErr(c.SetListFault(ctx, standin.VMsFault{Outage: true}))
 	c.Entries[0].Kill()
-	is.NoErr(c.AwaitAdopted(ctx))
-	o, _, err := post(c.Entries[2], spec("urgent", 50*time.Millisecond), "")
+	is.NoErr(c.WaitAdopted(ctx))
+	o, _, err := submitRequest(c.Entries[2], requestSpec("urgent", 50*time.Millisecond), "")
 	is.NoErr(err)
 	is.Equal(o.State, request.Done)
 	is.Equal(nonce(o), "urgent")
 
-	s := spec("letter", 50*time.Millisecond)
+	s := requestSpec("letter", 50*time.Millisecond)
 	s.Repeatable, s.Key = false, ulid.Make().String()
-	o, status, err := post(c.Entries[2], s, "")
+	o, status, err := submitRequest(c.Entries[2], s, "")
 	is.NoErr(err)
 	is.Equal(status, http.StatusServiceUnavailable)
 	is.Equal(o.State, request.NotRun)
 	is.True(o.RetryAfterMilliseconds > 0)
 
-	born, err := c.StartEntry(ctx, "entry-9", c.Entries[0].Domain)
+	newEntry, err := c.StartEntry(ctx, "entry-9", c.Entries[0].Domain)
 	is.NoErr(err)
-	for !c.IsReady(ctx, born) {
+	for !c.IsReady(ctx, newEntry) {
 		time.Sleep(20 * time.Millisecond)
 	}
-	o, _, err = post(born, spec("born", 50*time.Millisecond), "")
+	o, _, err = submitRequest(newEntry, requestSpec("born", 50*time.Millisecond), "")
 	is.NoErr(err)
 	is.Equal(nonce(o), "born")
 
 	is.NoErr(c.SetLogFault(ctx, standin.LogFault{}))
 	is.NoErr(c.SetListFault(ctx, standin.VMsFault{}))
 	for o.State = request.NotRun; o.State == request.NotRun; {
-		o, _, err = post(born, s, "")
+		o, _, err = submitRequest(newEntry, s, "")
 		is.NoErr(err)
 		time.Sleep(50 * time.Millisecond)
 	}
 	is.Equal(nonce(o), "letter")
 }
 
-// TestRollingReplacement replaces every entry VM by a planned stop while callers
-// go on through a balancer. No request is cut.
+// Every entry VM is replaced by a planned stop. Requests that it received before it
+// became not ready are still answered.
 func TestRollingReplacement(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	c := start(t)
+	c := startCluster(t)
 	old := append([]*cluster.Entry(nil), c.Entries...)
-	failures := make(chan string, 1000)
+	results := make(chan string, 1000)
 	for i, e := range old {
-		fresh, err := c.StartEntry(ctx, fmt.Sprintf("fresh-%d", i), e.Domain)
+		replacement, err := c.StartEntry(ctx, fmt.Sprintf("fresh-%d", i), e.Domain)
 		is.NoErr(err)
-		for !c.IsReady(ctx, fresh) {
+		for !c.IsReady(ctx, replacement) {
 			time.Sleep(20 * time.Millisecond)
 		}
-		// Callers that were sent to the old VM before it became not ready.
+		// These requests are in flight when the old entry VM starts to drain.
 		for n := range 20 {
 			go func() {
 				name := fmt.Sprintf("r%d-%d", i, n)
-				o, _, err := post(e, spec(name, 300*time.Millisecond), "")
+				o, _, err := submitRequest(e, requestSpec(name, 300*time.Millisecond), "")
 				if err != nil || o.State != request.Done || nonce(o) != name {
-					failures <- fmt.Sprintf("%s: %+v %v", name, o, err)
+					results <- fmt.Sprintf("%s: %+v %v", name, o, err)
 					return
 				}
-				failures <- ""
+				results <- ""
 			}()
 		}
 		time.Sleep(50 * time.Millisecond)
 		e.Terminate()
 		for range 20 {
-			is.Equal(<-failures, "")
+			is.Equal(<-results, "")
 		}
 		<-e.Done()
 	}
-	is.NoErr(c.AwaitAdopted(ctx))
+	is.NoErr(c.WaitAdopted(ctx))
 }
--- a/internal/emulate/cluster/path_test.go
+++ b/internal/emulate/cluster/request_test.go
@@ -23,6 +23,7 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
+// programs are built once by TestMain.
 var programs cluster.Programs
 
 func TestMain(m *testing.M) {
@@ -39,7 +40,8 @@
 	os.Exit(status)
 }
 
-func start(t *testing.T) *cluster.Cluster {
+// startCluster starts the deployment "small" and closes it at the end of the test.
+func startCluster(t *testing.T) *cluster.Cluster {
 	t.Helper()
 	is := is.New(t)
 	d, err := deployment.Load(examples.Files, "small")
@@ -50,7 +52,8 @@
 	return c
 }
 
-func spec(name string, run time.Duration) request.Spec {
+// requestSpec returns an urgent, repeatable request whose answer contains name.
+func requestSpec(name string, run time.Duration) request.Spec {
 	payload, _ := json.Marshal(standin.Work{RunMilliseconds: run.Milliseconds(), Nonce: name, AnswerBytes: 1000})
 	return request.Spec{
 		Plan: "snag-sorting", Class: plan.Urgent, Kind: "sort", Repeatable: true,
@@ -59,12 +62,16 @@
 	}
 }
 
-func post(e *cluster.Entry, s request.Spec, query string) (request.Outcome, int, error) {
+// submitRequest submits a request to an entry VM. query is empty or starts with a
+// question mark.
+func submitRequest(e *cluster.Entry, s request.Spec, query string) (request.Outcome, int, error) {
 	body, _ := json.Marshal(s)
-	return do(http.MethodPost, fmt.Sprintf("http://%s/v1/requests%s", e.Caller, query), body)
+	return doRequest(http.MethodPost, fmt.Sprintf("http://%s/v1/requests%s", e.CallerAddress, query), body)
 }
 
-func do(method, url string, body []byte) (o request.Outcome, status int, err error) {
+// doRequest sends an HTTP request and returns the decoded outcome and the HTTP
+// status.
+func doRequest(method, url string, body []byte) (o request.Outcome, status int, err error) {
 	q, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
 		return o, 0, err
@@ -77,20 +84,23 @@
 	return o, r.StatusCode, json.NewDecoder(r.Body).Decode(&o)
 }
 
+// nonce returns the nonce in the answer, or "" without a valid answer.
 func nonce(o request.Outcome) string {
 	var a standin.WorkAnswer
 	_ = json.Unmarshal(o.Answer, &a)
 	return a.Nonce
 }
 
+// Concurrent callers of different entry VMs each receive the complete answer to
+// their own request, each request runs once, and no worker exceeds its capacity.
 func TestEveryCallerGetsItsOwnWholeAnswer(t *testing.T) {
 	is := is.New(t)
-	c := start(t)
+	c := startCluster(t)
 	var group sync.WaitGroup
 	for i := range 60 {
 		group.Go(func() {
 			name := fmt.Sprintf("n%d", i)
-			o, status, err := post(c.Entries[i%len(c.Entries)], spec(name, time.Duration(10+i)*time.Millisecond), "")
+			o, status, err := submitRequest(c.Entries[i%len(c.Entries)], requestSpec(name, time.Duration(10+i)*time.Millisecond), "")
 			if err != nil || status != http.StatusOK || o.State != request.Done || !o.Whole() || nonce(o) != name {
 				t.Errorf("%s: status %d, outcome %+v, error %v", name, status, o, err)
 			}
@@ -107,15 +117,16 @@
 	is.Equal(runs, 60)
 }
 
-func TestLateCallerFetchesFromAnyEntryVM(t *testing.T) {
+// A caller that did not wait for the answer can fetch it from every entry VM.
+func TestOutcomeIsFetchedThroughAnyEntryVM(t *testing.T) {
 	is := is.New(t)
-	c := start(t)
-	o, status, err := post(c.Entries[0], spec("late", 300*time.Millisecond), "?wait_milliseconds=0")
+	c := startCluster(t)
+	o, status, err := submitRequest(c.Entries[0], requestSpec("late", 300*time.Millisecond), "?wait_milliseconds=0")
 	is.NoErr(err)
 	is.Equal(status, http.StatusAccepted)
 	is.Equal(o.State, request.Pending)
 	for _, e := range c.Entries {
-		got, status, err := do(http.MethodGet, fmt.Sprintf("http://%s/v1/requests/%s?wait_milliseconds=10000", e.Caller, o.ID), nil)
+		got, status, err := doRequest(http.MethodGet, fmt.Sprintf("http://%s/v1/requests/%s?wait_milliseconds=10000", e.CallerAddress, o.ID), nil)
 		is.NoErr(err)
 		is.Equal(status, http.StatusOK)
 		is.True(got.Whole())
@@ -123,15 +134,17 @@
 	}
 }
 
+// Concurrent submissions with one key through different entry VMs run once, and
+// every caller receives the answer.
 func TestKeyRunsOnceThroughAnyEntryVM(t *testing.T) {
 	is := is.New(t)
-	c := start(t)
-	s := spec("letter", 200*time.Millisecond)
+	c := startCluster(t)
+	s := requestSpec("letter", 200*time.Millisecond)
 	s.Repeatable, s.Key = false, ulid.Make().String()
 	var group sync.WaitGroup
 	for i := range 9 {
 		group.Go(func() {
-			o, _, err := post(c.Entries[i%len(c.Entries)], s, "")
+			o, _, err := submitRequest(c.Entries[i%len(c.Entries)], s, "")
 			if err != nil || o.State != request.Done || nonce(o) != "letter" {
 				t.Errorf("outcome %+v, error %v", o, err)
 			}
--- a/internal/emulate/fleet/worker.go
+++ b/internal/emulate/fleet/worker.go
@@ -1,6 +1,7 @@
-// Package fleet emulates workers for tests: leases on their own clock, fencing
-// tokens, numbered ends, checkpoints and gangs. It holds no goroutine; the time
-// is an argument.
+// Package fleet emulates workers for tests of the scheduler. A worker checks
+// fencing tokens, ends its runs when its lease lapses by its own clock, and
+// reports ended runs until they are acknowledged. The package starts no
+// goroutines: callers pass the current time, so that tests can simulate it.
 package fleet
 
 import (
@@ -14,179 +15,203 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// Demand tells how a task behaves on a worker.
+// Demand describes how a task behaves on an emulated worker.
 type Demand struct {
+	// Room is the amount of resources that the task uses.
 	Room resource.Vector
-	// RunTime is the work of the task; a lasting task has none.
+	// RunTime is how long the task runs; it is ignored for lasting tasks.
 	RunTime time.Duration
+	// Lasting tasks run until they are stopped or the lease lapses.
 	Lasting bool
-	// Speculative tasks may run in several copies.
+	// Speculative tasks may run on several workers at once.
 	Speculative bool
-	// Fails makes the run end as failed.
+	// Fails makes the run end with the outcome Failed after RunTime.
 	Fails bool
-	// Members is the size of the task's gang; 0 outside of gangs.
+	// Members is the number of tasks in the task's gang, or 0 without a gang.
 	Members int
 }
 
-// Observer is told what workers do.
+// Observer is notified of what happens on emulated workers. The methods are
+// called synchronously with the time that the caller passed to the worker.
 type Observer interface {
+	// Started reports that a new run began.
 	Started(w *Worker, s backend.Start, at time.Time)
+	// Ended reports that a run ended.
 	Ended(w *Worker, e backend.End, at time.Time)
-	// Acknowledged tells that an end will not be listed again.
+	// Acknowledged reports that the scheduler has confirmed an end, so that the
+	// worker stops reporting it.
 	Acknowledged(w *Worker, e backend.End, at time.Time)
 }
 
-// run is a task at work.
+// run is one execution of a task that has not ended.
 type run struct {
-	task   work.TaskID
-	number int64
-	demand Demand
-	begun  time.Time
-	// stopped is when a stop was ordered; zero while it was not.
-	stopped time.Time
+	task      work.TaskID
+	number    int64
+	profile   Demand
+	startedAt time.Time
+	// stopOrderedAt is when a stop was ordered, or zero.
+	stopOrderedAt time.Time
 }
 
-// Worker is one life of an emulated worker.
+// Worker is one emulated worker process. To emulate a restart, create a new
+// Worker with another Registration.Life. It is not safe for concurrent use.
 type Worker struct {
 	Registration backend.Registration
-	// Rate is the speed of the worker's clock.
-	Rate float64
-	born time.Time
-	// token is the highest seen.
-	token    int64
-	deadline time.Duration
-	running  map[work.TaskID]*run
-	// ended holds the runs that ended, of each task the highest.
-	highest  map[work.TaskID]int64
-	ends     []backend.End
-	number   int64
-	demand   func(work.TaskID) Demand
-	observer Observer
+	// Rate is the speed of the worker's clock relative to real time; 1 is exact.
+	Rate      float64
+	startedAt time.Time
+	// highestToken is the highest fencing token received; lower ones are refused.
+	highestToken int64
+	// leaseDeadline is when the lease lapses by the worker's clock.
+	leaseDeadline time.Duration
+	running       map[work.TaskID]*run
+	// highestRuns maps each task to the highest run number that was started or
+	// ordered to stop; starts of lower or equal numbers are refused.
+	highestRuns map[work.TaskID]int64
+	// unacknowledged lists the ends that the worker still reports.
+	unacknowledged []backend.End
+	lastEndNumber  int64
+	profileOf      func(work.TaskID) Demand
+	observer       Observer
 }
 
-// stopTime is how long a run takes to end once it was told to.
-const stopTime = 400 * time.Millisecond
+// stopDelay is the time from a stop order until the run ends.
+const stopDelay = 400 * time.Millisecond
 
-// maxLease is the longest lease that a worker grants.
+// maxLease limits how far beyond the current time an order can extend the lease.
 const maxLease = 6 * time.Second
 
-// New returns a worker that starts now.
-func New(r backend.Registration, rate float64, now time.Time, demand func(work.TaskID) Demand, o Observer) *Worker {
-	return &Worker{Registration: r, Rate: rate, born: now, running: map[work.TaskID]*run{}, highest: map[work.TaskID]int64{}, demand: demand, observer: o}
+// New returns a worker that starts at now. rate is the speed of its clock, and
+// profileOf returns the behaviour of a task. The observer must not be nil.
+func New(r backend.Registration, rate float64, now time.Time, profileOf func(work.TaskID) Demand, o Observer) *Worker {
+	return &Worker{Registration: r, Rate: rate, startedAt: now, running: map[work.TaskID]*run{}, highestRuns: map[work.TaskID]int64{}, profileOf: profileOf, observer: o}
 }
 
-// Clock returns the worker's clock.
+// Clock returns the time since the worker's start by its own clock, plus 1 ms,
+// because a clock of 0 means unknown in the worker protocol.
 func (w *Worker) Clock(now time.Time) time.Duration {
-	return time.Millisecond + time.Duration(float64(now.Sub(w.born))*w.Rate)
+	return time.Millisecond + time.Duration(float64(now.Sub(w.startedAt))*w.Rate)
 }
 
-// Used sums the room of what runs.
+// Used returns the resources that the running tasks use in total.
 func (w *Worker) Used() resource.Vector {
 	var used resource.Vector
 	for _, r := range w.running {
-		used = used.Add(r.demand.Room)
+		used = used.Add(r.profile.Room)
 	}
 	return used
 }
 
-// Running lists the tasks at work.
+// Running returns the running tasks in no particular order.
 func (w *Worker) Running() []work.TaskID { return slices.Collect(maps.Keys(w.running)) }
 
-// Advance ends what is over by now, each run for what came first.
+// Advance ends the runs that are over by now. A run that reached its run time
+// before the lease lapsed ends as Done or Failed, any other run as Lapsed once
+// the lease has lapsed. Once stopDelay has passed since a stop order, the run ends
+// as Stopped, even if it is also finished or without a lease.
 func (w *Worker) Advance(now time.Time) {
-	lapsed := w.Clock(now) > w.deadline
-	for _, r := range w.sorted() {
-		end := r.begun.Add(r.demand.RunTime)
-		over := !r.demand.Lasting && !now.Before(end) && (!lapsed || w.Clock(end) <= w.deadline)
+	leaseLapsed := w.Clock(now) > w.leaseDeadline
+	for _, r := range w.sortedRuns() {
+		endsAt := r.startedAt.Add(r.profile.RunTime)
+		finished := !r.profile.Lasting && !now.Before(endsAt) && (!leaseLapsed || w.Clock(endsAt) <= w.leaseDeadline)
 		switch {
-		case !r.stopped.IsZero() && now.Sub(r.stopped) >= stopTime:
-			w.end(r, backend.Stopped, now)
-		case over && r.demand.Fails:
-			w.end(r, backend.Failed, now)
-		case over:
-			w.end(r, backend.Done, now)
-		case lapsed:
-			w.end(r, backend.Lapsed, now)
+		case !r.stopOrderedAt.IsZero() && now.Sub(r.stopOrderedAt) >= stopDelay:
+			w.endRun(r, backend.Stopped, now)
+		case finished && r.profile.Fails:
+			w.endRun(r, backend.Failed, now)
+		case finished:
+			w.endRun(r, backend.Done, now)
+		case leaseLapsed:
+			w.endRun(r, backend.Lapsed, now)
 		}
 	}
 }
 
-func (w *Worker) sorted() []*run {
+// sortedRuns returns the runs in the order of their task IDs, so that tests are
+// reproducible.
+func (w *Worker) sortedRuns() []*run {
 	return slices.SortedFunc(maps.Values(w.running), func(a, b *run) int { return cmp.Compare(a.task.String(), b.task.String()) })
 }
 
-func (w *Worker) end(r *run, how backend.Outcome, now time.Time) {
+// endRun removes a run, adds its end to the reports and notifies the observer.
+func (w *Worker) endRun(r *run, outcome backend.Outcome, now time.Time) {
 	delete(w.running, r.task)
-	w.number++
-	e := backend.End{Number: w.number, Task: r.task, Run: r.number, Outcome: how}
-	w.ends = append(w.ends, e)
+	w.lastEndNumber++
+	e := backend.End{Number: w.lastEndNumber, Task: r.task, Run: r.number, Outcome: outcome}
+	w.unacknowledged = append(w.unacknowledged, e)
 	w.observer.Ended(w, e, now)
 }
 
-// extend notes the deadline of an order; it never shortens.
-func (w *Worker) extend(deadline time.Duration, now time.Time) {
-	w.deadline = max(w.deadline, min(deadline, w.Clock(now)+maxLease))
+// extendLease extends the lease to the deadline of an order, but not beyond
+// maxLease from now. It never shortens the lease.
+func (w *Worker) extendLease(deadline time.Duration, now time.Time) {
+	w.leaseDeadline = max(w.leaseDeadline, min(deadline, w.Clock(now)+maxLease))
 }
 
-// Start carries out an order. The empty kind is success.
+// Start handles an order to start a run. It returns the reason for a refusal, or
+// an empty Kind on success and when the same run is already running.
 func (w *Worker) Start(s backend.Start, now time.Time) backend.Kind {
 	w.Advance(now)
-	if s.Token < w.token {
+	if s.Token < w.highestToken {
 		return backend.KindFenced
 	}
-	w.token = s.Token
+	w.highestToken = s.Token
 	if r := w.running[s.Task]; r != nil && r.number == s.Run {
 		return ""
 	}
 	if w.Clock(now) > s.Deadline {
 		return backend.KindLate
 	}
-	w.extend(s.Deadline, now)
-	if s.Run <= w.highest[s.Task] {
+	w.extendLease(s.Deadline, now)
+	if s.Run <= w.highestRuns[s.Task] {
 		return backend.KindStaleRun
 	}
-	w.highest[s.Task] = s.Run
-	w.running[s.Task] = &run{task: s.Task, number: s.Run, demand: w.demand(s.Task), begun: now}
+	w.highestRuns[s.Task] = s.Run
+	w.running[s.Task] = &run{task: s.Task, number: s.Run, profile: w.profileOf(s.Task), startedAt: now}
 	w.observer.Started(w, s, now)
 	return ""
 }
 
-// Stop carries out an order to stop.
+// Stop handles an order to stop a run. It also prevents later starts of the run
+// and of earlier runs of the task. It returns KindFenced for an old token and an
+// empty Kind otherwise.
 func (w *Worker) Stop(s backend.Stop, now time.Time) backend.Kind {
 	w.Advance(now)
-	if s.Token < w.token {
+	if s.Token < w.highestToken {
 		return backend.KindFenced
 	}
-	w.token = s.Token
-	w.highest[s.Task] = max(w.highest[s.Task], s.Run)
-	if r := w.running[s.Task]; r != nil && r.number <= s.Run && r.stopped.IsZero() {
-		r.stopped = now
+	w.highestToken = s.Token
+	w.highestRuns[s.Task] = max(w.highestRuns[s.Task], s.Run)
+	if r := w.running[s.Task]; r != nil && r.number <= s.Run && r.stopOrderedAt.IsZero() {
+		r.stopOrderedAt = now
 	}
 	return ""
 }
 
-// Hold extends the lease and reports.
+// Hold extends the lease, drops acknowledged ends, and reports the running tasks
+// and the remaining ends. It returns KindFenced for an old token and an empty
+// Kind otherwise.
 func (w *Worker) Hold(h backend.Hold, now time.Time) (backend.Report, backend.Kind) {
 	w.Advance(now)
-	if h.Token < w.token {
+	if h.Token < w.highestToken {
 		return backend.Report{}, backend.KindFenced
 	}
-	w.token = h.Token
+	w.highestToken = h.Token
 	if h.Deadline > 0 {
-		w.extend(h.Deadline, now)
+		w.extendLease(h.Deadline, now)
 	}
-	kept := w.ends[:0]
-	for _, e := range w.ends {
+	pending := w.unacknowledged[:0]
+	for _, e := range w.unacknowledged {
 		if e.Number > h.Acknowledged {
-			kept = append(kept, e)
+			pending = append(pending, e)
 		} else {
 			w.observer.Acknowledged(w, e, now)
 		}
 	}
-	w.ends = kept
-	r := backend.Report{Life: w.Registration.Life, Clock: w.Clock(now), Ended: slices.Clone(w.ends)}
-	for _, v := range w.sorted() {
-		r.Running = append(r.Running, backend.Run{Task: v.task, Run: v.number})
+	w.unacknowledged = pending
+	report := backend.Report{Life: w.Registration.Life, Clock: w.Clock(now), Ended: slices.Clone(w.unacknowledged)}
+	for _, r := range w.sortedRuns() {
+		report.Running = append(report.Running, backend.Run{Task: r.task, Run: r.number})
 	}
-	return r, ""
+	return report, ""
 }
--- a/internal/emulate/isolation/isolation.go
+++ b/internal/emulate/isolation/isolation.go
@@ -1,5 +1,5 @@
-// Package isolation injects network partitions into one entry VM for tests. It
-// does nothing unless the settings allow fault injection.
+// Package isolation simulates network partitions of one entry VM for tests.
+// Nothing is blocked unless the settings allow fault injection.
 package isolation
 
 import (
@@ -8,41 +8,44 @@
 	"sync"
 )
 
-// Platform is the name under which the log service and the VM list are cut off.
+// Platform is the name that stands for the log service and the VM list in a Cut.
 const Platform = "platform"
 
-// Cut is the set of failure domains, and Platform, that can not be reached.
+// Cut is a simulated network partition: the failure domains, and possibly
+// Platform, that this entry VM cannot reach.
 type Cut struct {
 	mutex   sync.Mutex
-	names   []string
+	blocked []string
 	changed chan struct{}
 }
 
-// New returns a cut of nothing.
+// New returns a Cut that blocks nothing.
 func New() *Cut { return &Cut{changed: make(chan struct{})} }
 
-// Set replaces the names that can not be reached.
+// Set replaces the blocked names.
 func (c *Cut) Set(names []string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.names = slices.Clone(names)
+	c.blocked = slices.Clone(names)
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// Blocks reports whether a name can not be reached.
+// Blocks reports whether a failure domain, or Platform, is unreachable.
 func (c *Cut) Blocks(name string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return slices.Contains(c.names, name)
+	return slices.Contains(c.blocked, name)
 }
 
-// Client returns an HTTP client whose calls get no answer while a name is cut
-// off, as over a network that drops everything.
+// Client wraps an HTTP client. While name is blocked, a call waits until its
+// context ends and returns the context's error, as if the network dropped every
+// packet. A response that arrives while name is blocked is discarded.
 func (c *Cut) Client(name string, base *http.Client) *http.Client {
 	return &http.Client{Transport: transport{c, name, base.Transport}}
 }
 
+// transport is the http.RoundTripper of the clients that Cut.Client returns.
 type transport struct {
 	cut  *Cut
 	name string
--- a/internal/emulate/load/call.go
+++ b/internal/emulate/load/call.go
@@ -15,45 +15,56 @@
 	"github.com/almondpost/almondpost/internal/node/request"
 )
 
-// result is what became of a call from its caller's side.
+// result is the outcome of a call as its caller saw it.
 type result string
 
+// The results of a call.
 const (
-	answered  result = "answered"
+	// answered means that the caller received its own, complete answer.
+	answered result = "answered"
+	// notRun means that an entry VM confirmed that the request did not run.
 	notRun    result = "not_run"
 	cancelled result = "cancelled"
 	failed    result = "failed"
-	lost      result = "lost"
+	// lost means that the caller learned no final outcome.
+	lost result = "lost"
 )
 
-// call is one request from its caller's side.
+// call is one request as its caller saw it, including its resubmissions.
 type call struct {
 	group  Group
 	sent   time.Time
 	ended  time.Time
 	result result
+	// reason explains a result other than answered.
 	reason string
-	// ids are all requests that the caller made for this call.
-	ids []string
-	// nonce is what the answer has to carry.
+	// requestIDs are the IDs of the request and its resubmissions, in order.
+	requestIDs []string
+	// nonce must be returned in the answer.
 	nonce string
 }
 
 const (
-	// maxResubmissions bounds how often a caller resubmits after its
-	// connection broke.
-	maxResubmissions = 5
-	resubmitPause    = 200 * time.Millisecond
-	callTimeout      = 40 * time.Second
-	// cancelAfter is when a caller of a cancellation wave cancels.
-	cancelAfter = 100 * time.Millisecond
+	// maxSubmissions is how often a caller submits one request at most, because a
+	// submission can fail when the connection breaks.
+	maxSubmissions = 5
+	// resubmitPause is the pause before a resubmission.
+	resubmitPause = 200 * time.Millisecond
+	// callTimeout limits a call including its resubmissions.
+	callTimeout = 40 * time.Second
+	// cancelDelay is the time from the submission to the cancellation of a request
+	// that is to be cancelled.
+	cancelDelay = 100 * time.Millisecond
 )
 
-var callers = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
+// callerClient is the HTTP client of all simulated callers.
+var callerClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
 
-// call makes one request and, when the connection breaks, resubmits it through
-// another entry VM as a caller behind a balancer does.
-func (r *run) call(ctx context.Context, g Group, seed uint64, cancel bool) call {
+// makeCall submits one request and returns how it ended. After an error it
+// resubmits the request through another entry VM, as a caller behind a load
+// balancer does. seed selects the entry VMs. With cancel, the request is cancelled
+// after cancelDelay.
+func (r *run) makeCall(ctx context.Context, g Group, seed uint64, cancel bool) call {
 	nonce := ulid.Make().String()
 	payload, _ := json.Marshal(standin.Work{RunMilliseconds: g.RunTime.Milliseconds(), Nonce: nonce, AnswerBytes: 200})
 	s := request.Spec{
@@ -66,14 +77,14 @@
 	c := call{group: g, sent: time.Now(), nonce: nonce, result: lost}
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
-	for try := range maxResubmissions {
-		e := r.balancer(seed + uint64(try))
+	for attempt := range maxSubmissions {
+		e := r.pickEntry(seed + uint64(attempt))
 		o, err := submitOnce(ctx, e, s, cancel)
 		if o.ID != "" {
-			c.ids = append(c.ids, o.ID)
+			c.requestIDs = append(c.requestIDs, o.ID)
 		}
 		if err == nil {
-			c.judge(o)
+			c.classify(o)
 			break
 		}
 		c.reason = err.Error()
@@ -83,9 +94,9 @@
 	return c
 }
 
-// judge turns an outcome into a result. An answer counts only when it is whole
-// and the caller's own.
-func (c *call) judge(o request.Outcome) {
+// classify sets the result from an outcome. The call counts as answered only when
+// the answer is complete and contains the nonce of the call.
+func (c *call) classify(o request.Outcome) {
 	c.reason = o.Reason
 	switch o.State {
 	case request.Done:
@@ -106,8 +117,10 @@
 	}
 }
 
+// submitOnce submits a request to an entry VM and waits for its outcome. With
+// cancel, it cancels the request first.
 func submitOnce(ctx context.Context, e *cluster.Entry, s request.Spec, cancel bool) (request.Outcome, error) {
-	base := fmt.Sprintf("http://%s/v1/requests", e.Caller)
+	base := fmt.Sprintf("http://%s/v1/requests", e.CallerAddress)
 	if !cancel {
 		return send(ctx, http.MethodPost, base, s)
 	}
@@ -115,13 +128,14 @@
 	if err != nil || o.State.Ended() {
 		return o, err
 	}
-	time.Sleep(cancelAfter)
+	time.Sleep(cancelDelay)
 	if _, err := send(ctx, http.MethodDelete, base+"/"+o.ID, nil); err != nil {
 		return o, err
 	}
 	return send(ctx, http.MethodGet, base+"/"+o.ID+"?wait_milliseconds=30000", nil)
 }
 
+// send sends an HTTP request with a JSON body and decodes the outcome.
 func send(ctx context.Context, method, url string, body any) (o request.Outcome, err error) {
 	var data []byte
 	if body != nil {
@@ -133,7 +147,7 @@
 	if err != nil {
 		return o, err
 	}
-	a, err := callers.Do(q)
+	a, err := callerClient.Do(q)
 	if err != nil {
 		return o, err
 	}
--- a/internal/emulate/load/control.go
+++ b/internal/emulate/load/control.go
@@ -11,23 +11,27 @@
 	"github.com/almondpost/almondpost/internal/emulate/cluster"
 )
 
-// clockTicksPerSecond is the unit of process times in /proc.
+// clockTicksPerSecond is the number of clock ticks per second, the unit of
+// processor times in /proc.
 const clockTicksPerSecond = 100
 
-// usage is what one process has used so far.
-type usage struct {
-	processor time.Duration
-	resident  int64
-	bytes     int64
+// processUsage is the resource usage of an entry VM's process.
+type processUsage struct {
+	// processorTime is the user and system time since the start.
+	processorTime time.Duration
+	residentBytes int64
+	// trafficBytes is the network traffic since the start, without that of callers.
+	trafficBytes int64
 }
 
-// usageOf reads /proc and the traffic counters of an entry VM.
-func usageOf(ctx context.Context, c *cluster.Cluster, e *cluster.Entry) (u usage, err error) {
-	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", e.ID()))
+// readUsage reads the usage of an entry VM from /proc and its traffic counters.
+func readUsage(ctx context.Context, c *cluster.Cluster, e *cluster.Entry) (u processUsage, err error) {
+	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", e.PID()))
 	if err != nil {
 		return u, err
 	}
-	// The second field is in parentheses and may hold blanks.
+	// The second field, the program's name, is in parentheses and may contain
+	// spaces. The indexes count from the field after it.
 	fields := strings.Fields(string(data[strings.LastIndexByte(string(data), ')')+1:]))
 	const utime, stime, resident = 11, 12, 21
 	user, err1 := strconv.ParseInt(fields[utime], 10, 64)
@@ -38,34 +42,36 @@
 			return u, err
 		}
 	}
-	u.processor = time.Duration(user+system) * time.Second / clockTicksPerSecond
-	u.resident = pages * int64(os.Getpagesize())
-	u.bytes, err = c.Traffic(ctx, e)
+	u.processorTime = time.Duration(user+system) * time.Second / clockTicksPerSecond
+	u.residentBytes = pages * int64(os.Getpagesize())
+	u.trafficBytes, err = c.Traffic(ctx, e)
 	return u, err
 }
 
-// snapshot reads the usage of every entry VM by name.
-func (r *run) snapshot(ctx context.Context) map[string]usage {
-	out := map[string]usage{}
+// usageByEntry reads the usage of the entry VMs by name. It omits entry VMs whose
+// usage cannot be read, such as killed ones.
+func (r *run) usageByEntry(ctx context.Context) map[string]processUsage {
+	out := map[string]processUsage{}
 	for _, e := range r.cluster.Entries {
-		if u, err := usageOf(ctx, r.cluster, e); err == nil {
+		if u, err := readUsage(ctx, r.cluster, e); err == nil {
 			out[e.Name] = u
 		}
 	}
 	return out
 }
 
-// controlCost compares two snapshots.
-func controlCost(before, after map[string]usage, elapsed time.Duration) Control {
-	var c Control
+// controlCost returns the highest cost among the entry VMs that are in both usage
+// maps. elapsed is the time between the two readings.
+func controlCost(before, after map[string]processUsage, elapsed time.Duration) ControlCost {
+	var c ControlCost
 	for name, a := range after {
 		b, ok := before[name]
 		if !ok {
 			continue
 		}
-		c.CorePercentMax = max(c.CorePercentMax, 100*(a.processor-b.processor).Seconds()/elapsed.Seconds())
-		c.ResidentBytesMax = max(c.ResidentBytesMax, a.resident)
-		c.BytesPerSecondMax = max(c.BytesPerSecondMax, float64(a.bytes-b.bytes)/elapsed.Seconds())
+		c.CorePercentMax = max(c.CorePercentMax, 100*(a.processorTime-b.processorTime).Seconds()/elapsed.Seconds())
+		c.ResidentBytesMax = max(c.ResidentBytesMax, a.residentBytes)
+		c.BytesPerSecondMax = max(c.BytesPerSecondMax, float64(a.trafficBytes-b.trafficBytes)/elapsed.Seconds())
 	}
 	return c
 }
--- a/internal/emulate/load/figures.go
+++ b/internal/emulate/load/figures.go
@@ -10,8 +10,9 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// runsOf groups the workers' records by request.
-func runsOf(histories []standin.History) map[string][]standin.Run {
+// runsByRequest groups the runs in the workers' histories by request ID. An attempt
+// ID is the request ID, a slash and a suffix.
+func runsByRequest(histories []standin.History) map[string][]standin.Run {
 	out := map[string][]standin.Run{}
 	for _, h := range histories {
 		for _, s := range h.Runs {
@@ -22,17 +23,19 @@
 	return out
 }
 
-// ran reports whether the request that was told "not run" ran.
-func ran(c call, runs map[string][]standin.Run) bool {
-	return len(c.ids) > 0 && len(runs[c.ids[len(c.ids)-1]]) > 0
+// lastRequestRan reports whether the last submission of a call ran on a worker. For
+// a call with the result notRun, that is the one reported as not run.
+func lastRequestRan(c call, runs map[string][]standin.Run) bool {
+	return len(c.requestIDs) > 0 && len(runs[c.requestIDs[len(c.requestIDs)-1]]) > 0
 }
 
-// doubled counts requests that ran in two places at once, or twice though they
-// may not repeat.
-func doubled(c call, runs map[string][]standin.Run) int {
+// countDoubleRuns counts the runs of a call that started before the previous run of
+// the same request had ended. It adds one if a call that is not repeatable ran more
+// than once.
+func countDoubleRuns(c call, runs map[string][]standin.Run) int {
 	n := 0
 	total := 0
-	for _, id := range c.ids {
+	for _, id := range c.requestIDs {
 		list := runs[id]
 		total += len(list)
 		sort.Slice(list, func(i, j int) bool { return list[i].Started.Before(list[j].Started) })
@@ -49,13 +52,14 @@
 	return n
 }
 
-// goodput counts the requests of a phase that were answered in useful time. It
-// is taken over the requests that were sent, so that chance in the arrivals
-// does not count.
-type goodput struct{ sent, useful int }
+// goodput counts the requests of a phase and those that were answered in time. The
+// ratio of the two does not depend on the random number of arrivals, as a rate
+// would.
+type goodput struct{ sent, inTime int }
 
-// usefulWait is how long an answer may be late by and still be useful.
-func usefulWait(c plan.Class) time.Duration {
+// maxUsefulDelay returns how long an answer may take, in addition to the run time,
+// to count towards the goodput of a class.
+func maxUsefulDelay(c plan.Class) time.Duration {
 	switch c {
 	case plan.Urgent:
 		return 2100 * time.Millisecond
@@ -65,25 +69,27 @@
 	return 20 * time.Second
 }
 
+// add counts a call unless its caller cancelled it.
 func (g *goodput) add(c call) {
 	if c.result == cancelled {
 		return
 	}
 	g.sent++
-	if c.result == answered && c.ended.Sub(c.sent)-c.group.RunTime <= usefulWait(c.group.Class) {
-		g.useful++
+	if c.result == answered && c.ended.Sub(c.sent)-c.group.RunTime <= maxUsefulDelay(c.group.Class) {
+		g.inTime++
 	}
 }
 
-func (g *goodput) ratio() float64 { return float64(g.useful) / float64(max(1, g.sent)) }
+// ratio returns the fraction of the requests that were answered in time.
+func (g *goodput) ratio() float64 { return float64(g.inTime) / float64(max(1, g.sent)) }
 
-// packing compares the mean use in the acting phase with the capacity: of
-// slots, and of the resource that would be full first if the same mix of tasks
-// were scaled up and could be cut into pieces.
-func (r *run) packing(histories []standin.History) Packing {
+// measurePacking divides the mean use in the acting phase by the capacity of the
+// fleet: for slots, and for the resource with the highest use. The latter is the
+// bound that a fractional packing of the same mix of tasks would reach first.
+func (r *run) measurePacking(histories []standin.History) Packing {
 	var capacity resource.Vector
 	var used [resource.Kinds]float64
-	from, to := r.began.Add(calmPhase+rampTime), r.began.Add(calmPhase+actingPhase)
+	from, to := r.startedAt.Add(calmPhase+rampTime), r.startedAt.Add(calmPhase+actingPhase)
 	for _, h := range histories {
 		capacity = capacity.Add(h.Capacity)
 		for _, s := range h.Runs {
@@ -104,7 +110,7 @@
 	return p
 }
 
-// overlap returns how long a run lasted between two times.
+// overlap returns for how long a run was active between two times.
 func overlap(s standin.Run, from, to time.Time) time.Duration {
 	began, ended := s.Started, s.Ended
 	if ended.IsZero() || ended.After(to) {
@@ -116,9 +122,12 @@
 	return max(0, ended.Sub(began))
 }
 
+// urgentWindow is the length of the windows that lowestUrgentRate compares.
 const urgentWindow = 2 * time.Second
 
-// lowestUrgentRate finds the worst window for urgent work after the action.
+// lowestUrgentRate returns the lowest rate of urgent answers in any window of the
+// acting phase without its last rampTime, as a fraction of the rate in the calm
+// phase. It returns 0 if the calm phase had no urgent answers.
 func (r *run) lowestUrgentRate() float64 {
 	calm := 0.0
 	windows := make([]float64, int((actingPhase-rampTime)/urgentWindow))
@@ -126,7 +135,7 @@
 		if c.group.Class != "urgent" || c.result != answered {
 			continue
 		}
-		at := c.ended.Sub(r.began)
+		at := c.ended.Sub(r.startedAt)
 		if at > rampTime && at <= calmPhase {
 			calm++
 		}
--- a/internal/emulate/load/load.go
+++ b/internal/emulate/load/load.go
@@ -1,5 +1,6 @@
-// Package load drives real entry processes over loopback and judges what
-// callers and workers saw.
+// Package load implements the load program. It starts a cluster of real entry VM
+// processes on loopback, simulates callers while a scenario injects a fault, and
+// reports what the callers and the workers observed.
 package load
 
 import (
@@ -26,42 +27,50 @@
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Group is a stream of equal requests.
+// Group is a stream of identical requests with random arrivals.
 type Group struct {
-	Customer   string
-	Plan       string
-	Class      plan.Class
+	Customer string
+	Plan     string
+	Class    plan.Class
+	// PerSecond is the mean request rate.
 	PerSecond  float64
 	Size       resource.Vector
 	RunTime    time.Duration
 	Repeatable bool
-	Deadline   time.Duration
+	// Deadline is the deadline of each request; 0 means none.
+	Deadline time.Duration
 }
 
-// Scenario changes the load or the cluster while callers go on.
+// Scenario changes the load or injects a fault while callers send requests.
 type Scenario struct {
 	Name string
-	// Flood names the plan whose rate rises tenfold in the second phase.
-	Flood map[string]string
-	// Act is run at the start of the second phase.
+	// FloodPlans maps the name of a deployment to the plan whose request rate is
+	// multiplied by floodFactor in the acting phase.
+	FloodPlans map[string]string
+	// Act is called at the start of the acting phase; nil means no action. A run
+	// fails with the error that it returns.
 	Act func(ctx context.Context, r *run) error
 }
 
-// floodFactor is how far a flood exceeds the calm rate.
+// floodFactor is the factor by which a flood exceeds the rate of the calm phase.
 const floodFactor = 10
 
-// Timing of a run: a calm phase, a phase in which the scenario acts, and the
-// time that callers wait for their last answers.
+// The phases of a run.
 const (
-	calmPhase   = 8 * time.Second
+	// calmPhase is the length of the first phase, without faults.
+	calmPhase = 8 * time.Second
+	// actingPhase is the length of the second phase, in which the scenario acts.
 	actingPhase = 16 * time.Second
-	settleTime  = 25 * time.Second
-	// rampTime is left out of both phases when goodput is compared.
+	// settleTime is how long the run waits at most for the last answers.
+	settleTime = 25 * time.Second
+	// rampTime is left out of the phases by measurePacking, at the start, and by
+	// lowestUrgentRate, at the start of the calm and the end of the acting phase.
 	rampTime = 2 * time.Second
 )
 
-// groupsOf returns the load of a deployment.
-func groupsOf(deployment string) []Group {
+// requestGroups returns the groups of requests to send to a deployment. The load of
+// hearthmark is the default.
+func requestGroups(deployment string) []Group {
 	small := resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 8192, Slots: 1, Connections: 1}
 	gpu := resource.Vector{Milliprocessors: 8000, MemoryMebibytes: 16384, Accelerators: 1, Slots: 1, Connections: 1}
 	large := resource.Vector{Milliprocessors: 8000, MemoryMebibytes: 32768, Slots: 1, Connections: 1}
@@ -81,67 +90,72 @@
 	}
 }
 
-// run is one run of a scenario.
+// run is the state of one run of a scenario.
 type run struct {
-	cluster  *cluster.Cluster
-	scenario Scenario
-	random   *rand.Rand
-	groups   []Group
-	began    time.Time
-
-	mutex   sync.Mutex
-	calls   []call
-	waiting sync.WaitGroup
-	// gone marks entry VMs that the balancer does not use any more.
-	gone    map[string]bool
-	notes   notes
-	cancels float64
+	cluster   *cluster.Cluster
+	scenario  Scenario
+	random    *rand.Rand
+	groups    []Group
+	startedAt time.Time
+
+	mutex     sync.Mutex
+	calls     []call
+	openCalls sync.WaitGroup
+	// outOfRotation marks the entry VMs to which callers send no requests, as a load
+	// balancer does with VMs that are not ready.
+	outOfRotation     map[string]bool
+	measurements      measurements
+	cancelProbability float64
 }
 
-// notes are what scenarios find out besides the callers' outcomes.
-type notes struct {
-	// leaving is when the VM list began to show a worker as leaving.
-	leaving map[string]time.Time
-	// raceWinners counts accepted publications of an operator race, and
-	// raceLosers those that were told of a conflict.
+// measurements are the values that scenarios measure themselves.
+type measurements struct {
+	// leavingSince is when the VM list began to show a worker as leaving.
+	leavingSince map[string]time.Time
+	// raceWinners counts the publications in races of operators that were accepted,
+	// and raceLosers those that failed with a conflict.
 	raceRounds, raceWinners, raceLosers int
-	configurationSeconds                float64
-	// takeoverSeconds is the time from a kill until every worker was adopted
-	// again.
+	// configurationSeconds is the longest time until every entry VM used a new
+	// configuration.
+	configurationSeconds float64
+	// takeoverSeconds is the time from the kill of an entry VM until every worker was
+	// adopted again.
 	takeoverSeconds float64
 }
 
-// balancer returns an entry VM for the next call.
-func (r *run) balancer(seed uint64) *cluster.Entry {
+// pickEntry returns one of the entry VMs in rotation, selected by seed.
+func (r *run) pickEntry(seed uint64) *cluster.Entry {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var up []*cluster.Entry
+	var inRotation []*cluster.Entry
 	for _, e := range r.cluster.Entries {
-		if !r.gone[e.Name] {
-			up = append(up, e)
+		if !r.outOfRotation[e.Name] {
+			inRotation = append(inRotation, e)
 		}
 	}
-	return up[seed%uint64(len(up))]
+	return inRotation[seed%uint64(len(inRotation))]
 }
 
-func (r *run) markGone(name string, gone bool) {
+// setOutOfRotation takes an entry VM out of rotation or puts it back.
+func (r *run) setOutOfRotation(name string, out bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.gone[name] = gone
+	r.outOfRotation[name] = out
 }
 
-// rate returns the rate of a group in a phase.
+// rate returns the request rate of a group in the calm or the acting phase.
 func (r *run) rate(g Group, acting bool) float64 {
-	if acting && r.scenario.Flood[r.cluster.Deployment.Name] == g.Plan {
+	if acting && r.scenario.FloodPlans[r.cluster.Deployment.Name] == g.Plan {
 		return g.PerSecond * floodFactor
 	}
 	return g.PerSecond
 }
 
-// submit sends the requests of a group until the run's end.
-func (r *run) submit(ctx context.Context, g Group, random *rand.Rand) {
+// sendRequests sends the requests of a group until the end of the acting phase. The
+// arrivals are a Poisson process.
+func (r *run) sendRequests(ctx context.Context, g Group, random *rand.Rand) {
 	for ctx.Err() == nil {
-		elapsed := time.Since(r.began)
+		elapsed := time.Since(r.startedAt)
 		if elapsed >= calmPhase+actingPhase {
 			return
 		}
@@ -150,11 +164,11 @@
 		case <-ctx.Done():
 		case <-time.After(time.Duration(pause * float64(time.Second))):
 		}
-		r.waiting.Add(1)
-		seed, cancelled := random.Uint64(), random.Float64() < r.cancelRate()
+		r.openCalls.Add(1)
+		seed, cancel := random.Uint64(), random.Float64() < r.currentCancelProbability()
 		go func() {
-			defer r.waiting.Done()
-			c := r.call(ctx, g, seed, cancelled)
+			defer r.openCalls.Done()
+			c := r.makeCall(ctx, g, seed, cancel)
 			r.mutex.Lock()
 			defer r.mutex.Unlock()
 			r.calls = append(r.calls, c)
@@ -162,19 +176,22 @@
 	}
 }
 
-func (r *run) cancelRate() float64 {
+// currentCancelProbability returns the probability that a new request is cancelled
+// by its caller.
+func (r *run) currentCancelProbability() float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.cancels
+	return r.cancelProbability
 }
 
-// drive runs both phases and waits for the callers.
-func (r *run) drive(ctx context.Context) error {
-	r.began = time.Now()
+// runPhases runs both phases and waits for open calls for at most settleTime. It
+// returns the error of the scenario's Act.
+func (r *run) runPhases(ctx context.Context) error {
+	r.startedAt = time.Now()
 	var group sync.WaitGroup
 	for _, g := range r.groups {
 		random := rand.New(rand.NewPCG(r.random.Uint64(), r.random.Uint64()))
-		group.Go(func() { r.submit(ctx, g, random) })
+		group.Go(func() { r.sendRequests(ctx, g, random) })
 	}
 	var failure error
 	if r.scenario.Act != nil {
@@ -184,7 +201,7 @@
 	group.Wait()
 	done := make(chan struct{})
 	go func() {
-		r.waiting.Wait()
+		r.openCalls.Wait()
 		close(done)
 	}()
 	select {
--- a/internal/emulate/load/main.go
+++ b/internal/emulate/load/main.go
@@ -19,31 +19,33 @@
 	"github.com/almondpost/almondpost/internal/operate/deployment"
 )
 
-// Options of one run.
+// Options are the command-line options of the load program.
 type Options struct {
 	Scenario   string
 	Deployment string
 	Seed       uint64
-	// Root is the module's root, from which the programs are built.
+	// Root is the root folder of the module, from which the programs are built.
 	Root string
-	// Folder keeps the logs of the processes; empty means a temporary one.
+	// Folder is where the processes write their logs; empty means a temporary folder
+	// that is deleted after the run.
 	Folder string
 }
 
-// Main runs the program and returns its exit status.
+// Main runs the load program and returns its exit status: 0 on success, 1 when the
+// run failed, 2 for wrong arguments.
 func Main(args []string, stdout, stderr io.Writer) int {
 	o := Options{Root: "."}
 	f := flag.NewFlagSet("load", flag.ContinueOnError)
 	f.SetOutput(stderr)
-	f.StringVar(&o.Scenario, "scenario", "calm", "one of "+strings.Join(names(), ", "))
-	f.StringVar(&o.Deployment, "deployment", "hearthmark", "hearthmark or lumiquote")
-	f.Uint64Var(&o.Seed, "seed", 1, "seed of arrivals and of the scenario's choices")
-	f.StringVar(&o.Folder, "folder", "", "folder for the processes' logs")
-	asJSON := f.Bool("json", false, "print one JSON object")
+	f.StringVar(&o.Scenario, "scenario", "calm", "scenario to run: one of "+strings.Join(scenarioNames(), ", "))
+	f.StringVar(&o.Deployment, "deployment", "hearthmark", "deployment to start: hearthmark or lumiquote")
+	f.Uint64Var(&o.Seed, "seed", 1, "random seed of the arrivals and the scenario")
+	f.StringVar(&o.Folder, "folder", "", "folder for the logs of the processes (default: temporary)")
+	asJSON := f.Bool("json", false, "print the report as one JSON object")
 	if err := f.Parse(args); err != nil {
 		return 2
 	}
-	if o.Scenario == slopeName {
+	if o.Scenario == slopeScenario {
 		return runSlope(o, stdout, stderr)
 	}
 	report, err := Run(context.Background(), o)
@@ -54,13 +56,15 @@
 		}
 		return 1
 	}
-	write(stdout, report, *asJSON)
+	printReport(stdout, report, *asJSON)
 	return 0
 }
 
-// slopeName is the scenario that measures the cost of control at several sizes.
-const slopeName = "slope"
+// slopeScenario is the name of the scenario that Slope runs.
+const slopeScenario = "slope"
 
+// runSlope runs the slope scenario, prints its report as JSON and returns the exit
+// status.
 func runSlope(o Options, stdout, stderr io.Writer) int {
 	report, err := Slope(context.Background(), o)
 	if err != nil {
@@ -72,8 +76,9 @@
 	return 0
 }
 
-func names() []string {
-	out := []string{slopeName}
+// scenarioNames returns the sorted names of all scenarios.
+func scenarioNames() []string {
+	out := []string{slopeScenario}
 	for name := range Scenarios() {
 		out = append(out, name)
 	}
@@ -81,7 +86,9 @@
 	return out
 }
 
-func write(w io.Writer, r Report, asJSON bool) {
+// printReport prints a report as JSON, or as a table of the groups followed by the
+// other values as JSON.
+func printReport(w io.Writer, r Report, asJSON bool) {
 	if asJSON {
 		data, _ := json.Marshal(r)
 		_, _ = fmt.Fprintln(w, string(data))
@@ -97,11 +104,13 @@
 	_, _ = fmt.Fprintln(w, string(data))
 }
 
-// Run builds the programs, starts a deployment, and drives a scenario.
+// Run builds the programs, starts a deployment and runs a scenario on it. The error
+// is KindUsage for an unknown scenario or deployment, and KindFailed when the
+// scenario's action failed. Other errors keep the type of the package that failed.
 func Run(ctx context.Context, o Options) (Report, error) {
 	scenario, ok := Scenarios()[o.Scenario]
 	if !ok {
-		return Report{}, fault.Newf("run", KindUsage, "flag scenario, value %q: must be one of %s", o.Scenario, strings.Join(names(), ", "))
+		return Report{}, fault.Newf("run", KindUsage, "flag scenario, value %q: must be one of %s", o.Scenario, strings.Join(scenarioNames(), ", "))
 	}
 	if o.Deployment != "hearthmark" && o.Deployment != "lumiquote" {
 		return Report{}, fault.Newf("run", KindUsage, "flag deployment, value %q: must be hearthmark or lumiquote", o.Deployment)
@@ -122,29 +131,30 @@
 	if err != nil {
 		return Report{}, err
 	}
-	c, err := cluster.Start(ctx, programs, d, cluster.Options{Folder: o.Folder, Adjust: func(s *settings.Settings) { s.FaultInjection = true }})
+	c, err := cluster.Start(ctx, programs, d, cluster.Options{Folder: o.Folder, AdjustSettings: func(s *settings.Settings) { s.FaultInjection = true }})
 	if err != nil {
 		return Report{}, err
 	}
 	defer c.Close()
-	return drive(ctx, c, scenario, o)
+	return runScenario(ctx, c, scenario, o)
 }
 
-func drive(ctx context.Context, c *cluster.Cluster, s Scenario, o Options) (Report, error) {
+// runScenario runs a scenario on a cluster and returns the report.
+func runScenario(ctx context.Context, c *cluster.Cluster, s Scenario, o Options) (Report, error) {
 	r := &run{
-		cluster: c, scenario: s, random: rand.New(rand.NewPCG(o.Seed, o.Seed)), groups: groupsOf(o.Deployment),
-		gone: map[string]bool{}, notes: notes{leaving: map[string]time.Time{}},
+		cluster: c, scenario: s, random: rand.New(rand.NewPCG(o.Seed, o.Seed)), groups: requestGroups(o.Deployment),
+		outOfRotation: map[string]bool{}, measurements: measurements{leavingSince: map[string]time.Time{}},
 	}
-	before, began := r.snapshot(ctx), time.Now()
+	before, began := r.usageByEntry(ctx), time.Now()
 	appendsBefore, err := c.Appends(ctx)
 	if err != nil {
 		return Report{}, err
 	}
-	if err := r.drive(ctx); err != nil {
+	if err := r.runPhases(ctx); err != nil {
 		return Report{}, fault.New("drive", KindFailed, err)
 	}
 	elapsed := time.Since(began)
-	after := r.snapshot(ctx)
+	after := r.usageByEntry(ctx)
 	appendsAfter, err := c.Appends(ctx)
 	if err != nil {
 		return Report{}, err
@@ -155,10 +165,10 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	report := r.report(histories)
+	report := r.buildReport(histories)
 	report.Seed = o.Seed
 	report.Control = controlCost(before, after, elapsed)
 	report.LogAppendsPerSecond = float64(appendsAfter-appendsBefore) / elapsed.Seconds()
-	report.InvariantViolations = r.violations(ctx)
+	report.InvariantViolations = r.countViolations(ctx)
 	return report, nil
 }
--- a/internal/emulate/load/scenario.go
+++ b/internal/emulate/load/scenario.go
@@ -12,25 +12,26 @@
 	"github.com/almondpost/almondpost/internal/state/configuration"
 )
 
+// The durations and parameters of the scenarios.
 const (
-	outageTime  = 8 * time.Second
-	freezeTime  = 6 * time.Second
-	cutTime     = 8 * time.Second
-	silenceTime = 6 * time.Second
-	raceRounds  = 5
-	waveRate    = 0.8
-	waveTime    = 4 * time.Second
-	// notReadyAfter is how long the balancer takes to notice that a VM is not
+	outageTime            = 8 * time.Second
+	freezeTime            = 6 * time.Second
+	cutTime               = 8 * time.Second
+	silenceTime           = 6 * time.Second
+	raceRounds            = 5
+	cancelWaveProbability = 0.8
+	cancelWaveTime        = 4 * time.Second
+	// readinessDelay is how long a load balancer takes to notice that a VM is not
 	// ready.
-	notReadyAfter = 300 * time.Millisecond
+	readinessDelay = 300 * time.Millisecond
 )
 
-// Scenarios lists every scenario by name.
+// Scenarios returns all scenarios by name, except the slope scenario.
 func Scenarios() map[string]Scenario {
 	all := []Scenario{
 		{Name: "calm"},
-		{Name: "flood_batch", Flood: map[string]string{"hearthmark": "guest-batch", "lumiquote": "guest-batch"}},
-		{Name: "flood_urgent", Flood: map[string]string{"hearthmark": "snag-sorting", "lumiquote": "fixture-counts"}},
+		{Name: "flood_batch", FloodPlans: map[string]string{"hearthmark": "guest-batch", "lumiquote": "guest-batch"}},
+		{Name: "flood_urgent", FloodPlans: map[string]string{"hearthmark": "snag-sorting", "lumiquote": "fixture-counts"}},
 		{Name: "kill", Act: kill},
 		{Name: "freeze", Act: freeze},
 		{Name: "log_outage", Act: logOutage},
@@ -50,26 +51,28 @@
 	return out
 }
 
-func (r *run) someEntry() *cluster.Entry {
+// randomEntry returns a random entry VM.
+func (r *run) randomEntry() *cluster.Entry {
 	return r.cluster.Entries[r.random.IntN(len(r.cluster.Entries))]
 }
 
-// kill ends an entry VM at once; the platform replaces it.
+// kill kills a random entry VM, measures how long the others take to adopt its
+// workers, and starts a replacement.
 func kill(ctx context.Context, r *run) error {
-	e := r.someEntry()
+	e := r.randomEntry()
 	e.Kill()
-	time.Sleep(notReadyAfter)
-	r.markGone(e.Name, true)
-	r.remove(e)
-	killed := time.Now().Add(-notReadyAfter)
-	if err := r.cluster.AwaitAdopted(ctx); err != nil {
+	time.Sleep(readinessDelay)
+	r.setOutOfRotation(e.Name, true)
+	r.removeEntry(e)
+	killed := time.Now().Add(-readinessDelay)
+	if err := r.cluster.WaitAdopted(ctx); err != nil {
 		return err
 	}
-	r.notes.takeoverSeconds = time.Since(killed).Seconds()
+	r.measurements.takeoverSeconds = time.Since(killed).Seconds()
 	return r.addEntry(ctx, e.Name+"-new", e.Domain)
 }
 
-// killInOutage kills an entry VM while the log is away.
+// killInOutage kills an entry VM during an outage of the log service.
 func killInOutage(ctx context.Context, r *run) error {
 	if err := r.cluster.SetLogFault(ctx, standin.LogFault{Outage: true}); err != nil {
 		return err
@@ -81,7 +84,8 @@
 	return r.cluster.SetLogFault(ctx, standin.LogFault{})
 }
 
-// configurationByPeers publishes while only one entry VM reaches the platform.
+// configurationByPeers publishes a configuration while only the first entry VM
+// reaches the platform. The other entry VMs have to get it from their peers.
 func configurationByPeers(ctx context.Context, r *run) error {
 	for _, e := range r.cluster.Entries[1:] {
 		if err := r.cluster.SetCut(ctx, e, []string{isolation.Platform}); err != nil {
@@ -97,7 +101,7 @@
 	if _, err := configuration.Publish(ctx, r.cluster.Log, base.Offset, "load", base.Lists); err != nil {
 		return err
 	}
-	if err := r.awaitConfiguration(ctx); err != nil {
+	if err := r.waitConfiguration(ctx); err != nil {
 		return err
 	}
 	for _, e := range r.cluster.Entries[1:] {
@@ -108,20 +112,22 @@
 	return nil
 }
 
-func (r *run) remove(gone *cluster.Entry) {
+// removeEntry removes an entry VM from the cluster's list.
+func (r *run) removeEntry(entry *cluster.Entry) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var left []*cluster.Entry
+	var remaining []*cluster.Entry
 	for _, e := range r.cluster.Entries {
-		if e != gone {
-			left = append(left, e)
+		if e != entry {
+			remaining = append(remaining, e)
 		}
 	}
-	r.cluster.Entries = left
+	r.cluster.Entries = remaining
 }
 
+// addEntry starts an entry VM and puts it into rotation once it is ready.
 func (r *run) addEntry(ctx context.Context, name, domain string) error {
-	r.markGone(name, true)
+	r.setOutOfRotation(name, true)
 	e, err := r.cluster.StartEntry(ctx, name, domain)
 	if err != nil {
 		return err
@@ -130,25 +136,26 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		time.Sleep(notReadyAfter)
+		time.Sleep(readinessDelay)
 	}
-	r.markGone(name, false)
+	r.setOutOfRotation(name, false)
 	return nil
 }
 
-// freeze pauses an entry VM for longer than it takes to lose its workers.
+// freeze pauses an entry VM for so long that the others adopt its workers.
 func freeze(_ context.Context, r *run) error {
-	e := r.someEntry()
+	e := r.randomEntry()
 	e.Freeze()
-	time.Sleep(notReadyAfter)
-	r.markGone(e.Name, true)
+	time.Sleep(readinessDelay)
+	r.setOutOfRotation(e.Name, true)
 	time.Sleep(freezeTime)
 	e.Thaw()
 	time.Sleep(time.Second)
-	r.markGone(e.Name, false)
+	r.setOutOfRotation(e.Name, false)
 	return nil
 }
 
+// logOutage makes the log service unavailable for outageTime.
 func logOutage(ctx context.Context, r *run) error {
 	if err := r.cluster.SetLogFault(ctx, standin.LogFault{Outage: true}); err != nil {
 		return err
@@ -157,19 +164,20 @@
 	return r.cluster.SetLogFault(ctx, standin.LogFault{})
 }
 
-// cutDomain cuts one failure domain off from the others and the platform.
+// cutDomain partitions one failure domain from the others and from the platform for
+// cutTime.
 func cutDomain(ctx context.Context, r *run) error {
 	domains := r.cluster.Deployment.Domains
-	alone := domains[r.random.IntN(len(domains))]
+	isolated := domains[r.random.IntN(len(domains))]
 	var others []string
 	for _, d := range domains {
-		if d != alone {
+		if d != isolated {
 			others = append(others, d)
 		}
 	}
 	for _, e := range r.cluster.Entries {
-		names := []string{alone}
-		if e.Domain == alone {
+		names := []string{isolated}
+		if e.Domain == isolated {
 			names = append([]string{isolation.Platform}, others...)
 		}
 		if err := r.cluster.SetCut(ctx, e, names); err != nil {
@@ -185,19 +193,20 @@
 	return nil
 }
 
-// drain replaces an entry VM by a planned stop, and lets a worker leave.
+// drain marks a random worker as leaving and replaces a random entry VM by a planned
+// stop.
 func drain(ctx context.Context, r *run) error {
 	workers := r.cluster.Deployment.Workers()
 	leaving := workers[r.random.IntN(len(workers))].Name
 	if err := r.cluster.MarkLeaving(ctx, leaving); err != nil {
 		return err
 	}
-	r.notes.leaving[leaving] = time.Now()
-	e := r.someEntry()
+	r.measurements.leavingSince[leaving] = time.Now()
+	e := r.randomEntry()
 	e.Terminate()
-	time.Sleep(notReadyAfter)
-	r.markGone(e.Name, true)
-	r.remove(e)
+	time.Sleep(readinessDelay)
+	r.setOutOfRotation(e.Name, true)
+	r.removeEntry(e)
 	select {
 	case <-e.Done():
 	case <-ctx.Done():
@@ -206,8 +215,9 @@
 	return r.addEntry(ctx, e.Name+"-new", e.Domain)
 }
 
-// operatorRace lets two operators publish on the same base at once, several
-// times over, and waits until every entry VM has the winner's lists.
+// operatorRace publishes two configurations with the same base concurrently, for
+// raceRounds rounds. After each round it waits until every entry VM uses the one that
+// was accepted.
 func operatorRace(ctx context.Context, r *run) error {
 	for round := range raceRounds {
 		store, err := configuration.Load(ctx, r.cluster.Log)
@@ -215,17 +225,19 @@
 			return err
 		}
 		base := store.Current()
-		if err := r.race(ctx, base, round); err != nil {
+		if err := r.publishConcurrently(ctx, base, round); err != nil {
 			return err
 		}
-		if err := r.awaitConfiguration(ctx); err != nil {
+		if err := r.waitConfiguration(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *run) race(ctx context.Context, base configuration.Version, round int) error {
+// publishConcurrently publishes two configurations with the same base and counts
+// the accepted and the conflicting ones.
+func (r *run) publishConcurrently(ctx context.Context, base configuration.Version, round int) error {
 	var group sync.WaitGroup
 	for operator := range 2 {
 		group.Go(func() {
@@ -237,19 +249,20 @@
 			defer r.mutex.Unlock()
 			switch fault.KindOf[configuration.Kind](err) {
 			case "":
-				r.notes.raceWinners++
+				r.measurements.raceWinners++
 			case configuration.KindConflict:
-				r.notes.raceLosers++
+				r.measurements.raceLosers++
 			}
 		})
 	}
 	group.Wait()
-	r.notes.raceRounds++
+	r.measurements.raceRounds++
 	return nil
 }
 
-// awaitConfiguration measures how long the newest lists take to every entry VM.
-func (r *run) awaitConfiguration(ctx context.Context) error {
+// waitConfiguration waits until every entry VM uses the newest configuration and
+// records the time that it took.
+func (r *run) waitConfiguration(ctx context.Context) error {
 	began := time.Now()
 	store, err := configuration.Load(ctx, r.cluster.Log)
 	if err != nil {
@@ -267,28 +280,31 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	r.notes.configurationSeconds = max(r.notes.configurationSeconds, time.Since(began).Seconds())
+	r.measurements.configurationSeconds = max(r.measurements.configurationSeconds, time.Since(began).Seconds())
 	return nil
 }
 
+// badWorker makes every attempt on a random worker fail.
 func badWorker(ctx context.Context, r *run) error {
 	workers := r.cluster.Deployment.Workers()
 	return r.cluster.SetWorkerFault(ctx, workers[r.random.IntN(len(workers))].Name, standin.WorkerFault{FailAll: true})
 }
 
+// cancelWave makes most callers cancel their requests for cancelWaveTime.
 func cancelWave(_ context.Context, r *run) error {
-	set := func(rate float64) {
+	setProbability := func(probability float64) {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
-		r.cancels = rate
+		r.cancelProbability = probability
 	}
-	set(waveRate)
-	time.Sleep(waveTime)
-	set(0)
+	setProbability(cancelWaveProbability)
+	time.Sleep(cancelWaveTime)
+	setProbability(0)
 	return nil
 }
 
-// silentConnection makes a worker accept connections and answer nothing.
+// silentConnection makes a random worker accept connections but not respond for
+// silenceTime.
 func silentConnection(ctx context.Context, r *run) error {
 	workers := r.cluster.Deployment.Workers()
 	name := workers[r.random.IntN(len(workers))].Name
--- a/internal/emulate/load/slope.go
+++ b/internal/emulate/load/slope.go
@@ -17,38 +17,42 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// slopePoint is one size at which the cost of control is measured.
-type slopePoint struct {
-	workers, entries int
-	perSecond        float64
+// clusterSize is a cluster size and request rate at which the control cost is
+// measured.
+type clusterSize struct {
+	workers, entryVMs int
+	requestsPerSecond float64
 }
 
-// slopePoints vary the three causes of cost independently.
-var slopePoints = []slopePoint{
+// clusterSizes vary the numbers of workers and entry VMs and the request rate
+// independently, so that fitModel can separate their effects.
+var clusterSizes = []clusterSize{
 	{24, 4, 0}, {96, 4, 0}, {192, 4, 0}, {24, 12, 0}, {96, 12, 0}, {192, 12, 0},
 	{96, 4, 40}, {96, 4, 120}, {192, 12, 120}, {192, 12, 240},
 }
 
 const (
-	slopeSettle = 1500 * time.Millisecond
-	// slopeMeasure covers a whole period of every regular call.
-	slopeMeasure = 8 * time.Second
-	// slopeParallel is how many sizes are measured at once.
-	slopeParallel = 3
+	// slopeSettleTime is the pause between the start of the load and the measurement.
+	slopeSettleTime = 1500 * time.Millisecond
+	// slopeMeasureTime is the length of a measurement. It covers at least one period
+	// of every periodic call.
+	slopeMeasureTime = 8 * time.Second
+	// maxParallelMeasurements is the number of clusters that are measured at once.
+	maxParallelMeasurements = 3
 )
 
-// Sample is the mean cost of one entry VM at one size.
+// Sample is the mean control cost of an entry VM at one cluster size.
 type Sample struct {
 	WorkersPerEntry float64 `json:"workers_per_entry"`
-	Peers           float64 `json:"peers_in_domain"`
+	PeersInDomain   float64 `json:"peers_in_domain"`
 	StartsPerSecond float64 `json:"starts_per_second"`
 	BytesPerSecond  float64 `json:"bytes_per_second"`
 	CorePercent     float64 `json:"core_percent"`
 	ResidentBytes   float64 `json:"resident_bytes"`
 }
 
-// Fit is a linear model of a cost.
-type Fit struct {
+// LinearModel is a linear model of one kind of control cost of an entry VM.
+type LinearModel struct {
 	Base             float64 `json:"base"`
 	PerWorker        float64 `json:"per_worker"`
 	PerPeer          float64 `json:"per_peer"`
@@ -57,16 +61,17 @@
 	LargestPredicted float64 `json:"largest_predicted"`
 }
 
-// SlopeReport is the result of the slope scenario.
+// SlopeReport holds the measured control costs and a model of each kind.
 type SlopeReport struct {
-	Scenario string   `json:"scenario"`
-	Samples  []Sample `json:"samples"`
-	Bytes    Fit      `json:"bytes_per_second"`
-	Core     Fit      `json:"core_percent"`
-	Resident Fit      `json:"resident_bytes"`
+	Scenario string      `json:"scenario"`
+	Samples  []Sample    `json:"samples"`
+	Bytes    LinearModel `json:"bytes_per_second"`
+	Core     LinearModel `json:"core_percent"`
+	Resident LinearModel `json:"resident_bytes"`
 }
 
-// Slope measures the cost of control at several sizes and fits it.
+// Slope measures the control cost at several cluster sizes and fits linear models to
+// it. A model's slopes are the costs of one more worker, peer or start per second.
 func Slope(ctx context.Context, o Options) (SlopeReport, error) {
 	temporary, err := os.MkdirTemp("", "almondpost-slope")
 	if err != nil {
@@ -78,68 +83,69 @@
 		return SlopeReport{}, err
 	}
 	report := SlopeReport{Scenario: "slope"}
-	report.Samples = make([]Sample, len(slopePoints))
+	report.Samples = make([]Sample, len(clusterSizes))
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(slopeParallel)
-	for i, p := range slopePoints {
+	group.SetLimit(maxParallelMeasurements)
+	for i, p := range clusterSizes {
 		group.Go(func() error {
 			folder, err := os.MkdirTemp(temporary, "point")
 			if err != nil {
 				return err
 			}
-			report.Samples[i], err = measurePoint(ctx, programs, folder, p, o.Seed)
+			report.Samples[i], err = measureSize(ctx, programs, folder, p, o.Seed)
 			return err
 		})
 	}
 	if err := group.Wait(); err != nil {
 		return report, fault.New("slope", KindFailed, err)
 	}
-	report.Bytes = fit(report.Samples, func(s Sample) float64 { return s.BytesPerSecond })
-	report.Core = fit(report.Samples, func(s Sample) float64 { return s.CorePercent })
-	report.Resident = fit(report.Samples, func(s Sample) float64 { return s.ResidentBytes })
+	report.Bytes = fitModel(report.Samples, func(s Sample) float64 { return s.BytesPerSecond })
+	report.Core = fitModel(report.Samples, func(s Sample) float64 { return s.CorePercent })
+	report.Resident = fitModel(report.Samples, func(s Sample) float64 { return s.ResidentBytes })
 	return report, nil
 }
 
-func measurePoint(ctx context.Context, programs cluster.Programs, folder string, p slopePoint, seed uint64) (Sample, error) {
+// measureSize starts a cluster of one size and measures its mean control cost.
+func measureSize(ctx context.Context, programs cluster.Programs, folder string, size clusterSize, seed uint64) (Sample, error) {
 	d, err := deployment.Load(examples.Files, "hearthmark")
 	if err != nil {
 		return Sample{}, err
 	}
-	d.Domains, d.EntryVMs = d.Domains[:2], p.entries
+	d.Domains, d.EntryVMs = d.Domains[:2], size.entryVMs
 	d.Pools = d.Pools[:1]
-	d.Pools[0].Workers = p.workers
+	d.Pools[0].Workers = size.workers
 	c, err := cluster.Start(ctx, programs, d, cluster.Options{Folder: folder})
 	if err != nil {
 		return Sample{}, err
 	}
 	defer c.Close()
-	r := &run{cluster: c, gone: map[string]bool{}, random: rand.New(rand.NewPCG(seed, seed))}
+	r := &run{cluster: c, outOfRotation: map[string]bool{}, random: rand.New(rand.NewPCG(seed, seed))}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if p.perSecond > 0 {
-		go r.constantLoad(ctx, p.perSecond)
+	if size.requestsPerSecond > 0 {
+		go r.sendConstantLoad(ctx, size.requestsPerSecond)
 	}
-	time.Sleep(slopeSettle)
-	before, began := r.snapshot(ctx), time.Now()
-	time.Sleep(slopeMeasure)
-	after, elapsed := r.snapshot(ctx), time.Since(began).Seconds()
+	time.Sleep(slopeSettleTime)
+	before, began := r.usageByEntry(ctx), time.Now()
+	time.Sleep(slopeMeasureTime)
+	after, elapsed := r.usageByEntry(ctx), time.Since(began).Seconds()
 	s := Sample{
-		WorkersPerEntry: float64(p.workers) / float64(p.entries),
-		Peers:           float64(p.entries)/float64(len(d.Domains)) - 1,
-		StartsPerSecond: p.perSecond / float64(p.entries),
+		WorkersPerEntry: float64(size.workers) / float64(size.entryVMs),
+		PeersInDomain:   float64(size.entryVMs)/float64(len(d.Domains)) - 1,
+		StartsPerSecond: size.requestsPerSecond / float64(size.entryVMs),
 	}
 	n := float64(len(after))
 	for name, a := range after {
 		b := before[name]
-		s.BytesPerSecond += float64(a.bytes-b.bytes) / elapsed / n
-		s.CorePercent += 100 * (a.processor - b.processor).Seconds() / elapsed / n
-		s.ResidentBytes += float64(a.resident) / n
+		s.BytesPerSecond += float64(a.trafficBytes-b.trafficBytes) / elapsed / n
+		s.CorePercent += 100 * (a.processorTime - b.processorTime).Seconds() / elapsed / n
+		s.ResidentBytes += float64(a.residentBytes) / n
 	}
 	return s, nil
 }
 
-// constantLoad sends small requests at a constant rate until ctx ends.
-func (r *run) constantLoad(ctx context.Context, perSecond float64) {
+// sendConstantLoad sends small requests at a constant rate until ctx ends.
+func (r *run) sendConstantLoad(ctx context.Context, perSecond float64) {
 	g := Group{
 		Customer: "hearthmark", Plan: "snag-sorting", Class: plan.Urgent, Repeatable: true, RunTime: 300 * time.Millisecond,
 		Size: resource.Vector{Milliprocessors: 1000, MemoryMebibytes: 1024, Slots: 1, Connections: 1},
@@ -152,33 +158,36 @@
 			return
 		case <-tick.C:
 		}
-		go r.call(ctx, g, seed, false)
+		go r.makeCall(ctx, g, seed, false)
 	}
 }
 
-// fit solves the least-squares problem for a linear model.
-func fit(samples []Sample, value func(s Sample) float64) Fit {
+// fitModel fits a linear model to one value of the samples by least squares. It
+// returns the zero model when the problem has no solution.
+func fitModel(samples []Sample, value func(s Sample) float64) LinearModel {
 	const unknowns = 4
 	a := mat.NewDense(len(samples), unknowns, nil)
 	b := mat.NewVecDense(len(samples), nil)
 	for i, s := range samples {
-		a.SetRow(i, []float64{1, s.WorkersPerEntry, s.Peers, s.StartsPerSecond})
+		a.SetRow(i, []float64{1, s.WorkersPerEntry, s.PeersInDomain, s.StartsPerSecond})
 		b.SetVec(i, value(s))
 	}
 	var x mat.VecDense
 	if err := x.SolveVec(a, b); err != nil {
-		return Fit{}
+		return LinearModel{}
 	}
-	f := Fit{Base: x.AtVec(0), PerWorker: x.AtVec(1), PerPeer: x.AtVec(2), PerStart: x.AtVec(3)}
+	f := LinearModel{Base: x.AtVec(0), PerWorker: x.AtVec(1), PerPeer: x.AtVec(2), PerStart: x.AtVec(3)}
 	for _, s := range samples {
-		predicted := f.At(s.WorkersPerEntry, s.Peers, s.StartsPerSecond)
+		predicted := f.Predict(s.WorkersPerEntry, s.PeersInDomain, s.StartsPerSecond)
 		f.LargestResidual = max(f.LargestResidual, predicted-value(s), value(s)-predicted)
 		f.LargestPredicted = max(f.LargestPredicted, predicted)
 	}
 	return f
 }
 
-// At returns the cost that the model predicts.
-func (f Fit) At(workers, peers, starts float64) float64 {
+// Predict returns the modelled cost of an entry VM. workers is the number of its
+// workers, peers that of the other entry VMs in its failure domain, and starts the
+// rate of its starts per second.
+func (f LinearModel) Predict(workers, peers, starts float64) float64 {
 	return f.Base + f.PerWorker*workers + f.PerPeer*peers + f.PerStart*starts
 }
--- a/internal/emulate/memory/fleet.go
+++ b/internal/emulate/memory/fleet.go
@@ -13,20 +13,23 @@
 	"github.com/almondpost/almondpost/internal/peer/store"
 )
 
-// Fleet runs emulated workers in real time.
+// Fleet runs emulated workers in real time. It connects a scheduler under test
+// with them, and advises it to use any of them.
 type Fleet struct {
 	mutex   sync.Mutex
 	workers map[backend.Life]*fleet.Worker
+	// runTime is the run time of every task.
 	runTime time.Duration
-	starts  map[work.TaskID]int
+	// starts counts the started runs of each task.
+	starts map[work.TaskID]int
 }
 
-// NewFleet returns a fleet whose tasks all run for a time.
+// NewFleet returns a fleet without workers, on which every task takes runTime.
 func NewFleet(runTime time.Duration) *Fleet {
 	return &Fleet{workers: map[backend.Life]*fleet.Worker{}, runTime: runTime, starts: map[work.TaskID]int{}}
 }
 
-// Add starts a worker and registers it in the store.
+// Add starts a worker and registers it in the store's Workers topic under its ID.
 func (f *Fleet) Add(s *Store, r backend.Registration) error {
 	f.mutex.Lock()
 	f.workers[r.Life] = fleet.New(r, 1, time.Now(), func(work.TaskID) fleet.Demand { return fleet.Demand{RunTime: f.runTime} }, f)
@@ -39,21 +42,22 @@
 	return err
 }
 
-// DecodeRegistration reads what Add has registered.
+// DecodeRegistration decodes the value of a record that Add stored. It ignores
+// the key.
 func DecodeRegistration(_ string, data []byte) (backend.Registration, error) {
 	var r backend.Registration
 	err := json.Unmarshal(data, &r)
 	return r, err
 }
 
-// Starts returns how often a task was started.
+// Starts returns how many runs of a task were started.
 func (f *Fleet) Starts(t work.TaskID) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.starts[t]
 }
 
-// Started implements fleet.Observer.
+// Started implements fleet.Observer. The caller holds the mutex.
 func (f *Fleet) Started(_ *fleet.Worker, s backend.Start, _ time.Time) { f.starts[s.Task]++ }
 
 // Ended implements fleet.Observer.
@@ -62,10 +66,11 @@
 // Acknowledged implements fleet.Observer.
 func (f *Fleet) Acknowledged(*fleet.Worker, backend.End, time.Time) {}
 
-// Dial returns the connection to a worker.
+// Dial returns a connection to a worker. If Add has not started the worker, each
+// order over the connection fails with KindUnknown.
 func (f *Fleet) Dial(r backend.Registration) backend.Worker { return &connection{f, r.Life} }
 
-// Advise implements backend.Adviser: every worker is good.
+// Advise implements backend.Adviser and returns a ticket for every worker.
 func (f *Fleet) Advise(_ context.Context, _ work.StepID, workers []string) (backend.Advice, error) {
 	a := backend.Advice{Tickets: map[string]string{}, Validity: 2 * time.Second}
 	for _, w := range workers {
@@ -74,28 +79,30 @@
 	return a, nil
 }
 
-// connection carries orders to one worker.
+// connection implements backend.Worker by calling an emulated worker.
 type connection struct {
 	fleet *Fleet
 	life  backend.Life
 }
 
-func (c *connection) with(operation string, call func(w *fleet.Worker) backend.Kind) error {
+// carryOut passes the worker to order while holding the fleet's mutex. It returns
+// an error when the worker does not exist or order returns a non-empty Kind.
+func (c *connection) carryOut(operation string, order func(w *fleet.Worker) backend.Kind) error {
 	c.fleet.mutex.Lock()
 	defer c.fleet.mutex.Unlock()
 	w := c.fleet.workers[c.life]
 	if w == nil {
 		return fault.Newf(operation, backend.KindUnknown, "no such worker")
 	}
-	if kind := call(w); kind != "" {
-		return fault.Newf(operation, kind, "the worker refuses")
+	if kind := order(w); kind != "" {
+		return fault.Newf(operation, kind, "the worker refused the order")
 	}
 	return nil
 }
 
 // Start implements backend.Worker.
 func (c *connection) Start(_ context.Context, s backend.Start) (clock time.Duration, err error) {
-	err = c.with("start", func(w *fleet.Worker) backend.Kind {
+	err = c.carryOut("start", func(w *fleet.Worker) backend.Kind {
 		clock = w.Clock(time.Now())
 		return w.Start(s, time.Now())
 	})
@@ -104,30 +111,31 @@
 
 // Stop implements backend.Worker.
 func (c *connection) Stop(_ context.Context, s backend.Stop) error {
-	return c.with("stop", func(w *fleet.Worker) backend.Kind { return w.Stop(s, time.Now()) })
+	return c.carryOut("stop", func(w *fleet.Worker) backend.Kind { return w.Stop(s, time.Now()) })
 }
 
-// Pace implements backend.Worker.
+// Pace implements backend.Worker. Emulated workers ignore the speed.
 func (c *connection) Pace(context.Context, backend.Pace) error { return nil }
 
-// holdPoll is the pause between looks for an end while a hold waits.
-const holdPoll = 5 * time.Millisecond
+// holdPollInterval is how often a waiting Hold checks for ended runs.
+const holdPollInterval = 5 * time.Millisecond
 
-// Hold implements backend.Worker.
+// Hold implements backend.Worker. It returns when at least one ended run is
+// unacknowledged or h.Wait has passed.
 func (c *connection) Hold(ctx context.Context, h backend.Hold) (report backend.Report, err error) {
-	end := time.Now().Add(h.Wait)
+	deadline := time.Now().Add(h.Wait)
 	for {
-		err = c.with("hold", func(w *fleet.Worker) (kind backend.Kind) {
+		err = c.carryOut("hold", func(w *fleet.Worker) (kind backend.Kind) {
 			report, kind = w.Hold(h, time.Now())
 			return kind
 		})
-		if err != nil || len(report.Ended) > 0 || time.Now().After(end) {
+		if err != nil || len(report.Ended) > 0 || time.Now().After(deadline) {
 			return report, err
 		}
 		select {
 		case <-ctx.Done():
 			return report, fault.New("hold", backend.KindUnknown, ctx.Err())
-		case <-time.After(holdPoll):
+		case <-time.After(holdPollInterval):
 		}
 	}
 }
--- a/internal/emulate/memory/store.go
+++ b/internal/emulate/memory/store.go
@@ -1,5 +1,5 @@
-// Package memory emulates the platform's store in process, with the faults that
-// tests ask for.
+// Package memory emulates the platform's store and its workers in process, for
+// tests. Tests can inject faults into the connection of each VM to the store.
 package memory
 
 import (
@@ -13,72 +13,86 @@
 	"github.com/almondpost/almondpost/internal/peer/store"
 )
 
-// Store holds topics in memory.
+// Store holds the partitions of all topics in memory. It is safe for concurrent
+// use.
 type Store struct {
-	mutex      sync.Mutex
-	partitions map[partition]*log
-	// changed is closed and replaced with each append.
+	mutex sync.Mutex
+	logs  map[partitionKey]*partitionLog
+	// changed is closed and replaced on each append, to wake waiting reads.
 	changed chan struct{}
 }
 
-type partition struct {
+// partitionKey identifies one partition of a topic.
+type partitionKey struct {
 	topic store.Topic
 	part  int
 }
 
-type log struct {
+// partitionLog holds the records of one partition.
+type partitionLog struct {
 	records []store.Record
-	// first is the offset of the oldest record kept.
-	first     int64
+	// firstOffset is the offset of the first element of records.
+	firstOffset int64
+	// producers holds the last append of each producer by its name.
 	producers map[string]producer
-	// newest holds the newest record of each key, also when it was dropped.
-	newest map[string]store.Record
+	// newestByKey holds the newest record of each key, including records that are
+	// no longer in records.
+	newestByKey map[string]store.Record
 }
 
+// producer is the state of the last append of one producer. It identifies retries
+// of that append and appends of older epochs.
 type producer struct {
 	epoch, sequence int64
-	// end is the answer to the last append.
-	end int64
+	// lastEnd is the end of the partition after the last append; a retry of the
+	// append returns it again.
+	lastEnd int64
 }
 
 // New returns an empty store.
 func New() *Store {
-	return &Store{partitions: map[partition]*log{}, changed: make(chan struct{})}
+	return &Store{logs: map[partitionKey]*partitionLog{}, changed: make(chan struct{})}
 }
 
-func (s *Store) log(t store.Topic, part int) *log {
-	p := partition{t, part}
-	if s.partitions[p] == nil {
-		s.partitions[p] = &log{producers: map[string]producer{}, newest: map[string]store.Record{}}
+// logOf returns the log of a partition and creates it if it does not exist. The
+// caller holds the mutex.
+func (s *Store) logOf(t store.Topic, part int) *partitionLog {
+	p := partitionKey{t, part}
+	if s.logs[p] == nil {
+		s.logs[p] = &partitionLog{producers: map[string]producer{}, newestByKey: map[string]store.Record{}}
 	}
-	return s.partitions[p]
+	return s.logs[p]
 }
 
-func (l *log) end() int64 { return l.first + int64(len(l.records)) }
+// end returns the offset that the next record gets.
+func (l *partitionLog) end() int64 { return l.firstOffset + int64(len(l.records)) }
 
-// Append appends as the platform does.
+// Append appends records to a partition and returns the end of the partition. A
+// retry of a producer's last append returns the same end and appends nothing. The
+// error is KindConflict when the condition or the producer's sequence does not
+// match, and KindFenced when the producer's epoch is older than the last one.
 func (s *Store) Append(a store.Append) (int64, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	l := s.log(a.Topic, a.Part)
+	l := s.logOf(a.Topic, a.Part)
 	if a.Condition.Set && l.end() != a.Condition.End {
-		return 0, fault.Newf("append", store.KindConflict, "the topic ends at %d", l.end())
+		return 0, fault.Newf("append", store.KindConflict, "the partition ends at offset %d", l.end())
 	}
 	if p := a.Producer; p != nil {
 		last, known := l.producers[p.Name]
 		switch {
 		case known && p.Epoch < last.epoch:
-			return 0, fault.Newf("append", store.KindFenced, "epoch %d", last.epoch)
+			return 0, fault.Newf("append", store.KindFenced, "the producer has already appended with epoch %d", last.epoch)
 		case known && p.Epoch == last.epoch && p.Sequence == last.sequence:
-			return last.end, nil
+			return last.lastEnd, nil
 		case known && p.Epoch == last.epoch && p.Sequence != last.sequence+1:
-			return 0, fault.Newf("append", store.KindConflict, "sequence %d is next", last.sequence+1)
+			return 0, fault.Newf("append", store.KindConflict, "the producer's next sequence number is %d", last.sequence+1)
 		}
 	}
 	for _, r := range a.Records {
 		r.Offset = l.end()
 		l.records = append(l.records, r)
-		l.newest[r.Key] = r
+		l.newestByKey[r.Key] = r
 	}
 	if p := a.Producer; p != nil {
 		l.producers[p.Name] = producer{p.Epoch, p.Sequence, l.end()}
@@ -88,118 +102,128 @@
 	return l.end(), nil
 }
 
-// Drop deletes the history; the newest record of each key can still be asked for.
+// Drop removes all records of a partition from its log, as the end of their
+// retention does. Link.Newest still returns the newest record of each key.
 func (s *Store) Drop(t store.Topic, part int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	l := s.log(t, part)
-	l.first, l.records = l.end(), nil
+	l := s.logOf(t, part)
+	l.firstOffset, l.records = l.end(), nil
 }
 
-// Records returns the records of a topic that are kept.
+// Records returns the records of a partition that have not been dropped.
 func (s *Store) Records(t store.Topic, part int) []store.Record {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return append([]store.Record(nil), s.log(t, part).records...)
+	return append([]store.Record(nil), s.logOf(t, part).records...)
 }
 
+// read returns the records from r.From to the end without waiting, and the
+// channel that is closed on the next append. The error is KindDropped when r.From
+// is before the first record kept.
 func (s *Store) read(r store.Read) (store.Batch, chan struct{}, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	l := s.log(r.Topic, r.Part)
-	if r.From < l.first {
-		return store.Batch{}, nil, fault.Newf("read", store.KindDropped, "the topic begins at %d", l.first)
+	l := s.logOf(r.Topic, r.Part)
+	if r.From < l.firstOffset {
+		return store.Batch{}, nil, fault.Newf("read", store.KindDropped, "the partition begins at offset %d", l.firstOffset)
 	}
-	from := min(r.From-l.first, int64(len(l.records)))
+	from := min(r.From-l.firstOffset, int64(len(l.records)))
 	return store.Batch{Records: append([]store.Record(nil), l.records[from:]...), Next: l.end()}, s.changed, nil
 }
 
-// Link is the way of one VM to a store.
+// Link is one VM's connection to a Store. Tests use it to inject faults.
 type Link struct {
 	Store *Store
 	mutex sync.Mutex
-	// refuse answers every call with an error that means that nothing was done.
-	refuse bool
-	// refused holds partitions that answer no call, of every topic.
-	refused map[int]bool
-	// lose is how many answers to appends are lost from now on.
-	lose int
-	// delays hold the appends to a topic up on their way, and slow all calls.
-	delays map[store.Topic]time.Duration
-	slow   time.Duration
+	// refuseAll makes every call fail with KindRefused, without an effect.
+	refuseAll bool
+	// refusedPartitions are the partitions, in every topic, whose calls fail with
+	// KindRefused.
+	refusedPartitions map[int]bool
+	// answersToLose is the number of following appends whose answers are lost.
+	answersToLose int
+	// appendDelays delays the appends to a topic, in addition to callDelay.
+	appendDelays map[store.Topic]time.Duration
+	// callDelay delays every call.
+	callDelay time.Duration
 }
 
-// NewLink returns a way without faults.
+// NewLink returns a connection without faults.
 func NewLink(s *Store) *Link {
-	return &Link{Store: s, delays: map[store.Topic]time.Duration{}, refused: map[int]bool{}}
+	return &Link{Store: s, appendDelays: map[store.Topic]time.Duration{}, refusedPartitions: map[int]bool{}}
 }
 
-// Delay holds the appends of this VM to a topic up on their way.
+// Delay delays the appends of this VM to a topic by d before they reach the
+// store.
 func (l *Link) Delay(t store.Topic, d time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.delays[t] = d
+	l.appendDelays[t] = d
 }
 
-// Refuse makes the store refuse all calls of this VM, or none.
+// Refuse sets whether the store refuses all calls of this VM.
 func (l *Link) Refuse(on bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.refuse = on
+	l.refuseAll = on
 }
 
-// RefusePartition makes a partition of every topic refuse all calls of this VM, or
-// none.
+// RefusePartition sets whether the store refuses this VM's calls to the partition
+// with the number part, in every topic.
 func (l *Link) RefusePartition(part int, on bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.refused[part] = on
+	l.refusedPartitions[part] = on
 }
 
-// Slow makes all calls of this VM take a time.
+// Slow delays all calls of this VM by d before they reach the store.
 func (l *Link) Slow(d time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.slow = d
+	l.callDelay = d
 }
 
-// Lose loses the answers to the next appends, which are carried out.
+// Lose drops the answers to the next n appends. The appends take effect, and the
+// caller gets KindUnknown when its context ends.
 func (l *Link) Lose(n int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.lose = n
+	l.answersToLose = n
 }
 
-func (l *Link) check(operation string, part int) error {
+// applyFaults waits for the call delay. It returns KindRefused when calls to the
+// partition are refused.
+func (l *Link) applyFaults(operation string, part int) error {
 	l.mutex.Lock()
-	slow := l.slow
+	delay := l.callDelay
 	l.mutex.Unlock()
-	time.Sleep(slow)
+	time.Sleep(delay)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.refuse || l.refused[part] {
-		return fault.Newf(operation, store.KindRefused, "the store is away")
+	if l.refuseAll || l.refusedPartitions[part] {
+		return fault.Newf(operation, store.KindRefused, "the store refuses the call")
 	}
 	return nil
 }
 
-// Append implements store.Store. An append that the caller gives up is carried out
-// all the same.
+// Append implements store.Store. When ctx ends first, it returns KindUnknown, and
+// the append may still take effect.
 func (l *Link) Append(ctx context.Context, a store.Append) (int64, error) {
 	var end int64
 	var err error
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if err = l.check("append", a.Part); err != nil {
+		if err = l.applyFaults("append", a.Part); err != nil {
 			return
 		}
 		l.mutex.Lock()
-		delay := l.delays[a.Topic]
+		delay := l.appendDelays[a.Topic]
 		l.mutex.Unlock()
 		time.Sleep(delay)
 		end, err = l.Store.Append(a)
-		if l.loses() {
+		if l.loseNextAnswer() {
 			<-ctx.Done()
 		}
 	}()
@@ -213,14 +237,14 @@
 	return 0, fault.New("append", store.KindUnknown, ctx.Err())
 }
 
-// loses reports whether the answer to an append is to be lost.
-func (l *Link) loses() bool {
+// loseNextAnswer reports whether to lose the answer to an append, and counts it.
+func (l *Link) loseNextAnswer() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.lose == 0 {
+	if l.answersToLose == 0 {
 		return false
 	}
-	l.lose--
+	l.answersToLose--
 	return true
 }
 
@@ -228,17 +252,17 @@
 func (l *Link) Read(ctx context.Context, r store.Read) (store.Batch, error) {
 	deadline := time.Now().Add(r.Wait)
 	for {
-		if err := l.check("read", r.Part); err != nil {
+		if err := l.applyFaults("read", r.Part); err != nil {
 			return store.Batch{}, err
 		}
 		batch, changed, err := l.Store.read(r)
-		left := time.Until(deadline)
-		if err != nil || len(batch.Records) > 0 || left <= 0 {
+		remaining := time.Until(deadline)
+		if err != nil || len(batch.Records) > 0 || remaining <= 0 {
 			return batch, err
 		}
 		select {
 		case <-changed:
-		case <-time.After(left):
+		case <-time.After(remaining):
 		case <-ctx.Done():
 			return store.Batch{}, fault.New("read", store.KindUnknown, ctx.Err())
 		}
@@ -247,15 +271,15 @@
 
 // Newest implements store.Store.
 func (l *Link) Newest(_ context.Context, t store.Topic, part int) (store.Snapshot, error) {
-	if err := l.check("newest", part); err != nil {
+	if err := l.applyFaults("newest", part); err != nil {
 		return store.Snapshot{}, err
 	}
 	l.Store.mutex.Lock()
 	defer l.Store.mutex.Unlock()
-	v := l.Store.log(t, part)
-	s := store.Snapshot{End: v.end()}
-	for _, key := range slices.Sorted(maps.Keys(v.newest)) {
-		if r := v.newest[key]; len(r.Value) > 0 {
+	partition := l.Store.logOf(t, part)
+	s := store.Snapshot{End: partition.end()}
+	for _, key := range slices.Sorted(maps.Keys(partition.newestByKey)) {
+		if r := partition.newestByKey[key]; len(r.Value) > 0 {
 			s.Records = append(s.Records, r)
 		}
 	}
--- a/internal/emulate/seeded/seeded.go
+++ b/internal/emulate/seeded/seeded.go
@@ -1,5 +1,5 @@
-// Package seeded runs the tests of a package with a fixed seed, so that every
-// run of go test gives the same verdict. Only test files import it.
+// Package seeded runs rapid property tests with a fixed seed, so that every run
+// of go test checks the same cases. Only test files import it.
 package seeded
 
 import (
@@ -11,8 +11,9 @@
 	"github.com/almondpost/almondpost/internal/operate/invariant"
 )
 
-// Main makes violations of invariants fatal, fixes rapid's seed and number of
-// checks unless -rapid.seed is given, and runs the tests.
+// Main is called from a package's TestMain. It makes violated invariants panic,
+// runs the tests and exits with their status. Unless -rapid.seed is given, it
+// sets rapid's seed to 1 and its number of checks to checks.
 func Main(m *testing.M, checks int) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
--- a/internal/emulate/standin/log.go
+++ b/internal/emulate/standin/log.go
@@ -1,5 +1,7 @@
-// Package standin plays the platform for tests, the quickstart and the load
-// program: the log service, the VM list and worker VMs.
+// Package standin implements in-memory stand-ins for the platform's services: the
+// log service, the VM list and worker VMs. Tests, the quickstart and the load
+// program use them in place of the platform. They serve the same HTTP protocols,
+// and a control interface under /control that injects faults and reads records.
 package standin
 
 import (
@@ -15,46 +17,55 @@
 	"github.com/almondpost/almondpost/internal/peer/logservice"
 )
 
-// DefaultRetainedRecords is how many records a stream keeps.
+// DefaultRetainedRecords is the default number of records that a stream retains.
 const DefaultRetainedRecords = 1 << 20
 
-// maxReadWait bounds the wait of one read.
+// maxReadWait limits how long one Read waits for records.
 const maxReadWait = 30 * time.Second
 
-// Log is an in-memory log service.
+// Log is an in-memory log service. It is safe for concurrent use.
 type Log struct {
-	mutex    sync.Mutex
-	streams  map[string]*stream
-	retained int
-	outage   bool
+	mutex   sync.Mutex
+	streams map[string]*stream
+	// retainedRecords is the maximum number of records in each stream.
+	retainedRecords int
+	// outage makes every append and read fail.
+	outage bool
 	// loseReplies makes appends take effect and then fail.
 	loseReplies bool
 	appends     uint64
 }
 
+// stream is one stream of the log. Offsets start at 1.
 type stream struct {
-	records []logservice.Record
-	next    uint64
+	records    []logservice.Record
+	nextOffset uint64
+	// changed is closed and replaced on each append or change of faults, to wake
+	// waiting reads.
 	changed chan struct{}
 }
 
-// NewLog returns an empty log that retains a number of records per stream.
+// NewLog returns an empty log. Each stream retains its newest records up to the
+// given number.
 func NewLog(retained int) *Log {
-	return &Log{streams: map[string]*stream{}, retained: retained}
+	return &Log{streams: map[string]*stream{}, retainedRecords: retained}
 }
 
+// stream returns a stream and creates it if it does not exist. The caller holds
+// the mutex.
 func (l *Log) stream(name string) *stream {
 	s := l.streams[name]
 	if s == nil {
-		s = &stream{next: 1, changed: make(chan struct{})}
+		s = &stream{nextOffset: 1, changed: make(chan struct{})}
 		l.streams[name] = s
 	}
 	return s
 }
 
+// errOutage is the response to calls during a simulated outage.
 var errOutage = &jsonhttp.StatusError{Code: http.StatusServiceUnavailable, Message: "outage"}
 
-// Append implements logservice.Log.
+// Append implements logservice.Log. It returns the offset of the first record.
 func (l *Log) Append(_ context.Context, name string, records [][]byte) (uint64, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -62,13 +73,13 @@
 		return 0, errOutage
 	}
 	s := l.stream(name)
-	first := s.next
+	first := s.nextOffset
 	for _, r := range records {
-		s.records = append(s.records, logservice.Record{Offset: s.next, Data: r})
-		s.next++
+		s.records = append(s.records, logservice.Record{Offset: s.nextOffset, Data: r})
+		s.nextOffset++
 	}
-	if over := len(s.records) - l.retained; over > 0 {
-		s.records = append([]logservice.Record(nil), s.records[over:]...)
+	if excess := len(s.records) - l.retainedRecords; excess > 0 {
+		s.records = append([]logservice.Record(nil), s.records[excess:]...)
 	}
 	l.appends++
 	close(s.changed)
@@ -79,7 +90,8 @@
 	return first, nil
 }
 
-// Read implements logservice.Log.
+// Read implements logservice.Log. It waits for records after the given offset for
+// at most wait and maxReadWait.
 func (l *Log) Read(ctx context.Context, name string, after uint64, limit int, wait time.Duration) (logservice.ReadReply, error) {
 	deadline := time.NewTimer(min(wait, maxReadWait))
 	defer deadline.Stop()
@@ -98,6 +110,8 @@
 	}
 }
 
+// read returns the retained records after an offset without waiting, and the
+// channel that is closed on the next change.
 func (l *Log) read(name string, after uint64, limit int) (logservice.ReadReply, <-chan struct{}, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -105,7 +119,7 @@
 		return logservice.ReadReply{}, nil, errOutage
 	}
 	s := l.stream(name)
-	oldest := s.next - uint64(len(s.records))
+	oldest := s.nextOffset - uint64(len(s.records))
 	reply := logservice.ReadReply{Oldest: oldest}
 	skip := 0
 	if after+1 > oldest {
@@ -123,13 +137,15 @@
 	return l.appends
 }
 
-// LogFault switches faults of the log on and off.
+// LogFault is the set of faults to simulate; the zero value means none.
 type LogFault struct {
-	Outage      bool `json:"outage"`
+	// Outage makes every append and read fail.
+	Outage bool `json:"outage"`
+	// LoseReplies makes appends take effect and then fail.
 	LoseReplies bool `json:"lose_replies"`
 }
 
-// SetFault applies a fault.
+// SetFault replaces the simulated faults and wakes waiting reads.
 func (l *Log) SetFault(f LogFault) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -140,12 +156,13 @@
 	}
 }
 
-// LogStatus is what the control interface tells of the log.
+// LogStatus is the response of the control interface to /control/status.
 type LogStatus struct {
+	// Appends is the number of append calls that took effect.
 	Appends uint64 `json:"appends"`
 }
 
-// Handler serves the log and its control interface.
+// Handler returns the HTTP handler of the log service and its control interface.
 func (l *Log) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Post("/v1/append", jsonhttp.Handler(func(ctx context.Context, q logservice.AppendRequest) (logservice.AppendReply, error) {
@@ -163,13 +180,14 @@
 	return r
 }
 
+// serveRead handles GET /v1/read.
 func (l *Log) serveRead(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, err1 := strconv.ParseUint(q.Get("after"), 10, 64)
 	limit, err2 := strconv.Atoi(q.Get("limit"))
 	wait, err3 := strconv.Atoi(q.Get("wait_milliseconds"))
 	if err1 != nil || err2 != nil || err3 != nil || limit < 1 {
-		http.Error(w, "bad query", http.StatusBadRequest)
+		http.Error(w, "invalid query: after, limit (at least 1) and wait_milliseconds must be integers", http.StatusBadRequest)
 		return
 	}
 	reply, err := l.Read(r.Context(), q.Get("stream"), after, limit, time.Duration(wait)*time.Millisecond)
--- a/internal/emulate/standin/main.go
+++ b/internal/emulate/standin/main.go
@@ -16,43 +16,46 @@
 	"github.com/almondpost/almondpost/internal/state/plan"
 )
 
-// FileSettings is the settings file of the stand-in program.
+// FileSettings is the content of the stand-in program's settings file. Each role
+// uses only its own field.
 type FileSettings struct {
-	// VMs are the rows of the VM list.
+	// VMs are the initial rows of the VM list, for the role vms.
 	VMs []vmlist.VM `json:"vms"`
-	// Workers are the workers that the process plays.
+	// Workers are the workers to emulate, for the role workers.
 	Workers []WorkerSettings `json:"workers"`
 }
 
-// Started is the line that the program prints once it serves.
+// Started is the JSON line that the program prints once it accepts connections.
 type Started struct {
-	// Address is where the role, or the control interface of workers, listens.
+	// Address is the listen address of the log service or the VM list. For the role
+	// workers it is that of the control interface.
 	Address netip.AddrPort `json:"address"`
-	// Workers are the addresses of the workers by name.
+	// Workers maps the names of the workers to their listen addresses.
 	Workers map[string]netip.AddrPort `json:"workers,omitempty"`
 }
 
-// Exit statuses.
+// Exit statuses of Main.
 const (
 	exitOK    = 0
 	exitError = 1
 	exitUsage = 2
 )
 
-// Main runs the program until SIGTERM or SIGINT and returns its exit status.
+// Main runs the stand-in program until SIGTERM or SIGINT and returns its exit
+// status.
 func Main(args []string, stdout, stderr io.Writer) int {
 	f := flag.NewFlagSet("standin", flag.ContinueOnError)
 	f.SetOutput(stderr)
-	role := f.String("role", "", "log, vms or workers")
-	listen := f.String("listen", "127.0.0.1:0", "address to listen on")
-	file := f.String("settings", "", "JSON file with VMs and workers")
-	retained := f.Int("retained", DefaultRetainedRecords, "records that a stream retains")
+	role := f.String("role", "", "service to emulate: log, vms or workers")
+	listen := f.String("listen", "127.0.0.1:0", "listen address of the service, or of the workers' control interface")
+	file := f.String("settings", "", "JSON file with the VMs or workers")
+	retained := f.Int("retained", DefaultRetainedRecords, "number of records that each log stream retains")
 	if err := f.Parse(args); err != nil {
 		return exitUsage
 	}
 	var s Server
 	defer s.Close()
-	started, err := start(&s, *role, *listen, *file, *retained)
+	started, err := startRole(&s, *role, *listen, *file, *retained)
 	if err != nil {
 		_, _ = fmt.Fprintln(stderr, "standin:", err)
 		return exitUsage
@@ -65,7 +68,8 @@
 	return exitOK
 }
 
-func start(s *Server, role, listen, file string, retained int) (Started, error) {
+// startRole starts the servers of a role and returns their addresses.
+func startRole(s *Server, role, listen, file string, retained int) (Started, error) {
 	address, err := netip.ParseAddrPort(listen)
 	if err != nil {
 		return Started{}, err
--- a/internal/emulate/standin/serve.go
+++ b/internal/emulate/standin/serve.go
@@ -19,17 +19,19 @@
 	Domain   string          `json:"domain"`
 	Rack     string          `json:"rack"`
 	Capacity resource.Vector `json:"capacity"`
-	Listen   netip.AddrPort  `json:"listen"`
+	// Listen is the address to listen on; port 0 means any free port.
+	Listen netip.AddrPort `json:"listen"`
 }
 
-// Server serves handlers until it is closed.
+// Server runs one HTTP server for each handler until it is closed.
 type Server struct {
 	servers []*http.Server
 }
 
 const readHeaderTimeout = 5 * time.Second
 
-// Serve starts serving a handler and returns its address.
+// Serve starts to serve a handler in the background and returns the listen
+// address. It returns an error when it cannot listen.
 func (s *Server) Serve(listen netip.AddrPort, handler http.Handler) (netip.AddrPort, error) {
 	l, err := net.Listen("tcp", listen.String())
 	if err != nil {
@@ -41,19 +43,21 @@
 	return l.Addr().(*net.TCPAddr).AddrPort(), nil
 }
 
-// Close ends every server at once.
+// Close stops every server without waiting for open requests.
 func (s *Server) Close() {
 	for _, h := range s.servers {
 		_ = h.Close()
 	}
 }
 
-// Fleet is a set of stand-in workers of one process.
+// Fleet is the set of stand-in workers in one process.
 type Fleet struct {
+	// Workers holds the workers by name.
 	Workers map[string]*Worker
 }
 
-// NewFleet starts a worker for each row and returns the addresses by name.
+// NewFleet starts a worker for each row and returns the fleet and the listen
+// addresses of the workers by name.
 func NewFleet(s *Server, rows []WorkerSettings) (*Fleet, map[string]netip.AddrPort, error) {
 	f := &Fleet{Workers: map[string]*Worker{}}
 	addresses := map[string]netip.AddrPort{}
@@ -68,13 +72,14 @@
 	return f, addresses, nil
 }
 
-// FleetFault applies a fault to one worker.
+// FleetFault is the request of the control interface to set the faults of one
+// worker.
 type FleetFault struct {
 	Worker string      `json:"worker"`
 	Fault  WorkerFault `json:"fault"`
 }
 
-// Histories returns every worker's own account.
+// Histories returns the histories of all workers in no particular order.
 func (f *Fleet) Histories() []History {
 	var all []History
 	for _, w := range f.Workers {
@@ -83,7 +88,7 @@
 	return all
 }
 
-// Handler serves the control interface of the fleet.
+// Handler returns the HTTP handler of the fleet's control interface.
 func (f *Fleet) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/control/history", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/emulate/standin/vms.go
+++ b/internal/emulate/standin/vms.go
@@ -13,17 +13,18 @@
 	"github.com/almondpost/almondpost/internal/peer/vmlist"
 )
 
-// VMs is an in-memory VM list.
+// VMs is an in-memory VM list. It is safe for concurrent use.
 type VMs struct {
-	mutex  sync.Mutex
-	rows   map[string]vmlist.VM
-	order  []string
+	mutex sync.Mutex
+	rows  map[string]vmlist.VM
+	// names holds the keys of rows in the order in which they were added.
+	names  []string
 	outage bool
-	// version rises with each change.
+	// version increases with each change of a row.
 	version uint64
 }
 
-// NewVMs returns a list with the given rows.
+// NewVMs returns a VM list with the given rows.
 func NewVMs(rows []vmlist.VM) *VMs {
 	v := &VMs{rows: map[string]vmlist.VM{}}
 	for _, r := range rows {
@@ -32,25 +33,26 @@
 	return v
 }
 
-// Set adds or replaces a row.
+// Set adds a VM or replaces the VM of the same name.
 func (v *VMs) Set(r vmlist.VM) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if _, ok := v.rows[r.Name]; !ok {
-		v.order = append(v.order, r.Name)
+		v.names = append(v.names, r.Name)
 	}
 	v.rows[r.Name] = r
 	v.version++
 }
 
-// Version returns a number that rises with each change.
+// Version returns a number that increases with each change of a row.
 func (v *VMs) Version() uint64 {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.version
 }
 
-// List implements vmlist.Lister.
+// List implements vmlist.Lister. It returns the VMs of a failure domain, or all
+// VMs when domain is empty, in the order in which they were added.
 func (v *VMs) List(_ context.Context, domain string) (vmlist.List, error) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -58,7 +60,7 @@
 		return vmlist.List{}, errOutage
 	}
 	var l vmlist.List
-	for _, name := range v.order {
+	for _, name := range v.names {
 		if r := v.rows[name]; domain == "" || r.Domain == domain {
 			l.VMs = append(l.VMs, r)
 		}
@@ -66,18 +68,20 @@
 	return l, nil
 }
 
-// VMsFault switches an outage of the list on and off.
+// VMsFault is the set of faults to simulate; the zero value means none.
 type VMsFault struct {
+	// Outage makes every read of the list fail.
 	Outage bool `json:"outage"`
 }
 
-// LeavingRequest marks a VM as leaving, or as staying.
+// LeavingRequest sets or clears the leaving mark of a VM.
 type LeavingRequest struct {
 	Name    string `json:"name"`
 	Leaving bool   `json:"leaving"`
 }
 
-// MarkLeaving applies a LeavingRequest.
+// MarkLeaving applies a LeavingRequest. It returns a StatusError with status 404
+// when the VM is not on the list.
 func (v *VMs) MarkLeaving(q LeavingRequest) error {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -91,12 +95,13 @@
 	return nil
 }
 
-// LeavingReply tells when the list began to show the VM as leaving.
+// LeavingReply is the response to a LeavingRequest.
 type LeavingReply struct {
+	// Shown is when the list was changed.
 	Shown time.Time `json:"shown"`
 }
 
-// Handler serves the list and its control interface.
+// Handler returns the HTTP handler of the VM list and its control interface.
 func (v *VMs) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/v1/vms", func(w http.ResponseWriter, q *http.Request) {
--- a/internal/emulate/standin/worker.go
+++ b/internal/emulate/standin/worker.go
@@ -15,19 +15,21 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// Work is the payload that a stand-in worker understands.
+// Work is the JSON payload that a stand-in worker accepts. An attempt with another
+// payload runs for its declared run time and succeeds.
 type Work struct {
-	// RunMilliseconds is the true run time.
+	// RunMilliseconds is the actual run time; the declared one may differ.
 	RunMilliseconds int64 `json:"run_milliseconds"`
-	// Nonce is echoed in the answer, so that a caller recognises its own.
+	// Nonce is returned in the answer, so that callers can check that the answer
+	// belongs to their request.
 	Nonce string `json:"nonce"`
-	// AnswerBytes pads the answer to a length.
+	// AnswerBytes is the length of the padding in the answer.
 	AnswerBytes int `json:"answer_bytes"`
 	// Fail makes every attempt of the work fail.
 	Fail bool `json:"fail"`
 }
 
-// WorkAnswer is what a stand-in worker answers.
+// WorkAnswer is the JSON answer to Work.
 type WorkAnswer struct {
 	Nonce   string `json:"nonce"`
 	Worker  string `json:"worker"`
@@ -35,15 +37,16 @@
 }
 
 const (
-	// endedRetention is how long ended attempts stay in the records.
+	// endedRetention is how long a worker keeps the records of ended attempts.
 	endedRetention = 10 * time.Minute
-	maxSyncWait    = 30 * time.Second
-	// checkpointTime is how long a checkpoint takes.
+	// maxSyncWait limits how long one Sync waits for ended attempts.
+	maxSyncWait = 30 * time.Second
+	// checkpointTime is how long a checkpoint takes before the attempt is stopped.
 	checkpointTime = 50 * time.Millisecond
 )
 
-// Run is one entry of a worker's own history, which checkers compare with what
-// callers saw.
+// Run is one started attempt in a worker's history. Tests and the load program
+// compare the history with the outcomes that callers received.
 type Run struct {
 	Attempt    string    `json:"attempt"`
 	Worker     string    `json:"worker"`
@@ -54,30 +57,39 @@
 	// Ended is zero while the attempt runs.
 	Ended time.Time    `json:"ended"`
 	Phase worker.Phase `json:"phase"`
-	// Size is the declared size, for sums of use.
+	// Size is the amount of resources that the attempt declared.
 	Size resource.Vector `json:"size"`
 }
 
-// History is a worker's own account of what happened on it.
+// History lists the attempts that a worker has started since its creation.
 type History struct {
-	Worker     string          `json:"worker"`
-	Capacity   resource.Vector `json:"capacity"`
-	Runs       []Run           `json:"runs"`
-	Overfilled int             `json:"overfilled"`
+	Worker   string          `json:"worker"`
+	Capacity resource.Vector `json:"capacity"`
+	Runs     []Run           `json:"runs"`
+	// Overfilled counts the starts after which the declared sizes of the running
+	// attempts exceeded the capacity.
+	Overfilled int `json:"overfilled"`
 }
 
-// Worker is one stand-in worker VM. It implements worker.Peer.
+// Worker is one stand-in worker VM. It implements worker.Peer and is safe for
+// concurrent use.
 type Worker struct {
 	name     string
 	rack     string
 	capacity resource.Vector
 
-	mutex      sync.Mutex
-	token      worker.Token
-	leaseUntil time.Time
-	records    map[string]*record
-	sequence   uint64
-	used       resource.Vector
+	mutex sync.Mutex
+	// token is the highest fencing token that has adopted the worker.
+	token worker.Token
+	// leaseEnd is zero before the first adoption.
+	leaseEnd time.Time
+	// records holds running and recently ended attempts by their ID.
+	records map[string]*record
+	// sequence numbers the phase changes of all attempts.
+	sequence uint64
+	// used is the total declared size of the running attempts.
+	used resource.Vector
+	// changed is closed and replaced on each change, to wake waiting Syncs.
 	changed    chan struct{}
 	history    []Run
 	overfilled int
@@ -85,15 +97,18 @@
 	silent     bool
 }
 
+// record is the state of one attempt.
 type record struct {
 	worker.Record
-	timer   *time.Timer
-	history int
-	ended   time.Time
+	// timer ends the attempt after its run time.
+	timer *time.Timer
+	// historyIndex is the attempt's index in Worker.history, or -1 if it never ran.
+	historyIndex int
+	endedAt      time.Time
 }
 
-// brief returns the record with only the ID of its attempt.
-func (r *record) brief() worker.Record {
+// summary returns the record with its attempt reduced to the ID.
+func (r *record) summary() worker.Record {
 	b := r.Record
 	b.Attempt = worker.Attempt{ID: r.Attempt.ID}
 	return b
@@ -104,31 +119,35 @@
 	return &Worker{name: name, rack: rack, capacity: capacity, records: map[string]*record{}, changed: make(chan struct{})}
 }
 
-func (w *Worker) notify() {
+// notifyWaiters wakes all waiting Syncs. The caller holds the mutex, as for every
+// unexported method of Worker except pollRecords and isSilent.
+func (w *Worker) notifyWaiters() {
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
+// setPhase changes the phase of an attempt and records the change. When a running
+// attempt ends, its resources are released.
 func (w *Worker) setPhase(r *record, p worker.Phase, reason string) {
-	if r.Phase == worker.Running && p != worker.Running && r.history >= 0 {
+	if r.Phase == worker.Running && p != worker.Running && r.historyIndex >= 0 {
 		w.used = w.used.Sub(r.Attempt.Size)
-		w.history[r.history].Ended = time.Now()
-		w.history[r.history].Phase = p
+		w.history[r.historyIndex].Ended = time.Now()
+		w.history[r.historyIndex].Phase = p
 	}
 	w.sequence++
 	r.Phase, r.Reason, r.Sequence = p, reason, w.sequence
 	if p.Ended() {
-		r.ended = time.Now()
+		r.endedAt = time.Now()
 		if r.timer != nil {
 			r.timer.Stop()
 		}
 	}
-	w.notify()
+	w.notifyWaiters()
 }
 
-// lapse stops everything when the lease has run out.
-func (w *Worker) lapse() {
-	if w.leaseUntil.IsZero() || time.Now().Before(w.leaseUntil) {
+// expireLease stops all running attempts if the lease has run out.
+func (w *Worker) expireLease() {
+	if w.leaseEnd.IsZero() || time.Now().Before(w.leaseEnd) {
 		return
 	}
 	for _, r := range w.records {
@@ -138,72 +157,81 @@
 	}
 }
 
-func (w *Worker) prune() {
+// pruneRecords deletes the records of attempts that ended longer ago than
+// endedRetention.
+func (w *Worker) pruneRecords() {
 	for id, r := range w.records {
-		if r.Phase.Ended() && time.Since(r.ended) > endedRetention {
+		if r.Phase.Ended() && time.Since(r.endedAt) > endedRetention {
 			delete(w.records, id)
 		}
 	}
 }
 
-func (w *Worker) check(t worker.Token) error {
-	w.lapse()
+// checkToken returns a StatusError with status 409 unless t is the token that has
+// adopted the worker.
+func (w *Worker) checkToken(t worker.Token) error {
+	w.expireLease()
 	if t != w.token {
 		return &jsonhttp.StatusError{Code: http.StatusConflict, Message: fmt.Sprintf("adopted by %s at epoch %d", w.token.Owner, w.token.Epoch)}
 	}
 	return nil
 }
 
-func (w *Worker) renew(lease time.Duration) {
+// renewLease sets the lease to end after the given time and schedules the check
+// for its end. It does nothing when lease is not positive.
+func (w *Worker) renewLease(lease time.Duration) {
 	if lease <= 0 {
 		return
 	}
 	until := time.Now().Add(lease)
-	w.leaseUntil = until
+	w.leaseEnd = until
 	time.AfterFunc(lease+time.Millisecond, func() {
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		if w.leaseUntil.Equal(until) {
-			w.lapse()
+		if w.leaseEnd.Equal(until) {
+			w.expireLease()
 		}
 	})
 }
 
-// Adopt implements worker.Peer.
+// Adopt implements worker.Peer. Only a token that is higher than the current one is
+// accepted.
 func (w *Worker) Adopt(_ context.Context, q worker.AdoptRequest) (worker.AdoptReply, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.lapse()
+	w.expireLease()
 	if !w.token.Less(q.Token) {
 		return worker.AdoptReply{Current: w.token}, nil
 	}
 	w.token = q.Token
-	w.renew(q.Lease)
-	w.prune()
+	w.renewLease(q.Lease)
+	w.pruneRecords()
 	reply := worker.AdoptReply{Accepted: true, Current: w.token, Capacity: w.capacity, Rack: w.rack, Sequence: w.sequence}
 	for _, r := range w.records {
 		listed := r.Record
 		listed.Attempt.Payload = nil
 		reply.Records = append(reply.Records, listed)
 	}
-	w.notify()
+	w.notifyWaiters()
 	return reply, nil
 }
 
-// Start implements worker.Peer.
+// Start implements worker.Peer. If the attempt is known, it only returns its
+// record. It returns a StatusError with status 409 for another token than the
+// adopting one, and with status 422 when the lease has lapsed.
 func (w *Worker) Start(_ context.Context, q worker.StartRequest) (worker.Record, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if err := w.check(q.Token); err != nil {
+	if err := w.checkToken(q.Token); err != nil {
 		return worker.Record{}, err
 	}
 	if r, ok := w.records[q.Attempt.ID]; ok {
-		return r.brief(), nil
+		return r.summary(), nil
 	}
-	if !time.Now().Before(w.leaseUntil) {
+	if !time.Now().Before(w.leaseEnd) {
 		return worker.Record{}, &jsonhttp.StatusError{Code: http.StatusUnprocessableEntity, Message: "lease lapsed"}
 	}
-	r := &record{Record: worker.Record{Attempt: q.Attempt, Phase: worker.Running}, history: len(w.history)}
+	r := &record{Record: worker.Record{Attempt: q.Attempt, Phase: worker.Running}, historyIndex: len(w.history)}
 	w.records[q.Attempt.ID] = r
 	w.used = w.used.Add(q.Attempt.Size)
 	if !w.used.Fits(w.capacity) {
@@ -215,24 +243,25 @@
 		Size: q.Attempt.Size,
 	})
 	w.setPhase(r, worker.Running, "")
-	w.run(r)
-	return r.brief(), nil
+	w.scheduleEnd(r)
+	return r.summary(), nil
 }
 
-func (w *Worker) run(r *record) {
+// scheduleEnd starts the timer after which an attempt finishes or fails.
+func (w *Worker) scheduleEnd(r *record) {
 	var work Work
 	if err := json.Unmarshal(r.Attempt.Payload, &work); err != nil {
 		work = Work{RunMilliseconds: r.Attempt.RunTime.Milliseconds()}
 	}
 	fail := work.Fail || w.failAll
-	length := time.Duration(work.RunMilliseconds) * time.Millisecond
+	runTime := time.Duration(work.RunMilliseconds) * time.Millisecond
 	if w.failAll {
-		length = 0
+		runTime = 0
 	}
-	r.timer = time.AfterFunc(length, func() {
+	r.timer = time.AfterFunc(runTime, func() {
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		w.lapse()
+		w.expireLease()
 		if r.Phase != worker.Running {
 			return
 		}
@@ -249,12 +278,13 @@
 	})
 }
 
-// Sync implements worker.Peer.
+// Sync implements worker.Peer. It renews the lease once and then waits until an
+// attempt after q.After has ended, for at most q.Wait and maxSyncWait.
 func (w *Worker) Sync(ctx context.Context, q worker.SyncRequest) (worker.SyncReply, error) {
 	deadline := time.NewTimer(min(q.Wait, maxSyncWait))
 	defer deadline.Stop()
 	for first := true; ; first = false {
-		reply, changed, err := w.sync(q, first)
+		reply, changed, err := w.pollRecords(q, first)
 		if err != nil || len(reply.Records) > 0 {
 			return reply, err
 		}
@@ -268,55 +298,59 @@
 	}
 }
 
-func (w *Worker) sync(q worker.SyncRequest, renew bool) (worker.SyncReply, <-chan struct{}, error) {
+// pollRecords returns the records of the attempts that ended after q.After, and the
+// channel that is closed on the next change.
+func (w *Worker) pollRecords(q worker.SyncRequest, renew bool) (worker.SyncReply, <-chan struct{}, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if err := w.check(q.Token); err != nil {
+	if err := w.checkToken(q.Token); err != nil {
 		return worker.SyncReply{}, nil, err
 	}
 	if renew {
-		w.renew(q.Lease)
+		w.renewLease(q.Lease)
 	}
 	reply := worker.SyncReply{Sequence: w.sequence, Used: w.used}
 	for _, r := range w.records {
 		if r.Sequence > q.After && r.Phase.Ended() {
-			reply.Records = append(reply.Records, r.brief())
+			reply.Records = append(reply.Records, r.summary())
 		}
 	}
 	return reply, w.changed, nil
 }
 
-// Stop implements worker.Peer.
+// Stop implements worker.Peer. An attempt that has not started is recorded as
+// fenced, so that a later Start does not run it. The mode Throttle has no effect
+// on a running attempt.
 func (w *Worker) Stop(_ context.Context, q worker.StopRequest) (worker.StopReply, error) {
 	if q.Mode == worker.Checkpoint {
 		time.Sleep(checkpointTime)
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if err := w.check(q.Token); err != nil {
+	if err := w.checkToken(q.Token); err != nil {
 		return worker.StopReply{}, err
 	}
 	r, ok := w.records[q.Attempt]
 	switch {
 	case !ok:
-		r = &record{Record: worker.Record{Attempt: worker.Attempt{ID: q.Attempt}}, history: -1}
+		r = &record{Record: worker.Record{Attempt: worker.Attempt{ID: q.Attempt}}, historyIndex: -1}
 		w.records[q.Attempt] = r
 		w.setPhase(r, worker.Fenced, "stopped_before_start")
 	case r.Phase == worker.Running && q.Mode != worker.Throttle:
 		w.setPhase(r, worker.Stopped, string(q.Mode))
 	}
-	return worker.StopReply{Record: r.brief()}, nil
+	return worker.StopReply{Record: r.summary()}, nil
 }
 
-// WorkerFault switches faults of a worker on and off.
+// WorkerFault is the set of faults to simulate; the zero value means none.
 type WorkerFault struct {
-	// FailAll makes everything that starts fail at once.
+	// FailAll makes every attempt that starts fail immediately.
 	FailAll bool `json:"fail_all"`
-	// Silent makes the worker accept connections and answer nothing.
+	// Silent makes the worker accept connections but not respond to any request.
 	Silent bool `json:"silent"`
 }
 
-// SetFault applies a fault.
+// SetFault replaces the simulated faults.
 func (w *Worker) SetFault(f WorkerFault) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -329,15 +363,15 @@
 	return w.silent
 }
 
-// History returns the worker's own account.
+// History returns a copy of the worker's history.
 func (w *Worker) History() History {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.lapse()
+	w.expireLease()
 	return History{Worker: w.name, Capacity: w.capacity, Runs: append([]Run(nil), w.history...), Overfilled: w.overfilled}
 }
 
-// Handler serves the worker protocol.
+// Handler returns the HTTP handler of the worker protocol.
 func (w *Worker) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Use(func(next http.Handler) http.Handler {
