--- a/internal/emulate/cluster/cluster.go
+++ b/internal/emulate/cluster/cluster.go
@@ -53,8 +53,8 @@
 
 // Build compiles the programs into a folder. root is the root folder of the module.
 // A compile error is returned with the compiler's output.
-func Build(ctx context.Context, root, folder string) (Programs, error) {
-	p := Programs{Almondpost: filepath.Join(folder, "almondpost"), Standin: filepath.Join(folder, "standin")}
+func Build(ctx context.Context, root, outputFolder string) (Programs, error) {
+	p := Programs{Almondpost: filepath.Join(outputFolder, "almondpost"), Standin: filepath.Join(outputFolder, "standin")}
 	for path, source := range map[string]string{p.Almondpost: ".", p.Standin: "./cmd/standin"} {
 		c := exec.CommandContext(ctx, "go", "build", "-o", path, source)
 		c.Dir = root
--- a/internal/emulate/fleet/worker.go
+++ b/internal/emulate/fleet/worker.go
@@ -57,7 +57,7 @@
 // Worker with another Registration.Life. It is not safe for concurrent use.
 type Worker struct {
 	Registration backend.Registration
-	// Rate is the speed of the worker's clock relative to real time; 1 is exact.
+	// Rate is the speed of the worker's clock relative to the time that callers pass.
 	Rate      float64
 	startedAt time.Time
 	// highestToken is the highest fencing token received; lower ones are refused.
@@ -105,10 +105,10 @@
 // Running returns the running tasks in no particular order.
 func (w *Worker) Running() []work.TaskID { return slices.Collect(maps.Keys(w.running)) }
 
-// Advance ends the runs that are over by now. A run that reached its run time
-// before the lease lapsed ends as Done or Failed, any other run as Lapsed once
-// the lease has lapsed. Once stopDelay has passed since a stop order, the run ends
-// as Stopped, even if it is also finished or without a lease.
+// Advance ends the runs that are over by now. A run ends as Done or Failed when it
+// reached its run time before the lease lapsed. Other runs end as Lapsed when the
+// lease lapses. A run whose stop was ordered at least stopDelay ago ends as Stopped
+// in any case.
 func (w *Worker) Advance(now time.Time) {
 	leaseLapsed := w.Clock(now) > w.leaseDeadline
 	for _, r := range w.sortedRuns() {
@@ -148,8 +148,8 @@
 	w.leaseDeadline = max(w.leaseDeadline, min(deadline, w.Clock(now)+maxLease))
 }
 
-// Start handles an order to start a run. It returns the reason for a refusal, or
-// an empty Kind on success and when the same run is already running.
+// Start handles an order to start a run. It returns the reason for a refusal. On
+// success, and when the same run is already running, it returns an empty Kind.
 func (w *Worker) Start(s backend.Start, now time.Time) backend.Kind {
 	w.Advance(now)
 	if s.Token < w.highestToken {
--- a/internal/emulate/load/main.go
+++ b/internal/emulate/load/main.go
@@ -60,13 +60,13 @@
 	return 0
 }
 
-// slopeScenario is the name of the scenario that Slope runs.
+// slopeScenario is the name of the scenario that MeasureSlope runs.
 const slopeScenario = "slope"
 
 // runSlope runs the slope scenario, prints its report as JSON and returns the exit
 // status.
 func runSlope(o Options, stdout, stderr io.Writer) int {
-	report, err := Slope(context.Background(), o)
+	report, err := MeasureSlope(context.Background(), o)
 	if err != nil {
 		_, _ = fmt.Fprintln(stderr, "load:", err)
 		return 1
--- a/internal/emulate/load/slope.go
+++ b/internal/emulate/load/slope.go
@@ -70,9 +70,10 @@
 	Resident LinearModel `json:"resident_bytes"`
 }
 
-// Slope measures the control cost at several cluster sizes and fits linear models to
-// it. A model's slopes are the costs of one more worker, peer or start per second.
-func Slope(ctx context.Context, o Options) (SlopeReport, error) {
+// MeasureSlope measures the control cost at several cluster sizes and fits linear
+// models to it. A model's slopes are the costs of one more worker, peer or start per
+// second.
+func MeasureSlope(ctx context.Context, o Options) (SlopeReport, error) {
 	temporary, err := os.MkdirTemp("", "almondpost-slope")
 	if err != nil {
 		return SlopeReport{}, err
--- a/internal/emulate/memory/fleet.go
+++ b/internal/emulate/memory/fleet.go
@@ -13,8 +13,8 @@
 	"github.com/almondpost/almondpost/internal/peer/store"
 )
 
-// Fleet runs emulated workers in real time. It connects a scheduler under test
-// with them, and advises it to use any of them.
+// Fleet runs emulated workers in real time and connects the scheduler under test to
+// them. It is safe for concurrent use.
 type Fleet struct {
 	mutex   sync.Mutex
 	workers map[backend.Life]*fleet.Worker
@@ -60,10 +60,10 @@
 // Started implements fleet.Observer. The caller holds the mutex.
 func (f *Fleet) Started(_ *fleet.Worker, s backend.Start, _ time.Time) { f.starts[s.Task]++ }
 
-// Ended implements fleet.Observer.
+// Ended implements fleet.Observer and does nothing.
 func (f *Fleet) Ended(*fleet.Worker, backend.End, time.Time) {}
 
-// Acknowledged implements fleet.Observer.
+// Acknowledged implements fleet.Observer and does nothing.
 func (f *Fleet) Acknowledged(*fleet.Worker, backend.End, time.Time) {}
 
 // Dial returns a connection to a worker. If Add has not started the worker, each
@@ -140,5 +140,5 @@
 	}
 }
 
-// Close implements backend.Worker.
+// Close implements backend.Worker and does nothing.
 func (c *connection) Close() {}
--- a/internal/emulate/memory/store.go
+++ b/internal/emulate/memory/store.go
@@ -40,8 +40,8 @@
 	newestByKey map[string]store.Record
 }
 
-// producer is the state of the last append of one producer. It identifies retries
-// of that append and appends of older epochs.
+// producer is the last append of one producer, with which Append detects retries
+// and producers of older epochs.
 type producer struct {
 	epoch, sequence int64
 	// lastEnd is the end of the partition after the last append; a retry of the
@@ -102,8 +102,8 @@
 	return l.end(), nil
 }
 
-// Drop removes all records of a partition from its log, as the end of their
-// retention does. Link.Newest still returns the newest record of each key.
+// Drop removes all records of a partition, as the platform does when their retention
+// ends. Link.Newest still returns the newest record of each key.
 func (s *Store) Drop(t store.Topic, part int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -237,7 +237,8 @@
 	return 0, fault.New("append", store.KindUnknown, ctx.Err())
 }
 
-// loseNextAnswer reports whether to lose the answer to an append, and counts it.
+// loseNextAnswer reports whether to lose the answer to an append. If so, it
+// decrements answersToLose.
 func (l *Link) loseNextAnswer() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -248,7 +249,8 @@
 	return true
 }
 
-// Read implements store.Store.
+// Read implements store.Store. It returns no records when there are none after
+// r.Wait.
 func (l *Link) Read(ctx context.Context, r store.Read) (store.Batch, error) {
 	deadline := time.Now().Add(r.Wait)
 	for {
@@ -269,7 +271,7 @@
 	}
 }
 
-// Newest implements store.Store.
+// Newest implements store.Store. It omits keys whose newest record has no value.
 func (l *Link) Newest(_ context.Context, t store.Topic, part int) (store.Snapshot, error) {
 	if err := l.applyFaults("newest", part); err != nil {
 		return store.Snapshot{}, err
--- a/internal/emulate/standin/worker.go
+++ b/internal/emulate/standin/worker.go
@@ -15,8 +15,8 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// Work is the JSON payload that a stand-in worker accepts. An attempt with another
-// payload runs for its declared run time and succeeds.
+// Work is the JSON payload for stand-in workers. If a payload cannot be decoded, the
+// attempt runs for its declared run time and succeeds.
 type Work struct {
 	// RunMilliseconds is the actual run time; the declared one may differ.
 	RunMilliseconds int64 `json:"run_milliseconds"`
@@ -126,8 +126,8 @@
 	w.changed = make(chan struct{})
 }
 
-// setPhase changes the phase of an attempt and records the change. When a running
-// attempt ends, its resources are released.
+// setPhase sets the phase of an attempt and gives it the next sequence number. When
+// a running attempt ends, its resources are released.
 func (w *Worker) setPhase(r *record, p worker.Phase, reason string) {
 	if r.Phase == worker.Running && p != worker.Running && r.historyIndex >= 0 {
 		w.used = w.used.Sub(r.Attempt.Size)
@@ -168,7 +168,7 @@
 }
 
 // checkToken returns a StatusError with status 409 unless t is the token that has
-// adopted the worker.
+// adopted the worker. It first stops the attempts if the lease has run out.
 func (w *Worker) checkToken(t worker.Token) error {
 	w.expireLease()
 	if t != w.token {
@@ -298,8 +298,8 @@
 	}
 }
 
-// pollRecords returns the records of the attempts that ended after q.After, and the
-// channel that is closed on the next change.
+// pollRecords returns the records of the attempts that ended after q.After without
+// waiting, and the channel that is closed on the next change.
 func (w *Worker) pollRecords(q worker.SyncRequest, renew bool) (worker.SyncReply, <-chan struct{}, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -357,6 +357,7 @@
 	w.failAll, w.silent = f.FailAll, f.Silent
 }
 
+// isSilent reports whether the fault Silent is set.
 func (w *Worker) isSilent() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
