--- a/internal/emulate/cluster/cluster.go
+++ b/internal/emulate/cluster/cluster.go
@@ -33,8 +33,11 @@
 
 // The kinds of Error.
 const (
-	KindBuild   Kind = "build"
-	KindStart   Kind = "start"
+	// KindBuild means that a program did not compile.
+	KindBuild Kind = "build"
+	// KindStart means that a process did not start or ended during its start.
+	KindStart Kind = "start"
+	// KindTimeout means that the cluster was not ready in time.
 	KindTimeout Kind = "timeout"
 )
 
--- a/internal/emulate/fleet/worker.go
+++ b/internal/emulate/fleet/worker.go
@@ -68,11 +68,11 @@
 	// highestRuns maps each task to the highest run number that was started or
 	// ordered to stop; starts of lower or equal numbers are refused.
 	highestRuns map[work.TaskID]int64
-	// unacknowledged lists the ends that the worker still reports.
-	unacknowledged []backend.End
-	lastEndNumber  int64
-	profileOf      func(work.TaskID) Demand
-	observer       Observer
+	// unacknowledgedEnds lists the ends that the worker still reports.
+	unacknowledgedEnds []backend.End
+	lastEndNumber      int64
+	profileOf          func(work.TaskID) Demand
+	observer           Observer
 }
 
 // stopDelay is the time from a stop order until the run ends.
@@ -138,7 +138,7 @@
 	delete(w.running, r.task)
 	w.lastEndNumber++
 	e := backend.End{Number: w.lastEndNumber, Task: r.task, Run: r.number, Outcome: outcome}
-	w.unacknowledged = append(w.unacknowledged, e)
+	w.unacknowledgedEnds = append(w.unacknowledgedEnds, e)
 	w.observer.Ended(w, e, now)
 }
 
@@ -200,16 +200,16 @@
 	if h.Deadline > 0 {
 		w.extendLease(h.Deadline, now)
 	}
-	pending := w.unacknowledged[:0]
-	for _, e := range w.unacknowledged {
+	pending := w.unacknowledgedEnds[:0]
+	for _, e := range w.unacknowledgedEnds {
 		if e.Number > h.Acknowledged {
 			pending = append(pending, e)
 		} else {
 			w.observer.Acknowledged(w, e, now)
 		}
 	}
-	w.unacknowledged = pending
-	report := backend.Report{Life: w.Registration.Life, Clock: w.Clock(now), Ended: slices.Clone(w.unacknowledged)}
+	w.unacknowledgedEnds = pending
+	report := backend.Report{Life: w.Registration.Life, Clock: w.Clock(now), Ended: slices.Clone(w.unacknowledgedEnds)}
 	for _, r := range w.sortedRuns() {
 		report.Running = append(report.Running, backend.Run{Task: r.task, Run: r.number})
 	}
--- a/internal/emulate/load/call.go
+++ b/internal/emulate/load/call.go
@@ -45,8 +45,8 @@
 }
 
 const (
-	// maxSubmissions is how often a caller submits one request at most, because a
-	// submission can fail when the connection breaks.
+	// maxSubmissions is the maximum number of times that a caller submits a request
+	// when connections break.
 	maxSubmissions = 5
 	// resubmitPause is the pause before a resubmission.
 	resubmitPause = 200 * time.Millisecond
@@ -62,8 +62,8 @@
 
 // makeCall submits one request and returns how it ended. After an error it
 // resubmits the request through another entry VM, as a caller behind a load
-// balancer does. seed selects the entry VMs. With cancel, the request is cancelled
-// after cancelDelay.
+// balancer does. seed selects the entry VMs. If cancel is set, the request is
+// cancelled after cancelDelay.
 func (r *run) makeCall(ctx context.Context, g Group, seed uint64, cancel bool) call {
 	nonce := ulid.Make().String()
 	payload, _ := json.Marshal(standin.Work{RunMilliseconds: g.RunTime.Milliseconds(), Nonce: nonce, AnswerBytes: 200})
@@ -117,8 +117,8 @@
 	}
 }
 
-// submitOnce submits a request to an entry VM and waits for its outcome. With
-// cancel, it cancels the request first.
+// submitOnce submits a request to an entry VM and waits for its outcome. If cancel is
+// set, it cancels the request after cancelDelay.
 func submitOnce(ctx context.Context, e *cluster.Entry, s request.Spec, cancel bool) (request.Outcome, error) {
 	base := fmt.Sprintf("http://%s/v1/requests", e.CallerAddress)
 	if !cancel {
--- a/internal/emulate/load/figures.go
+++ b/internal/emulate/load/figures.go
@@ -23,8 +23,9 @@
 	return out
 }
 
-// lastRequestRan reports whether the last submission of a call ran on a worker. For
-// a call with the result notRun, that is the one reported as not run.
+// lastRequestRan reports whether the last submission of a call ran on a worker. If
+// the result of the call is notRun, this is the submission that was reported as not
+// run.
 func lastRequestRan(c call, runs map[string][]standin.Run) bool {
 	return len(c.requestIDs) > 0 && len(runs[c.requestIDs[len(c.requestIDs)-1]]) > 0
 }
--- a/internal/emulate/load/load.go
+++ b/internal/emulate/load/load.go
@@ -20,7 +20,9 @@
 
 // The kinds of Error.
 const (
-	KindUsage  Kind = "usage"
+	// KindUsage means that an argument is not valid.
+	KindUsage Kind = "usage"
+	// KindFailed means that a scenario could not be carried out.
 	KindFailed Kind = "failed"
 )
 
@@ -61,7 +63,7 @@
 	calmPhase = 8 * time.Second
 	// actingPhase is the length of the second phase, in which the scenario acts.
 	actingPhase = 16 * time.Second
-	// settleTime is how long the run waits at most for the last answers.
+	// settleTime is the maximum time to wait for the last answers.
 	settleTime = 25 * time.Second
 	// rampTime is left out of the phases by measurePacking, at the start, and by
 	// lowestUrgentRate, at the start of the calm and the end of the acting phase.
@@ -112,8 +114,8 @@
 type measurements struct {
 	// leavingSince is when the VM list began to show a worker as leaving.
 	leavingSince map[string]time.Time
-	// raceWinners counts the publications in races of operators that were accepted,
-	// and raceLosers those that failed with a conflict.
+	// raceRounds is the number of times that operators published concurrently.
+	// raceWinners counts the accepted publications and raceLosers the conflicting ones.
 	raceRounds, raceWinners, raceLosers int
 	// configurationSeconds is the longest time until every entry VM used a new
 	// configuration.
--- a/internal/emulate/load/report.go
+++ b/internal/emulate/load/report.go
@@ -23,16 +23,16 @@
 	LogAppendsPerSecond float64       `json:"log_appends_per_second"`
 	// FalseNotRun counts requests that were reported as not run but ran.
 	FalseNotRun int `json:"false_not_run"`
-	// OverFilled counts starts that exceeded the capacity of their worker.
-	OverFilled          int   `json:"over_filled"`
+	// Overfilled counts starts that exceeded the capacity of their worker.
+	Overfilled          int   `json:"over_filled"`
 	InvariantViolations int64 `json:"invariant_violations"`
 	// LateStarts counts the starts on a leaving worker after leavingGrace.
 	LateStarts int `json:"late_starts_on_leaving"`
 	// LowestUrgentRate is the lowest rate of urgent answers in any two seconds of the
 	// acting phase, as a fraction of the rate in the calm phase.
 	LowestUrgentRate float64 `json:"lowest_urgent_rate"`
-	// RaceRounds is the number of races of operators; RaceWinners and RaceLosers count
-	// their accepted and conflicting publications.
+	// RaceRounds is the number of times that operators published concurrently.
+	// RaceWinners counts the accepted publications and RaceLosers the conflicting ones.
 	RaceRounds  int `json:"race_rounds,omitempty"`
 	RaceWinners int `json:"race_winners,omitempty"`
 	RaceLosers  int `json:"race_losers,omitempty"`
@@ -125,7 +125,7 @@
 		}
 	}
 	for _, h := range histories {
-		out.OverFilled += h.Overfilled
+		out.Overfilled += h.Overfilled
 		shownAt, leaving := r.measurements.leavingSince[h.Worker]
 		for _, s := range h.Runs {
 			if leaving && s.Started.Sub(shownAt) > leavingGrace {
--- a/internal/emulate/memory/fleet.go
+++ b/internal/emulate/memory/fleet.go
@@ -85,16 +85,16 @@
 	life  backend.Life
 }
 
-// carryOut passes the worker to order while holding the fleet's mutex. It returns
-// an error when the worker does not exist or order returns a non-empty Kind.
-func (c *connection) carryOut(operation string, order func(w *fleet.Worker) backend.Kind) error {
+// callWorker runs call with the worker while holding the fleet's mutex. It returns
+// an error when the worker does not exist or call returns a non-empty Kind.
+func (c *connection) callWorker(operation string, call func(w *fleet.Worker) backend.Kind) error {
 	c.fleet.mutex.Lock()
 	defer c.fleet.mutex.Unlock()
 	w := c.fleet.workers[c.life]
 	if w == nil {
 		return fault.Newf(operation, backend.KindUnknown, "no such worker")
 	}
-	if kind := order(w); kind != "" {
+	if kind := call(w); kind != "" {
 		return fault.Newf(operation, kind, "the worker refused the order")
 	}
 	return nil
@@ -102,7 +102,7 @@
 
 // Start implements backend.Worker.
 func (c *connection) Start(_ context.Context, s backend.Start) (clock time.Duration, err error) {
-	err = c.carryOut("start", func(w *fleet.Worker) backend.Kind {
+	err = c.callWorker("start", func(w *fleet.Worker) backend.Kind {
 		clock = w.Clock(time.Now())
 		return w.Start(s, time.Now())
 	})
@@ -111,7 +111,7 @@
 
 // Stop implements backend.Worker.
 func (c *connection) Stop(_ context.Context, s backend.Stop) error {
-	return c.carryOut("stop", func(w *fleet.Worker) backend.Kind { return w.Stop(s, time.Now()) })
+	return c.callWorker("stop", func(w *fleet.Worker) backend.Kind { return w.Stop(s, time.Now()) })
 }
 
 // Pace implements backend.Worker. Emulated workers ignore the speed.
@@ -125,7 +125,7 @@
 func (c *connection) Hold(ctx context.Context, h backend.Hold) (report backend.Report, err error) {
 	deadline := time.Now().Add(h.Wait)
 	for {
-		err = c.carryOut("hold", func(w *fleet.Worker) (kind backend.Kind) {
+		err = c.callWorker("hold", func(w *fleet.Worker) (kind backend.Kind) {
 			report, kind = w.Hold(h, time.Now())
 			return kind
 		})
