--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -213,7 +213,7 @@
 
 // Ended implements fleet.Observer.
 func (sm *simulation) Ended(on *fleet.Worker, e backend.End, _ time.Time) {
-	if e.Outcome == backend.Lapsed {
+	if e.Outcome == backend.LeaseExpired {
 		sm.lastLapse[on.Registration.Life] = e.Number
 	}
 }
--- a/internal/emulate/fleet/worker.go
+++ b/internal/emulate/fleet/worker.go
@@ -122,7 +122,7 @@
 		case finished:
 			w.endRun(r, backend.Done, now)
 		case leaseLapsed:
-			w.endRun(r, backend.Lapsed, now)
+			w.endRun(r, backend.LeaseExpired, now)
 		}
 	}
 }
--- a/internal/peer/backend/backend.go
+++ b/internal/peer/backend/backend.go
@@ -132,8 +132,8 @@
 	Done    Outcome = "done"
 	Failed  Outcome = "failed"
 	Stopped Outcome = "stopped"
-	// Lapsed means that the lease expired.
-	Lapsed Outcome = "lapsed"
+	// LeaseExpired means that the lease expired.
+	LeaseExpired Outcome = "lapsed"
 	// GangBroken means that the run ended because another member of its gang ended.
 	GangBroken Outcome = "broken"
 	// GangIncomplete means that the other members of the gang did not start in time.
