--- a/internal/emulate/cluster/jobs_test.go
+++ b/internal/emulate/cluster/jobs_test.go
@@ -88,7 +88,7 @@
 	is.Equal(s.State, request.Done)
 	is.Equal(s.Ended, tasks)
 	for i, o := range s.Outcomes {
-		is.True(o.Whole())
+		is.True(o.IsAnswerIntact())
 		is.Equal(nonce(o), fmt.Sprintf("task-%d", i))
 	}
 	histories, err := c.Histories(context.Background())
--- a/internal/emulate/cluster/request_test.go
+++ b/internal/emulate/cluster/request_test.go
@@ -101,7 +101,7 @@
 		group.Go(func() {
 			name := fmt.Sprintf("n%d", i)
 			o, status, err := submitRequest(c.Entries[i%len(c.Entries)], requestSpec(name, time.Duration(10+i)*time.Millisecond), "")
-			if err != nil || status != http.StatusOK || o.State != request.Done || !o.Whole() || nonce(o) != name {
+			if err != nil || status != http.StatusOK || o.State != request.Done || !o.IsAnswerIntact() || nonce(o) != name {
 				t.Errorf("%s: status %d, outcome %+v, error %v", name, status, o, err)
 			}
 		})
@@ -129,7 +129,7 @@
 		got, status, err := doRequest(http.MethodGet, fmt.Sprintf("http://%s/v1/requests/%s?wait_milliseconds=10000", e.CallerAddress, o.ID), nil)
 		is.NoErr(err)
 		is.Equal(status, http.StatusOK)
-		is.True(got.Whole())
+		is.True(got.IsAnswerIntact())
 		is.Equal(nonce(got), "late")
 	}
 }
--- a/internal/emulate/load/call.go
+++ b/internal/emulate/load/call.go
@@ -101,7 +101,7 @@
 	switch o.State {
 	case request.Done:
 		var a standin.WorkAnswer
-		if o.Whole() && json.Unmarshal(o.Answer, &a) == nil && a.Nonce == c.nonce {
+		if o.IsAnswerIntact() && json.Unmarshal(o.Answer, &a) == nil && a.Nonce == c.nonce {
 			c.result = answered
 			return
 		}
--- a/internal/node/app/quickstart.go
+++ b/internal/node/app/quickstart.go
@@ -192,7 +192,7 @@
 	if err := callJSON(ctx, http.MethodPost, fmt.Sprintf("http://%s/v1/requests", e.address), x.spec, &o); err != nil {
 		return err
 	}
-	if o.State != request.Done || !o.Whole() {
+	if o.State != request.Done || !o.IsAnswerIntact() {
 		return fault.Newf("request", KindFailed, "%s: state %s, reason %s", x.title, o.State, o.Reason)
 	}
 	_, _ = fmt.Fprintf(q.output, "%-56s %s after %d ms: %s\n", x.title, o.State, time.Since(began).Milliseconds(), o.Answer)
--- a/internal/node/request/request.go
+++ b/internal/node/request/request.go
@@ -122,8 +122,8 @@
 	o.Answer, o.AnswerBytes, o.AnswerDigest = answer, len(answer), hex.EncodeToString(digest[:])
 }
 
-// Whole reports whether the answer has the stated length and digest.
-func (o *Outcome) Whole() bool {
+// IsAnswerIntact reports whether the answer has the stated length and digest.
+func (o *Outcome) IsAnswerIntact() bool {
 	digest := sha256.Sum256(o.Answer)
 	return len(o.Answer) == o.AnswerBytes && hex.EncodeToString(digest[:]) == o.AnswerDigest
 }
--- a/internal/node/request/runner_test.go
+++ b/internal/node/request/runner_test.go
@@ -685,7 +685,7 @@
 		switch {
 		case !o.State.Ended():
 			h.addViolation(name, "task %s has no outcome", name)
-		case o.State == request.Done && (!o.Whole() || string(o.Answer) != name):
+		case o.State == request.Done && (!o.IsAnswerIntact() || string(o.Answer) != name):
 			h.addViolation(name, "task %s got the answer %q", name, o.Answer)
 		case o.State == request.NotRun && h.runs[name] > 0:
 			h.addViolation(name, "task %s was reported as not run (%s), but ran", name, o.Reason)
