--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -235,7 +235,7 @@
 			d := demand
 			d.Room, d.Lasting, d.Speculative = j.Steps[i].ReservedCapacity(), j.Steps[i].Lasting, j.Steps[i].Speculative
 			if j.Steps[i].Gang {
-				d.Members = j.Steps[i].Count
+				d.GangSize = j.Steps[i].Count
 			}
 			sm.demands[work.TaskID{StepID: work.StepID{Job: j.ID, Step: i}, Index: k}] = d
 		}
--- a/internal/emulate/fleet/worker.go
+++ b/internal/emulate/fleet/worker.go
@@ -27,8 +27,8 @@
 	Speculative bool
 	// Fails makes the run end with the outcome Failed after RunTime.
 	Fails bool
-	// Members is the number of tasks in the task's gang, or 0 without a gang.
-	Members int
+	// GangSize is the number of tasks in the task's gang, or 0 without a gang.
+	GangSize int
 }
 
 // Observer is notified of what happens on emulated workers. The methods are
