--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -312,7 +312,7 @@
 	j.Repeat = &work.Repeat{Count: 3, Start: sm.now.Add(2 * time.Second), Interval: time.Second}
 	sm.submit(j, fleet.Demand{})
 	for k := range 3 {
-		sm.demands[work.TaskID{StepID: work.StepID{Job: "job", Occurrence: k}}] = fleet.Demand{Room: taskSize, RunTime: 100 * time.Millisecond}
+		sm.demands[work.TaskID{StepID: work.StepID{Job: "job", Occurrence: k}}] = fleet.Demand{Size: taskSize, RunTime: 100 * time.Millisecond}
 	}
 	sm.runFor(1990 * time.Millisecond)
 	is.Equal(sm.startCount, 0)
--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -233,7 +233,7 @@
 	for i := range j.Steps {
 		for k := range j.Steps[i].Count {
 			d := demand
-			d.Room, d.Lasting, d.Speculative = j.Steps[i].ReservedCapacity(), j.Steps[i].Lasting, j.Steps[i].Speculative
+			d.Size, d.Lasting, d.Speculative = j.Steps[i].ReservedCapacity(), j.Steps[i].Lasting, j.Steps[i].Speculative
 			if j.Steps[i].Gang {
 				d.GangSize = j.Steps[i].Count
 			}
--- a/internal/emulate/fleet/worker.go
+++ b/internal/emulate/fleet/worker.go
@@ -17,8 +17,8 @@
 
 // Demand describes how a task behaves on an emulated worker.
 type Demand struct {
-	// Room is the amount of resources that the task uses.
-	Room resource.Vector
+	// Size is the amount of resources that the task uses.
+	Size resource.Vector
 	// RunTime is how long the task runs; it is ignored for lasting tasks.
 	RunTime time.Duration
 	// Lasting tasks run until they are stopped or the lease lapses.
@@ -97,7 +97,7 @@
 func (w *Worker) Used() resource.Vector {
 	var used resource.Vector
 	for _, r := range w.running {
-		used = used.Add(r.profile.Room)
+		used = used.Add(r.profile.Size)
 	}
 	return used
 }
