--- a/internal/cell/scheduler/advice_test.go
+++ b/internal/cell/scheduler/advice_test.go
@@ -104,7 +104,7 @@
 			l := sm.electLeader()
 			sm.runFor(time.Second)
 			j := &work.Job{ID: "wide", Queue: "scan", Steps: []work.Step{{Count: 30, Gang: sc.gang, Size: resource.Vector{Milliprocessors: 62000, Accelerators: 8}, Estimate: 4 * time.Second}}}
-			sm.submit(j, fleet.Demand{RunTime: 4 * time.Second})
+			sm.submit(j, fleet.TaskProfile{RunTime: 4 * time.Second})
 			sm.runFor(300 * time.Millisecond)
 			is.Equal(l.adviceRequestCount, sc.expected)
 		})
--- a/internal/cell/scheduler/bench_test.go
+++ b/internal/cell/scheduler/bench_test.go
@@ -21,7 +21,7 @@
 			l := sm.electLeader()
 			for i := range workers * 2 {
 				j := &work.Job{ID: fmt.Sprintf("job-%d", i), Queue: "advised", Steps: []work.Step{{Count: 6, Size: taskSize, Estimate: time.Second}}}
-				sm.submit(j, fleet.Demand{RunTime: time.Hour})
+				sm.submit(j, fleet.TaskProfile{RunTime: time.Hour})
 			}
 			sm.runFor(time.Second)
 			b.ReportAllocs()
@@ -84,7 +84,7 @@
 		k := &workload[i]
 		for n := range int(k.perSecond * d.Seconds()) {
 			j := &work.Job{ID: fmt.Sprintf("%s-%d-%d", k.queue.Name, sm.lastSequence, n), Queue: k.queue.Name, Steps: []work.Step{k.step}}
-			sm.submit(j, fleet.Demand{RunTime: k.step.Estimate})
+			sm.submit(j, fleet.TaskProfile{RunTime: k.step.Estimate})
 		}
 	}
 }
--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -37,7 +37,7 @@
 			j.Steps[0].MostPerWorker = 1
 		}
 		j.Steps[0].Speculative = sm.withProbability(0.4)
-		demand := fleet.Demand{RunTime: sm.randomDuration(100*time.Millisecond, 3*time.Second)}
+		demand := fleet.TaskProfile{RunTime: sm.randomDuration(100*time.Millisecond, 3*time.Second)}
 		sm.schedule(sm.randomDuration(0, 5*time.Second), func() { sm.submit(j, demand) })
 	}
 }
@@ -123,7 +123,7 @@
 	sm := newSimulation(1, faults{})
 	sm.addWorkers(2, workerSize)
 	sm.electLeader()
-	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 4, Size: taskSize}}}, fleet.Demand{RunTime: time.Minute})
+	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 4, Size: taskSize}}}, fleet.TaskProfile{RunTime: time.Minute})
 	sm.runFor(time.Second)
 	is.Equal(sm.startCount, 4)
 	sm.cancel("job")
@@ -140,7 +140,7 @@
 	sm := newSimulation(1, faults{})
 	sm.addWorkers(3, workerSize)
 	sm.electLeader()
-	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.Demand{RunTime: 10 * time.Millisecond, Fails: true})
+	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.TaskProfile{RunTime: 10 * time.Millisecond, Fails: true})
 	sm.runFor(20 * time.Second)
 	is.Equal(sm.startCount, 4)
 	state, _ := sm.leaders[0].scheduler.Status("job", false)
@@ -154,7 +154,7 @@
 	sm := newSimulation(1, faults{})
 	sm.addWorkers(3, workerSize)
 	sm.electLeader()
-	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.Demand{RunTime: 600 * time.Millisecond, Fails: true})
+	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.TaskProfile{RunTime: 600 * time.Millisecond, Fails: true})
 	sm.runFor(500 * time.Millisecond)
 	for _, life := range sm.sortedLives() {
 		sm.unreachable[life] = len(sm.workers[life].Running()) > 0
@@ -174,7 +174,7 @@
 	sm := newSimulation(1, faults{})
 	sm.addWorkers(2, workerSize)
 	sm.electLeader()
-	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 2, Size: taskSize, Lasting: true}}}, fleet.Demand{})
+	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 2, Size: taskSize, Lasting: true}}}, fleet.TaskProfile{})
 	sm.runFor(time.Second)
 	is.Equal(sm.startCount, 2)
 	for _, life := range sm.sortedLives() {
@@ -194,7 +194,7 @@
 		v.Registration.Draining = true
 	}
 	sm.runFor(time.Second)
-	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.Demand{RunTime: time.Second})
+	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.TaskProfile{RunTime: time.Second})
 	sm.runFor(time.Second)
 	is.Equal(sm.startCount, 0)
 }
@@ -225,7 +225,7 @@
 	sm := newSimulation(1, faults{})
 	sm.addWorkers(3, workerSize)
 	leader := sm.electLeader()
-	sm.submit(&work.Job{ID: "first", Queue: "urgent", Steps: []work.Step{{Count: 6, Size: taskSize, Speculative: true}}}, fleet.Demand{RunTime: runTime})
+	sm.submit(&work.Job{ID: "first", Queue: "urgent", Steps: []work.Step{{Count: 6, Size: taskSize, Speculative: true}}}, fleet.TaskProfile{RunTime: runTime})
 	sm.runFor(500 * time.Millisecond)
 	is.Equal(sm.startCount, 6)
 	lives := sm.sortedLives()
@@ -235,7 +235,7 @@
 	if nextLeader {
 		leader = sm.electLeader()
 	}
-	sm.submit(&work.Job{ID: "second", Queue: "urgent", Steps: []work.Step{{Count: 3, Size: taskSize}}}, fleet.Demand{RunTime: 5 * time.Second})
+	sm.submit(&work.Job{ID: "second", Queue: "urgent", Steps: []work.Step{{Count: 3, Size: taskSize}}}, fleet.TaskProfile{RunTime: 5 * time.Second})
 	sm.runFor(500 * time.Millisecond)
 	clear(sm.unreachable)
 	sm.runFor(30 * time.Second)
@@ -264,9 +264,9 @@
 			sm := newSimulation(1, faults{})
 			sm.addWorkers(2, workerSize)
 			sm.electLeader()
-			sm.submit(&work.Job{ID: "first", Queue: "urgent", Steps: []work.Step{s.step}}, fleet.Demand{RunTime: time.Hour})
+			sm.submit(&work.Job{ID: "first", Queue: "urgent", Steps: []work.Step{s.step}}, fleet.TaskProfile{RunTime: time.Hour})
 			sm.runFor(500 * time.Millisecond)
-			sm.submit(&work.Job{ID: "second", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize, Estimate: 30 * time.Second}}}, fleet.Demand{RunTime: 100 * time.Millisecond})
+			sm.submit(&work.Job{ID: "second", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize, Estimate: 30 * time.Second}}}, fleet.TaskProfile{RunTime: 100 * time.Millisecond})
 			sm.runFor(2 * time.Second)
 			state, _ := sm.leaders[0].scheduler.Status("second", false)
 			is.Equal(state, work.Completed)
@@ -279,7 +279,7 @@
 	sm := newSimulation(1, faults{})
 	sm.addWorkers(2, workerSize)
 	sm.electLeader()
-	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 6, Size: taskSize}}}, fleet.Demand{RunTime: time.Second})
+	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 6, Size: taskSize}}}, fleet.TaskProfile{RunTime: time.Second})
 	sm.runFor(500 * time.Millisecond)
 	sm.unreachable[sm.sortedLives()[0]] = true // The worker stays registered but never answers again.
 	sm.runFor(10 * time.Second)
@@ -293,7 +293,7 @@
 	sm := newSimulation(1, faults{})
 	sm.addWorkers(1, workerSize)
 	sm.electLeader()
-	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize, Checkpoints: true}}}, fleet.Demand{RunTime: time.Hour})
+	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize, Checkpoints: true}}}, fleet.TaskProfile{RunTime: time.Hour})
 	sm.runFor(500 * time.Millisecond)
 	v := sm.workers[sm.sortedLives()[0]]
 	v.Registration.Draining, v.Registration.Remaining = true, 3*time.Second
@@ -310,9 +310,9 @@
 	sm.electLeader()
 	j := &work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}
 	j.Repeat = &work.Repeat{Count: 3, Start: sm.now.Add(2 * time.Second), Interval: time.Second}
-	sm.submit(j, fleet.Demand{})
+	sm.submit(j, fleet.TaskProfile{})
 	for k := range 3 {
-		sm.demands[work.TaskID{StepID: work.StepID{Job: "job", Occurrence: k}}] = fleet.Demand{Size: taskSize, RunTime: 100 * time.Millisecond}
+		sm.demands[work.TaskID{StepID: work.StepID{Job: "job", Occurrence: k}}] = fleet.TaskProfile{Size: taskSize, RunTime: 100 * time.Millisecond}
 	}
 	sm.runFor(1990 * time.Millisecond)
 	is.Equal(sm.startCount, 0)
@@ -332,7 +332,7 @@
 	sm.addWorkers(3, workerSize)
 	sm.electLeader()
 	whole := resource.Vector{Milliprocessors: 8000}
-	sm.submit(&work.Job{ID: "gang", Queue: "urgent", Steps: []work.Step{{Count: 3, Size: whole, Gang: true}}}, fleet.Demand{RunTime: 10 * time.Second})
+	sm.submit(&work.Job{ID: "gang", Queue: "urgent", Steps: []work.Step{{Count: 3, Size: whole, Gang: true}}}, fleet.TaskProfile{RunTime: 10 * time.Second})
 	first := work.TaskID{StepID: work.StepID{Job: "gang"}}
 	failing := sm.demands[first]
 	failing.RunTime, failing.Fails = 100*time.Millisecond, true
@@ -352,9 +352,9 @@
 	sm := newSimulation(1, faults{})
 	sm.addWorkers(2, workerSize)
 	sm.electLeader()
-	sm.submit(&work.Job{ID: "small", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.Demand{RunTime: 2 * time.Second})
+	sm.submit(&work.Job{ID: "small", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.TaskProfile{RunTime: 2 * time.Second})
 	sm.runFor(500 * time.Millisecond)
-	sm.submit(&work.Job{ID: "gang", Queue: "urgent", Steps: []work.Step{{Count: 2, Size: resource.Vector{Milliprocessors: 8000}, Gang: true, Estimate: time.Minute}}}, fleet.Demand{RunTime: time.Second})
+	sm.submit(&work.Job{ID: "gang", Queue: "urgent", Steps: []work.Step{{Count: 2, Size: resource.Vector{Milliprocessors: 8000}, Gang: true, Estimate: time.Minute}}}, fleet.TaskProfile{RunTime: time.Second})
 	sm.runFor(time.Second)
 	is.Equal(sm.startCount, 1) // No member takes a worker while the other one has none.
 	sm.runFor(3 * time.Second)
@@ -373,7 +373,7 @@
 			sm.electLeader()
 			sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{
 				{Count: 1, Size: taskSize, Speculative: true}, {Count: 1, Size: taskSize, After: []int{0}},
-			}}, fleet.Demand{RunTime: 1500 * time.Millisecond})
+			}}, fleet.TaskProfile{RunTime: 1500 * time.Millisecond})
 			sm.runFor(500 * time.Millisecond)
 			first := sm.sortedLives()[0]
 			if len(sm.workers[first].Running()) == 0 {
@@ -399,7 +399,7 @@
 	sm := newSimulation(1, faults{})
 	sm.addWorkers(60, workerSize)
 	sm.electLeader()
-	sm.submit(&work.Job{ID: "job", Queue: "advised", Steps: []work.Step{{Count: 20, Size: taskSize, MostPerWorker: 1, Lasting: true}}}, fleet.Demand{})
+	sm.submit(&work.Job{ID: "job", Queue: "advised", Steps: []work.Step{{Count: 20, Size: taskSize, MostPerWorker: 1, Lasting: true}}}, fleet.TaskProfile{})
 	sm.runFor(5 * time.Second)
 	is.Equal(sm.startCount, 20) // The adviser approves about 15 of the first 30 workers.
 }
@@ -436,7 +436,7 @@
 	half := resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 1000}
 	whole := resource.Vector{Milliprocessors: 8000, MemoryMebibytes: 1000}
 	submitTask := func(id, queueName string, size resource.Vector, estimate, runTime time.Duration) {
-		sm.submit(&work.Job{ID: id, Queue: queueName, Steps: []work.Step{{Count: 1, Size: size, Estimate: estimate, Image: id}}}, fleet.Demand{RunTime: runTime})
+		sm.submit(&work.Job{ID: id, Queue: queueName, Steps: []work.Step{{Count: 1, Size: size, Estimate: estimate, Image: id}}}, fleet.TaskProfile{RunTime: runTime})
 	}
 	submitTask("running", "urgent", half, 5*time.Second, 5*time.Second)
 	sm.runFor(500 * time.Millisecond)
--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -70,7 +70,7 @@
 	// storedProgress maps the ID of a job to its progress record in the store.
 	storedProgress map[string]*work.Progress
 	cancelled      map[string]bool
-	demands        map[work.TaskID]fleet.Demand
+	demands        map[work.TaskID]fleet.TaskProfile
 	epoch          int64
 	leaders        []*simulatedLeader
 	completed      map[work.TaskID]bool
@@ -99,7 +99,7 @@
 			{Name: "advised", Service: "desk", Priority: 2, Stretch: 4, Objective: 3 * time.Second, Advice: &queue.AdviceCost{Fixed: 50 * time.Millisecond, PerWorker: time.Millisecond, Validity: 2 * time.Second}},
 		}},
 		workers: map[backend.Life]*fleet.Worker{}, unreachable: map[backend.Life]bool{}, storedProgress: map[string]*work.Progress{},
-		cancelled: map[string]bool{}, demands: map[work.TaskID]fleet.Demand{}, completed: map[work.TaskID]bool{}, lastLapse: map[backend.Life]int64{}, log: logr.Discard(),
+		cancelled: map[string]bool{}, demands: map[work.TaskID]fleet.TaskProfile{}, completed: map[work.TaskID]bool{}, lastLapse: map[backend.Life]int64{}, log: logr.Discard(),
 		adviceVMs: []string{"vm-1", "vm-2"},
 	}
 }
@@ -152,7 +152,7 @@
 }
 
 func (sm *simulation) addWorker(r backend.Registration) {
-	sm.workers[r.Life] = fleet.New(r, 0.98+0.02*sm.random.Float64(), sm.now, func(t work.TaskID) fleet.Demand { return sm.demands[t] }, sm)
+	sm.workers[r.Life] = fleet.New(r, 0.98+0.02*sm.random.Float64(), sm.now, func(t work.TaskID) fleet.TaskProfile { return sm.demands[t] }, sm)
 }
 
 // restartWorker replaces a worker by a new life without runs.
@@ -227,7 +227,7 @@
 }
 
 // submit stores the submission of a job, which the leaders read a little later.
-func (sm *simulation) submit(j *work.Job, demand fleet.Demand) {
+func (sm *simulation) submit(j *work.Job, demand fleet.TaskProfile) {
 	j.Accepted = sm.now
 	sm.jobs = append(sm.jobs, j)
 	for i := range j.Steps {
--- a/internal/emulate/fleet/worker.go
+++ b/internal/emulate/fleet/worker.go
@@ -15,8 +15,8 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// Demand describes how a task behaves on an emulated worker.
-type Demand struct {
+// TaskProfile describes how a task behaves on an emulated worker.
+type TaskProfile struct {
 	// Size is the amount of resources that the task uses.
 	Size resource.Vector
 	// RunTime is how long the task runs; it is ignored for lasting tasks.
@@ -47,7 +47,7 @@
 type run struct {
 	task      work.TaskID
 	number    int64
-	profile   Demand
+	profile   TaskProfile
 	startedAt time.Time
 	// stopOrderedAt is when a stop was ordered, or zero.
 	stopOrderedAt time.Time
@@ -71,7 +71,7 @@
 	// unacknowledgedEnds lists the ends that the worker still reports.
 	unacknowledgedEnds []backend.End
 	lastEndNumber      int64
-	profileOf          func(work.TaskID) Demand
+	profileOf          func(work.TaskID) TaskProfile
 	observer           Observer
 }
 
@@ -83,7 +83,7 @@
 
 // New returns a worker that starts at now. rate is the speed of its clock, and
 // profileOf returns the behaviour of a task. The observer must not be nil.
-func New(r backend.Registration, rate float64, now time.Time, profileOf func(work.TaskID) Demand, o Observer) *Worker {
+func New(r backend.Registration, rate float64, now time.Time, profileOf func(work.TaskID) TaskProfile, o Observer) *Worker {
 	return &Worker{Registration: r, Rate: rate, startedAt: now, running: map[work.TaskID]*run{}, highestRuns: map[work.TaskID]int64{}, profileOf: profileOf, observer: o}
 }
 
--- a/internal/emulate/memory/fleet.go
+++ b/internal/emulate/memory/fleet.go
@@ -32,7 +32,7 @@
 // Add starts a worker and registers it in the store's Workers topic under its ID.
 func (f *Fleet) Add(s *Store, r backend.Registration) error {
 	f.mutex.Lock()
-	f.workers[r.Life] = fleet.New(r, 1, time.Now(), func(work.TaskID) fleet.Demand { return fleet.Demand{RunTime: f.runTime} }, f)
+	f.workers[r.Life] = fleet.New(r, 1, time.Now(), func(work.TaskID) fleet.TaskProfile { return fleet.TaskProfile{RunTime: f.runTime} }, f)
 	f.mutex.Unlock()
 	value, err := json.Marshal(r)
 	if err != nil {
