--- a/internal/emulate/memory/store.go
+++ b/internal/emulate/memory/store.go
@@ -154,9 +154,9 @@
 	return &Link{Store: s, appendDelays: map[store.Topic]time.Duration{}, refusedPartitions: map[int]bool{}}
 }
 
-// Delay delays the appends of this VM to a topic by d before they reach the
+// DelayAppends delays the appends of this VM to a topic by d before they reach the
 // store.
-func (l *Link) Delay(t store.Topic, d time.Duration) {
+func (l *Link) DelayAppends(t store.Topic, d time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.appendDelays[t] = d
--- a/internal/node/entryvm/node_test.go
+++ b/internal/node/entryvm/node_test.go
@@ -382,7 +382,7 @@
 	first := f.leaderIndex()
 	f.is.NoErr(f.submit(f.nodes[first], "before"))
 	f.awaitState(f.nodes[first], "before", work.Running)
-	f.links[1-first].Delay(store.Progress, 150*time.Millisecond)
+	f.links[1-first].DelayAppends(store.Progress, 150*time.Millisecond)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	f.nodes[first].Drain(ctx)
