--- a/internal/emulate/memory/store.go
+++ b/internal/emulate/memory/store.go
@@ -177,8 +177,8 @@
 	l.refusedPartitions[part] = on
 }
 
-// Slow delays all calls of this VM by d before they reach the store.
-func (l *Link) Slow(d time.Duration) {
+// DelayCalls delays all calls of this VM by d before they reach the store.
+func (l *Link) DelayCalls(d time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.callDelay = d
--- a/internal/node/entryvm/node_test.go
+++ b/internal/node/entryvm/node_test.go
@@ -469,7 +469,7 @@
 	f.is.NoErr(f.submit(f.nodes[0], "before"))
 	f.awaitState(f.nodes[0], "before", work.Completed)
 	for _, l := range f.links {
-		l.Slow(350 * time.Millisecond)
+		l.DelayCalls(350 * time.Millisecond)
 	}
 	for i := range 4 {
 		begun := time.Now()
