--- a/internal/emulate/memory/store.go
+++ b/internal/emulate/memory/store.go
@@ -184,9 +184,9 @@
 	l.callDelay = d
 }
 
-// Lose drops the answers to the next n appends. The appends take effect, and the
+// LoseAnswers drops the answers to the next n appends. The appends take effect, and the
 // caller gets KindUnknown when its context ends.
-func (l *Link) Lose(n int) {
+func (l *Link) LoseAnswers(n int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.answersToLose = n
--- a/internal/node/entryvm/node_test.go
+++ b/internal/node/entryvm/node_test.go
@@ -258,7 +258,7 @@
 	f := newFixture(t, 2, 50*time.Millisecond)
 	f.leaderIndex()
 	for _, l := range f.links {
-		l.Lose(3)
+		l.LoseAnswers(3)
 	}
 	f.is.NoErr(f.submit(f.nodes[0], "job"))
 	f.awaitState(f.nodes[1], "job", work.Completed)
@@ -270,8 +270,8 @@
 func TestUnansweredSubmissionIsUnknown(t *testing.T) {
 	f := newFixture(t, 2, 50*time.Millisecond)
 	f.leaderIndex()
-	f.links[0].Lose(100)
-	f.links[1].Lose(100)
+	f.links[0].LoseAnswers(100)
+	f.links[1].LoseAnswers(100)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	err := f.nodes[0].Submit(ctx, &work.Job{ID: "job", Queue: "mail", Accepted: time.Now(), Steps: []work.Step{{Count: 1}}})
