--- a/internal/emulate/memory/store.go
+++ b/internal/emulate/memory/store.go
@@ -162,8 +162,8 @@
 	l.appendDelays[t] = d
 }
 
-// Refuse sets whether the store refuses all calls of this VM.
-func (l *Link) Refuse(on bool) {
+// RefuseCalls sets whether the store refuses all calls of this VM.
+func (l *Link) RefuseCalls(on bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.refuseAll = on
--- a/internal/node/entryvm/node_test.go
+++ b/internal/node/entryvm/node_test.go
@@ -210,7 +210,7 @@
 	first := f.leaderIndex()
 	f.is.NoErr(f.submit(f.nodes[first], "before"))
 	f.awaitState(f.nodes[first], "before", work.Completed)
-	f.links[first].Refuse(true)
+	f.links[first].RefuseCalls(true)
 	f.is.NoErr(f.submit(f.nodes[(first+1)%3], "during"))
 	for end := time.Now().Add(testTimeout); f.leaderIndex() == first && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
@@ -226,7 +226,7 @@
 	first := f.leaderIndex()
 	f.is.NoErr(f.submit(f.nodes[first], "job"))
 	f.awaitState(f.nodes[first], "job", work.Completed)
-	f.links[first].Refuse(true) // The VM loses the store both for submissions and as leader.
+	f.links[first].RefuseCalls(true) // The VM loses the store both for submissions and as leader.
 	f.is.NoErr(f.submit(f.nodes[first], "cut"))
 	f.awaitState(f.nodes[first], "cut", work.Completed)
 }
@@ -237,14 +237,14 @@
 	f := newFixture(t, 2, 50*time.Millisecond)
 	f.leaderIndex()
 	for _, l := range f.links {
-		l.Refuse(true)
+		l.RefuseCalls(true)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
 	err := f.nodes[0].Submit(ctx, &work.Job{ID: "job", Queue: "mail", Accepted: time.Now(), Steps: []work.Step{{Count: 1}}})
 	f.is.Equal(fault.KindOf[entryvm.Kind](err), entryvm.KindNotStored)
 	for _, l := range f.links {
-		l.Refuse(false)
+		l.RefuseCalls(false)
 	}
 	time.Sleep(2 * time.Second)
 	f.is.Equal(f.fleet.Starts(firstTask("job")), 0) // A job that was not accepted must not run.
@@ -302,7 +302,7 @@
 	f := newFixture(t, 3, 50*time.Millisecond)
 	f.leaderIndex()
 	time.Sleep(300 * time.Millisecond)
-	f.links[2].Refuse(true)
+	f.links[2].RefuseCalls(true)
 	f.publish(9, "newer")
 	end := time.Now().Add(2 * time.Second)
 	for f.nodes[2].Table().Version != 9 && time.Now().Before(end) {
@@ -402,7 +402,7 @@
 	f.is.NoErr(f.submit(f.nodes[0], "before"))
 	f.awaitState(f.nodes[0], "before", work.Completed)
 	f.nodes[1].Close()
-	f.links[0].Refuse(true)
+	f.links[0].RefuseCalls(true)
 	waiting := make(chan error, 1)
 	go func() { waiting <- f.submit(f.nodes[0], "meanwhile") }()
 	for end := time.Now().Add(testTimeout); f.nodes[0].Ready() && time.Now().Before(end); {
@@ -414,7 +414,7 @@
 	err := f.submit(f.nodes[0], "during")
 	f.is.Equal(fault.KindOf[entryvm.Kind](err), entryvm.KindNotStored)
 	f.is.True(time.Since(begun) < 200*time.Millisecond)
-	f.links[0].Refuse(false)
+	f.links[0].RefuseCalls(false)
 	for end := time.Now().Add(testTimeout); !f.nodes[0].Ready() && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -494,13 +494,13 @@
 	f.is.NoErr(f.submit(f.nodes[0], "job"))
 	f.awaitState(f.nodes[1], "job", work.Running)
 	for _, l := range f.links {
-		l.Refuse(true)
+		l.RefuseCalls(true)
 	}
 	begun := time.Now()
 	f.awaitState(f.nodes[1], "job", work.Completed)
 	f.is.True(time.Since(begun) < 5*time.Second)
 	for _, l := range f.links {
-		l.Refuse(false)
+		l.RefuseCalls(false)
 	}
 	leader := f.leaderIndex()
 	f.nodes[leader].Close()
