--- a/internal/node/owner/calls.go
+++ b/internal/node/owner/calls.go
@@ -10,20 +10,19 @@
 	"github.com/almondpost/almondpost/internal/peer/worker"
 )
 
-// MaxWait is the longest time that one Run or Await call waits for the end of
+// MaxCallWait is the longest time that one Run or Await call waits for the end of
 // an attempt.
-const MaxWait = 15 * time.Second
+const MaxCallWait = 15 * time.Second
 
-// retryAfterBusy is the retry hint for refusals whose cause is temporary, such
-// as a full queue.
-const retryAfterBusy = time.Second
+// busyRetryDelay is the retry hint for refusals whose cause is temporary, such as
+// a full queue.
+const busyRetryDelay = time.Second
 
-// Run admits an attempt and waits until it ends or until the wait time of the
-// call is over. If this owner already has the attempt, Run only waits; for a
-// task of a gang whose capacity is reserved it starts the attempt first. A
-// refused attempt is returned with the state NotRun and a reason. The only
-// error is entry.ErrEpoch, for a call that was meant for another epoch of this
-// owner.
+// Run admits an attempt and waits until it ends or the wait time of the call is
+// over. If this owner already has the attempt, Run does not admit it again. If
+// the attempt has capacity reserved as part of a gang, Run starts it on that
+// capacity. For a refused attempt Run returns the state NotRun and a reason. The
+// only error is entry.ErrEpochMismatch, for a call that carries another epoch.
 func (o *Owner) Run(r entry.RunArgs) (entry.Status, error) {
 	o.mutex.Lock()
 	o.detectPause(time.Now())
@@ -38,7 +37,7 @@
 	a := o.attempts[r.Task.Attempt]
 	if a == nil {
 		var err error
-		if a, err = o.admit(r.Task); err != nil {
+		if a, err = o.admitAttempt(r.Task); err != nil {
 			o.mutex.Unlock()
 			kind := fault.KindOf[allocator.Kind](err)
 			return entry.Status{State: entry.NotRun, Reason: string(kind), RetryAfter: retryAfter(kind)}, nil
@@ -52,19 +51,19 @@
 	return o.waitForEnd(a, r.Wait), nil
 }
 
-// retryAfter returns the retry hint for a refusal, or zero when a retry is of
-// no use.
+// retryAfter returns the retry hint for a refusal, or zero when a retry would not
+// help.
 func retryAfter(k allocator.Kind) time.Duration {
 	switch k {
 	case allocator.KindQueueFull, allocator.KindShed, allocator.KindNoWorkers, allocator.KindDraining:
-		return retryAfterBusy
+		return busyRetryDelay
 	}
 	return 0
 }
 
-// admit puts an attempt into the queue of its plan. It fails with an error of a
-// kind of the allocator when the attempt is refused. The caller holds the lock.
-func (o *Owner) admit(t entry.Task) (*attempt, error) {
+// admitAttempt puts an attempt into the queue of its plan. If the attempt is refused,
+// it returns an error whose kind is an allocator.Kind. The caller holds the lock.
+func (o *Owner) admitAttempt(t entry.Task) (*attempt, error) {
 	now := time.Now()
 	size := int64(len(t.Payload))
 	if o.payloadBytes+size > o.payloadLimit {
@@ -100,7 +99,7 @@
 // wait time is over. While the attempt is queued it waits for maxQueuedWait at
 // most.
 func (o *Owner) waitForEnd(a *attempt, wait time.Duration) entry.Status {
-	timer := time.NewTimer(min(wait, MaxWait))
+	timer := time.NewTimer(min(wait, MaxCallWait))
 	defer timer.Stop()
 	queued := time.NewTimer(maxQueuedWait)
 	defer queued.Stop()
@@ -125,10 +124,10 @@
 	}
 }
 
-// Await waits until an attempt that was admitted before ends or until the wait
-// time of the call is over. An unknown attempt is fenced: a later Run does not
-// start it. The only error is entry.ErrEpoch, for a call that was meant for
-// another epoch of this owner.
+// Await waits until an attempt that was already admitted ends or the wait time of
+// the call is over. An unknown attempt is fenced: a later Run does not start it.
+// The only error is entry.ErrEpochMismatch, for a call that carries another
+// epoch.
 func (o *Owner) Await(r entry.AwaitArgs) (entry.Status, error) {
 	o.mutex.Lock()
 	o.detectPause(time.Now())
@@ -138,16 +137,16 @@
 	}
 	a := o.attempts[r.Attempt]
 	if a == nil {
-		a = o.fence(r.Attempt)
+		a = o.fenceAttempt(r.Attempt)
 	}
 	a.lastHolderCall = time.Now()
 	o.mutex.Unlock()
 	return o.waitForEnd(a, r.Wait), nil
 }
 
-// fence records an attempt that this owner does not know as not run, so that a
-// Run call that is delivered late does not start it. The caller holds the lock.
-func (o *Owner) fence(id string) *attempt {
+// fenceAttempt adds an unknown attempt with the final state NotRun, so that a Run call
+// that arrives late does not start it. The caller holds the lock.
+func (o *Owner) fenceAttempt(id string) *attempt {
 	a := &attempt{
 		task:    entry.Task{Attempt: id},
 		status:  entry.Status{State: entry.NotRun, Reason: entry.ReasonFenced},
@@ -157,13 +156,14 @@
 	return a
 }
 
-// resyncAfter is the age of the last answer of a worker above which Resolve
-// makes the owner sync with the worker at once.
-const resyncAfter = 300 * time.Millisecond
+// maxAnswerAge is the maximum age of a worker's last answer for Resolve. If the
+// answer is older, the owner syncs with the worker at once, so that the next
+// Resolve reports a recent answer.
+const maxAnswerAge = 300 * time.Millisecond
 
 // Resolve returns the statuses of attempts whose former owner is gone, and how
 // recently each adopted worker has answered. Attempts that this owner does not
-// know are fenced, unless the call only peeks. The error is always nil.
+// know are fenced, unless r.Peek is set. The error is always nil.
 func (o *Owner) Resolve(r entry.ResolveArgs) (entry.ResolveReply, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -175,7 +175,7 @@
 			continue
 		}
 		if a == nil {
-			a = o.fence(id)
+			a = o.fenceAttempt(id)
 		}
 		if a.status.Reason != entry.ReasonFenced && a.status.State != entry.Moved {
 			reply.Found[id] = a.status
@@ -186,19 +186,20 @@
 		if !s.adopted {
 			continue
 		}
-		age := time.Since(s.lastAnswered)
+		age := time.Since(s.lastAnsweredCallSent)
 		reply.Verified[name] = age
-		if age > resyncAfter && s.interruptSync != nil {
-			s.syncNow = true
+		if age > maxAnswerAge && s.interruptSync != nil {
+			s.skipNextSyncWait = true
 			s.interruptSync()
 		}
 	}
 	return reply, nil
 }
 
-// resolveTasks fences the generations of tasks below the given ones and adds
-// one attempt of each task to the reply. A finished attempt is preferred to one
-// that waits or runs, and that to one that failed or was stopped.
+// resolveTasks looks up tasks, given as a map of names to generations. It fences
+// the lower generations of each task and adds one attempt of the task to the
+// reply. It prefers a finished attempt to a waiting or running one, and these to
+// one that failed or was stopped.
 func (o *Owner) resolveTasks(tasks map[string]int, reply *entry.ResolveReply) {
 	if len(tasks) == 0 {
 		return
@@ -241,7 +242,7 @@
 	defer o.mutex.Unlock()
 	a := o.attempts[r.Attempt]
 	if a == nil {
-		o.fence(r.Attempt)
+		o.fenceAttempt(r.Attempt)
 		return nil
 	}
 	a.cancelled = true
@@ -263,9 +264,9 @@
 // before the next, harsher mode is used.
 const preemptGracePeriod = 300 * time.Millisecond
 
-// preempt takes an attempt off its worker: by checkpoint and, while the attempt
-// goes on, by throttle and then by stop.
-func (o *Owner) preempt(id string) {
+// preemptAttempt makes a worker give up an attempt. It tries the stop modes checkpoint,
+// throttle and stop in this order until the attempt has ended.
+func (o *Owner) preemptAttempt(id string) {
 	for _, mode := range []worker.StopMode{worker.Checkpoint, worker.Throttle, worker.Stop} {
 		if o.stopOnWorker(id, mode) || !o.sleep(preemptGracePeriod) {
 			return
--- a/internal/node/owner/gang.go
+++ b/internal/node/owner/gang.go
@@ -7,10 +7,10 @@
 	"github.com/almondpost/almondpost/internal/peer/entry"
 )
 
-// collectingGang is the gang that collects capacity at this owner: capacity
-// that becomes free is reserved for its tasks before any queue. At most one
-// gang collects at a time. The right to collect is a lease, so that a gang
-// whose holder is gone does not block others.
+// collectingGang is the gang that collects capacity at this owner: capacity that
+// becomes free is reserved for its tasks before any queued attempt can use it. At
+// most one gang collects at a time. The right to collect is a lease, so that a
+// gang whose holder is gone does not block others.
 type collectingGang struct {
 	id        string
 	expiresAt time.Time
@@ -24,9 +24,10 @@
 
 // Reserve reserves capacity for as many tasks of a gang as fit, and renews the
 // reservations that the gang already has. If r.Collect is set, capacity that
-// becomes free later is reserved for the other tasks before any queue; the
-// reply says Busy when another gang collects. The only error is entry.ErrEpoch,
-// for a call that was meant for another epoch of this owner.
+// becomes free later is reserved for the other tasks before any queued attempt
+// can use it; if another gang is already collecting, Reserve does nothing and
+// returns Busy. The only error is entry.ErrEpochMismatch, for a call that carries
+// another epoch.
 func (o *Owner) Reserve(r entry.ReserveArgs) (entry.ReserveReply, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -103,12 +104,12 @@
 	}
 	a.reservedUntil = time.Time{}
 	o.observer.Started(a.task, 0)
-	o.meter.CountStart(a.task.Customer, a.task.Plan, string(a.task.Class), 0)
+	o.usageMeter.CountStart(a.task.Customer, a.task.Plan, string(a.task.Class), 0)
 	go o.startOnWorker(s.peer, newStartRequest(s.token, a), a)
 }
 
-// expireReservations gives back capacity that was reserved for a gang and
-// neither renewed nor used in time.
+// expireReservations frees the capacity of reservations that were neither renewed
+// nor used in time, and ends their attempts as not run.
 func (o *Owner) expireReservations(now time.Time) {
 	for id, a := range o.attempts {
 		if !a.reservedUntil.IsZero() && now.After(a.reservedUntil) && !a.status.State.Ended() {
--- a/internal/node/owner/maintenance.go
+++ b/internal/node/owner/maintenance.go
@@ -7,18 +7,18 @@
 	"github.com/almondpost/almondpost/internal/state/usage"
 )
 
-// advanceMeter adds the resource use up to now to the usage sums. It is called
-// before the use changes. The caller holds the lock.
+// advanceMeter adds the resource use up to now to the usage sums. It must be
+// called before the resource use changes. The caller holds the lock.
 func (o *Owner) advanceMeter(now time.Time) {
-	o.meter.Advance(now, o.alloc.Shares(), o.alloc.Ledger().Len())
+	o.usageMeter.Advance(now, o.alloc.Shares(), o.alloc.Ledger().Len())
 }
 
-// CurrentUsage returns the usage sums since the last call of CutUsage.
+// CurrentUsage returns the usage sums since the last call of EndUsagePeriod.
 func (o *Owner) CurrentUsage() usage.Period {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.advanceMeter(time.Now())
-	return o.meter.Current()
+	return o.usageMeter.Current()
 }
 
 // EndUsagePeriod returns the usage sums since the last call of EndUsagePeriod and starts a
@@ -27,13 +27,13 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.advanceMeter(time.Now())
-	return o.meter.EndPeriod(time.Now())
+	return o.usageMeter.EndPeriod(time.Now())
 }
 
 // detectPause starts a new epoch when the loop has not run for longer than
-// maxPause, as after a freeze of the process. Holders may have given up
-// attempts during the pause, and a call that was delayed by it must not undo
-// that. Waiting attempts end as not run. The caller holds the lock.
+// maxPause, for example because the process was frozen. Holders may have given up
+// attempts during the pause, and a call that was delayed by the pause must not
+// start these. Waiting attempts end as not run. The caller holds the lock.
 func (o *Owner) detectPause(now time.Time) {
 	if now.Sub(o.lastTick) <= maxPause {
 		return
@@ -62,10 +62,10 @@
 	return o.epoch
 }
 
-// expire drops waiting attempts whose deadline cannot be met, reservations that
-// were not renewed, and ended attempts and fenced tasks whose retention is
-// over.
-func (o *Owner) expire() {
+// removeExpired drops waiting attempts that can no longer meet their deadline or
+// have waited too long, reservations that were not renewed, and ended attempts
+// and fenced tasks whose retention time is over.
+func (o *Owner) removeExpired() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	now := time.Now()
@@ -79,7 +79,7 @@
 		o.updateAccepting(s)
 	}
 	for id, a := range o.attempts {
-		if !a.endedAt.IsZero() && now.Sub(a.endedAt) > o.timing.Retention {
+		if !a.endedAt.IsZero() && now.Sub(a.endedAt) > o.timing.EndedAttemptRetention {
 			delete(o.attempts, id)
 		}
 	}
@@ -90,18 +90,18 @@
 	}
 }
 
-// fencedTaskRetention is how long a former holder of a job is refused. It is
-// longer than any pause after which a process may still consider itself the
-// holder.
+// fencedTaskRetention is how long an owner refuses the Run calls of a former
+// holder of a job. It is longer than a process can be paused and still consider
+// itself the holder afterwards.
 const fencedTaskRetention = time.Hour
 
-// reclaim preempts the attempts that the allocator wants off their workers, to
-// give the capacity to plans that are entitled to it.
-func (o *Owner) reclaim() {
+// reclaimCapacity preempts the attempts that the allocator selects, so that their
+// capacity goes to plans that are entitled to it.
+func (o *Owner) reclaimCapacity() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	for _, p := range o.alloc.Reclaim() {
 		o.log.V(1).Info("preempt", "attempt", p.Attempt, "worker", p.Worker, "plan", p.ForPlan)
-		go o.preempt(p.Attempt)
+		go o.preemptAttempt(p.Attempt)
 	}
 }
--- a/internal/node/owner/owner.go
+++ b/internal/node/owner/owner.go
@@ -2,7 +2,7 @@
 // attempt is one try to run a task.
 //
 // The allocator decides which attempt starts on which worker. This package makes
-// the calls that follow: it adopts workers with a fencing token, renews their
+// the calls to the workers: it adopts workers with a fencing token, renews their
 // leases, starts, stops and preempts attempts, and handles the loss of a worker.
 //
 // An owner gets its attempts from holders. The holder of a request or job is the
@@ -30,38 +30,40 @@
 
 // Timing holds the intervals and time limits of an owner.
 type Timing struct {
-	// Lease is how long a worker runs its attempts without a renewal.
+	// Lease is how long a worker keeps running attempts unless its lease is
+	// renewed.
 	Lease time.Duration
-	// LeaseMargin allows for clock drift between the owner and a worker.
+	// LeaseMargin is the allowance for clock drift between the owner and a
+	// worker.
 	LeaseMargin time.Duration
 	// SyncWait is how long a worker may delay its reply to a sync while it has no
 	// new records. It is well below Lease, since each sync renews the lease.
 	SyncWait time.Duration
 	// RetryPause is the pause before a failed call to a worker is repeated.
 	RetryPause time.Duration
-	// FencedPause is the pause before a worker that another owner has adopted is
-	// adopted again.
+	// FencedPause is how long the owner waits, after another owner has adopted
+	// its worker, before it tries to adopt the worker again.
 	FencedPause time.Duration
 	// TickInterval is the interval of the periodic work: expiry, dispatch and
 	// preemption.
 	TickInterval time.Duration
-	// Retention is how long an attempt is kept after its end.
-	Retention time.Duration
-	// UrgentWait is the longest time that an urgent attempt waits for its start;
-	// after it the attempt is dropped without having run.
+	// EndedAttemptRetention is how long an attempt is kept after its end.
+	EndedAttemptRetention time.Duration
+	// UrgentWait is the longest time that an urgent attempt waits to be started.
+	// An attempt that has waited longer is dropped as not run.
 	UrgentWait time.Duration
 }
 
 // DefaultTiming is for workers on the same site as the entry VM.
 var DefaultTiming = Timing{
-	Lease:        20 * time.Second,
-	LeaseMargin:  time.Second,
-	SyncWait:     8 * time.Second,
-	RetryPause:   250 * time.Millisecond,
-	FencedPause:  2 * time.Second,
-	TickInterval: 100 * time.Millisecond,
-	Retention:    2 * time.Minute,
-	UrgentWait:   1800 * time.Millisecond,
+	Lease:                 20 * time.Second,
+	LeaseMargin:           time.Second,
+	SyncWait:              8 * time.Second,
+	RetryPause:            250 * time.Millisecond,
+	FencedPause:           2 * time.Second,
+	TickInterval:          100 * time.Millisecond,
+	EndedAttemptRetention: 2 * time.Minute,
+	UrgentWait:            1800 * time.Millisecond,
 }
 
 // Limits bounds the memory that an owner uses for attempts.
@@ -76,7 +78,7 @@
 // Dial returns a client for a worker VM.
 type Dial func(v vmlist.VM) worker.Peer
 
-// Observer receives the events of an owner that metrics count.
+// Observer receives those events of an owner that are counted in metrics.
 type Observer interface {
 	// Started is called when an attempt is about to be started; waited is how
 	// long it was queued.
@@ -86,14 +88,14 @@
 // Owner manages the workers that one entry VM has adopted and the attempts that
 // wait for them or run on them. Its methods are safe for concurrent use.
 type Owner struct {
-	name        string
-	timing      Timing
-	dial        Dial
-	observer    Observer
-	log         logr.Logger
-	ctx         context.Context
-	wake        chan struct{}
-	firstWorker chan struct{}
+	name               string
+	timing             Timing
+	dial               Dial
+	observer           Observer
+	log                logr.Logger
+	ctx                context.Context
+	wake               chan struct{}
+	firstWorkerAdopted chan struct{}
 
 	mutex sync.Mutex
 	// epoch is increased after the process was paused, so that calls sent before
@@ -102,18 +104,18 @@
 	// lastTick is when the loop last ran its periodic work.
 	lastTick time.Time
 	alloc    *allocator.Allocator
-	// attempts holds, by ID, every attempt that was admitted or fenced here or
-	// that runs on an adopted worker. It is kept until Retention after its end.
+	// attempts maps IDs to attempts: those that were admitted or fenced here and
+	// those that run on adopted workers. Each is kept for
+	// Timing.EndedAttemptRetention after its end.
 	attempts map[string]*attempt
 	// sessions holds the session of each worker by its name.
 	sessions map[string]*session
 	// payloadBytes is the total size of the payloads in attempts. Attempts that
 	// would raise it above payloadLimit are not admitted.
 	payloadBytes, payloadLimit int64
-	ejection                   *ejection.Tracker
-	meter                      *usage.Meter
-	// fencedTasks holds, by name, the tasks of jobs that another holder has taken
-	// over.
+	ejectionTracker            *ejection.Tracker
+	usageMeter                 *usage.Meter
+	// fencedTasks maps names to tasks of jobs that another holder has taken over.
 	fencedTasks map[string]fencedTask
 	collecting  collectingGang
 	draining    bool
@@ -121,8 +123,8 @@
 
 // fencedTask is a task of a job that another holder has taken over.
 type fencedTask struct {
-	// generation is that of the new holder; attempts of lower generations are
-	// not started.
+	// generation is the generation of the new holder. Attempts with a lower
+	// generation are not started.
 	generation int
 	fencedAt   time.Time
 }
@@ -152,10 +154,10 @@
 func New(ctx context.Context, name string, incarnation uint64, t Timing, limits Limits, dial Dial, o Observer, log logr.Logger) *Owner {
 	w := &Owner{
 		name: name, epoch: incarnation, lastTick: time.Now(), timing: t, dial: dial, observer: o, log: log, ctx: ctx,
-		wake:        make(chan struct{}, 1),
-		firstWorker: make(chan struct{}, 1),
-		alloc:       allocator.New(placement.Balanced{}, allocator.Limits{Waiting: limits.Waiting, UrgentWait: t.UrgentWait}),
-		attempts:    map[string]*attempt{}, sessions: map[string]*session{}, payloadLimit: limits.PayloadBytes, ejection: ejection.New(), meter: usage.New(name, time.Now()), fencedTasks: map[string]fencedTask{},
+		wake:               make(chan struct{}, 1),
+		firstWorkerAdopted: make(chan struct{}, 1),
+		alloc:              allocator.New(placement.Balanced{}, allocator.Limits{Waiting: limits.Waiting, UrgentWait: t.UrgentWait}),
+		attempts:           map[string]*attempt{}, sessions: map[string]*session{}, payloadLimit: limits.PayloadBytes, ejectionTracker: ejection.New(), usageMeter: usage.New(name, time.Now()), fencedTasks: map[string]fencedTask{},
 	}
 	go w.loop()
 	return w
@@ -178,7 +180,7 @@
 
 // FirstWorkerAdopted returns a channel that receives a value when the owner adopts its first
 // worker, so that the entry VM can advertise it to its peers at once.
-func (o *Owner) FirstWorkerAdopted() <-chan struct{} { return o.firstWorker }
+func (o *Owner) FirstWorkerAdopted() <-chan struct{} { return o.firstWorkerAdopted }
 
 // wakeLoop makes the loop dispatch attempts without waiting for the next tick.
 func (o *Owner) wakeLoop() {
@@ -199,9 +201,9 @@
 		case <-o.wake:
 			o.dispatch()
 		case <-tick.C:
-			o.expire()
+			o.removeExpired()
 			o.dispatch()
-			o.reclaim()
+			o.reclaimCapacity()
 		}
 	}
 }
@@ -230,8 +232,8 @@
 		}
 		a.status.Worker, a.status.Waited = d.Worker, d.Waited
 		o.observer.Started(a.task, d.Waited)
-		o.meter.CountStart(a.task.Customer, a.task.Plan, string(a.task.Class), d.Waited)
-		o.ejection.RecordStart(d.Worker)
+		o.usageMeter.CountStart(a.task.Customer, a.task.Plan, string(a.task.Class), d.Waited)
+		o.ejectionTracker.RecordStart(d.Worker)
 		o.updateAccepting(s)
 		go o.startOnWorker(s.peer, newStartRequest(s.token, a), a)
 	}
@@ -280,9 +282,9 @@
 		return
 	}
 	name := a.status.Worker
-	before := o.ejection.StateOf(name)
-	o.ejection.RecordOutcome(time.Now(), name, a.task.Kind, s.State == entry.Finished)
-	if after := o.ejection.StateOf(name); after != before {
+	before := o.ejectionTracker.StateOf(name)
+	o.ejectionTracker.RecordOutcome(time.Now(), name, a.task.Kind, s.State == entry.Finished)
+	if after := o.ejectionTracker.StateOf(name); after != before {
 		o.log.Info("worker_ejection", "worker", name, "ejected", after == ejection.Open)
 	}
 	if session := o.sessions[name]; session != nil {
@@ -291,10 +293,10 @@
 }
 
 // startOnWorker starts an attempt on its worker. It repeats the call until the
-// outcome is known; starts are idempotent per attempt. The request keeps the
-// fencing token of the session in which the allocator chose the worker. If the
-// same owner adopts the worker again later, a start that was given up in between
-// is therefore refused.
+// outcome is known; starts are idempotent per attempt. The request carries the
+// fencing token that this owner had when the allocator chose the worker. If this
+// owner adopts the worker again, its token changes, so the worker refuses start
+// calls from before, which this owner may have given up.
 func (o *Owner) startOnWorker(peer worker.Peer, request worker.StartRequest, a *attempt) {
 	id := request.Attempt.ID
 	for isFirstCall := true; ; isFirstCall = false {
@@ -332,7 +334,7 @@
 	if s == nil || s.unresponsive {
 		return
 	}
-	s.unresponsive, s.syncNow = true, true
+	s.unresponsive, s.skipNextSyncWait = true, true
 	o.updateAccepting(s)
 	if s.interruptSync != nil {
 		s.interruptSync()
@@ -369,7 +371,7 @@
 // holder stopped calling.
 const reasonHolderGone = "holder_gone"
 
-// sleep waits for d. It returns false when the owner ended before.
+// sleep waits for d. It returns false when the owner stops before that.
 func (o *Owner) sleep(d time.Duration) bool {
 	select {
 	case <-o.ctx.Done():
--- a/internal/node/owner/owner_test.go
+++ b/internal/node/owner/owner_test.go
@@ -18,7 +18,7 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// capacity is that of the worker. One attempt of runArgs uses all of it.
+// capacity is the capacity of the worker. One attempt of runArgs uses all of it.
 var capacity = resource.Vector{Milliprocessors: 1000, MemoryMebibytes: 1000, Slots: 1, Connections: 1}
 
 // idleWorker accepts every call and never ends an attempt.
@@ -97,13 +97,13 @@
 		is := is.New(t)
 		w := &idleWorker{startDelay: time.Minute}
 		o, stop := startOwner(is, w, &blockingObserver{duration: entry.HolderLease})
-		before := o.Epoch()
-		_, err := o.Run(runArgs(before, "first/1"))
+		epochBeforePause := o.Epoch()
+		_, err := o.Run(runArgs(epochBeforePause, "first/1"))
 		is.NoErr(err)
 		time.Sleep(2 * entry.HolderLease)
-		_, err = o.Run(runArgs(before, "late/1"))
+		_, err = o.Run(runArgs(epochBeforePause, "late/1"))
 		is.True(errors.Is(err, entry.ErrEpochMismatch))
-		is.True(o.Epoch() > before)
+		is.True(o.Epoch() > epochBeforePause)
 		_, err = o.Run(runArgs(o.Epoch(), "new/1"))
 		is.NoErr(err)
 		stop()
--- a/internal/node/owner/session.go
+++ b/internal/node/owner/session.go
@@ -12,8 +12,9 @@
 	"github.com/almondpost/almondpost/internal/state/plan"
 )
 
-// session is the state of the exchange with one worker. Its fields are guarded
-// by the lock of the Owner, except vm.Name and peer, which do not change.
+// session is what the owner knows about one worker: whether it is adopted, how
+// recently it answered, and what was last received. The fields are guarded by the
+// lock of the Owner, except vm.Name and peer, which do not change.
 type session struct {
 	vm   vmlist.VM
 	peer worker.Peer
@@ -29,23 +30,24 @@
 	// lastSequence is the highest sequence of the records received from the
 	// worker.
 	lastSequence uint64
-	// lastAnswered is when the last call that the worker answered was sent.
-	lastAnswered time.Time
-	// lastRenewal is when the last call that may have renewed the lease was
+	// lastAnsweredCallSent is when the last call that the worker answered was
 	// sent.
-	lastRenewal time.Time
+	lastAnsweredCallSent time.Time
+	// lastRenewalSent is when the last call that may have renewed the lease was
+	// sent.
+	lastRenewalSent time.Time
 	// interruptSync cancels the sync in flight, which is then sent again.
 	interruptSync context.CancelFunc
 	// unresponsive is true while the worker does not answer calls.
 	unresponsive bool
-	// syncNow makes the worker answer the next sync without waiting for
-	// records.
-	syncNow bool
+	// skipNextSyncWait makes the worker answer the next sync without waiting for
+	// new records.
+	skipNextSyncWait bool
 }
 
-// Assign sets the workers that this owner should adopt. An adopted worker that
-// is no longer assigned gets attempts until its new owner fences this one, so
-// that no worker is idle while the entry VMs disagree on the membership.
+// Assign sets the workers that this owner should adopt. An adopted worker that is
+// no longer assigned still gets attempts until another owner adopts it, so that
+// no worker is idle while the entry VMs disagree on the membership.
 func (o *Owner) Assign(workers []vmlist.VM) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -77,19 +79,19 @@
 	if !s.adopted {
 		return
 	}
-	o.alloc.SetAccepting(s.vm.Name, !s.unresponsive && !s.vm.Leaving && !o.draining && o.ejection.Allows(time.Now(), s.vm.Name))
+	o.alloc.SetAccepting(s.vm.Name, !s.unresponsive && !s.vm.Leaving && !o.draining && o.ejectionTracker.Allows(time.Now(), s.vm.Name))
 }
 
-// runSession adopts a worker and syncs with it until the worker is lost, and
-// then starts again. It returns when the worker is no longer assigned or when
-// the owner drains or ends.
+// runSession adopts a worker, syncs with it until the worker is lost, and then
+// starts over. It returns when the worker is no longer assigned, or when the
+// owner is draining or stopped.
 func (o *Owner) runSession(s *session) {
 	var highest worker.Token
 	for {
 		if !o.continueOrRemove(s) {
 			return
 		}
-		current, ok := o.adopt(s, highest)
+		current, ok := o.adoptWorker(s, highest)
 		if current.Epoch > highest.Epoch {
 			highest = current
 		}
@@ -120,10 +122,10 @@
 	return false
 }
 
-// adopt tries to adopt the worker with a token above highest. It returns the
-// token that the worker has now, or highest if the worker did not answer, and
+// adoptWorker tries to adopt the worker with a token above highest. It returns
+// the token that the worker has now, or highest if the worker did not answer, and
 // whether the adoption succeeded.
-func (o *Owner) adopt(s *session, highest worker.Token) (current worker.Token, ok bool) {
+func (o *Owner) adoptWorker(s *session, highest worker.Token) (current worker.Token, ok bool) {
 	token := worker.Token{Epoch: highest.Epoch + 1, Owner: o.name}
 	sent := time.Now()
 	reply, err := s.peer.Adopt(o.ctx, worker.AdoptRequest{Token: token, Lease: o.timing.Lease})
@@ -135,14 +137,14 @@
 	if !reply.Accepted {
 		return reply.Current, false
 	}
-	s.token, s.adopted, s.lastSequence, s.lastAnswered, s.lastRenewal = token, true, reply.Sequence, sent, sent
+	s.token, s.adopted, s.lastSequence, s.lastAnsweredCallSent, s.lastRenewalSent = token, true, reply.Sequence, sent, sent
 	s.unresponsive = false
-	o.ejection.Add(s.vm.Name)
+	o.ejectionTracker.Add(s.vm.Name)
 	o.restoreAttempts(s, reply)
 	return token, true
 }
 
-// restoreAttempts adds an adopted worker and the attempts that it reports to
+// restoreAttempts adds an adopted worker, with the attempts that run on it, to
 // the allocator. An attempt that was fenced here or had moved to another owner
 // gets the status that the worker reports. The caller holds the lock.
 func (o *Owner) restoreAttempts(s *session, reply worker.AdoptReply) {
@@ -170,7 +172,7 @@
 		return
 	}
 	select {
-	case o.firstWorker <- struct{}{}:
+	case o.firstWorkerAdopted <- struct{}{}:
 	default:
 	}
 }
@@ -191,7 +193,7 @@
 func (o *Owner) syncUntilLost(s *session) (fenced bool) {
 	lease := o.timing.Lease
 	for o.ctx.Err() == nil {
-		reply, sent, err := o.sync(s, lease)
+		reply, sent, err := o.syncWorker(s, lease)
 		o.mutex.Lock()
 		switch fault.KindOr(err, worker.KindUnreachable) {
 		case "":
@@ -207,7 +209,7 @@
 		lease = 0
 		s.unresponsive = true
 		o.updateAccepting(s)
-		if time.Since(s.lastRenewal) > o.maxRenewalAge() {
+		if time.Since(s.lastRenewalSent) > o.maxRenewalAge() {
 			o.dropWorker(s, entry.Status{State: entry.Stopped, Reason: entry.ReasonLeaseLapsed})
 			o.mutex.Unlock()
 			return false
@@ -218,27 +220,27 @@
 	return false
 }
 
-// maxRenewalAge is the time after the last renewal was sent at which the lease
-// has certainly ended at the worker, even if the call was delivered as late as
-// possible.
+// maxRenewalAge returns the time that must pass after the last renewal was sent
+// before the lease has certainly ended at the worker, even if the renewal was
+// delivered as late as possible.
 func (o *Owner) maxRenewalAge() time.Duration {
 	return o.timing.Lease + o.timing.LeaseMargin + o.timing.SyncWait + worker.CallTimeout
 }
 
-// sync sends a sync and returns the reply and when the call was sent. A lease
-// of zero does not renew the lease. If the call is interrupted, it is sent
-// again.
-func (o *Owner) sync(s *session, lease time.Duration) (reply worker.SyncReply, sent time.Time, err error) {
+// syncWorker sends a sync to the worker and returns the reply and when the call
+// was sent. A lease of zero does not renew the lease. If the call is interrupted,
+// it is sent again.
+func (o *Owner) syncWorker(s *session, lease time.Duration) (reply worker.SyncReply, sent time.Time, err error) {
 	ctx, cancel := context.WithCancel(o.ctx)
 	defer cancel()
 	sent = time.Now()
 	o.mutex.Lock()
 	if lease > 0 {
-		s.lastRenewal = sent
+		s.lastRenewalSent = sent
 	}
 	wait := o.timing.SyncWait
-	if s.syncNow {
-		s.syncNow, wait = false, 0
+	if s.skipNextSyncWait {
+		s.skipNextSyncWait, wait = false, 0
 	}
 	s.interruptSync = cancel
 	request := worker.SyncRequest{Token: s.token, Lease: lease, After: s.lastSequence, Wait: wait}
@@ -246,14 +248,14 @@
 	reply, err = s.peer.Sync(ctx, request)
 	interrupted := err != nil && ctx.Err() != nil && o.ctx.Err() == nil
 	if interrupted {
-		return o.sync(s, lease)
+		return o.syncWorker(s, lease)
 	}
 	return reply, sent, err
 }
 
 // applyRecords ends the attempts that a worker reports as ended.
 func (o *Owner) applyRecords(s *session, reply worker.SyncReply, sent time.Time) {
-	s.lastAnswered, s.unresponsive = sent, false
+	s.lastAnsweredCallSent, s.unresponsive = sent, false
 	s.lastSequence = max(s.lastSequence, reply.Sequence)
 	for _, r := range reply.Records {
 		o.endAttempt(r.Attempt.ID, statusOf(r))
--- a/internal/node/request/gang.go
+++ b/internal/node/request/gang.go
@@ -14,16 +14,17 @@
 const (
 	// gangLease is how long capacity stays reserved without a renewal.
 	gangLease = 3 * time.Second
-	// collectAfter is how long a gang tries to reserve all its capacity at once
-	// before it collects capacity as it becomes free.
-	collectAfter = 3 * time.Second
+	// collectDelay is how long a gang tries to reserve all its capacity at once
+	// before it starts to collect capacity that becomes free.
+	collectDelay = 3 * time.Second
 	// maxCollectTime is the longest time that a gang collects without a break,
 	// so that a gang that does not fit lets others collect.
-	maxCollectTime = 10 * time.Second
-	collectPause   = 100 * time.Millisecond
-	// The pause between two tries is random within these limits.
-	minGangPause = 100 * time.Millisecond
-	maxGangPause = 600 * time.Millisecond
+	maxCollectTime    = 10 * time.Second
+	collectRetryPause = 100 * time.Millisecond
+	// The pause between two tries to reserve a gang is random within these
+	// limits.
+	minGangRetryPause = 100 * time.Millisecond
+	maxGangRetryPause = 600 * time.Millisecond
 )
 
 // ReservedTask is a task of a gang with the owner that has reserved capacity
@@ -33,20 +34,21 @@
 	Owner Target
 }
 
-// ReserveGang reserves capacity for all tasks of a job, at the owners of one failure
-// domain in the order of their names. It tries until all tasks have capacity;
-// the caller then starts each one with Commit. It fails when ctx ends or the
-// job is abandoned, and then gives all capacity back.
-func (r *Runner) ReserveGang(ctx context.Context, domain string, works []Work) ([]ReservedTask, error) {
+// ReserveGang reserves capacity for all tasks of a job at the owners of one
+// failure domain, which it asks in the order of their names. It tries again until
+// all tasks have capacity; the caller then starts each one with Commit. When ctx
+// ends or the job is abandoned, it releases all reserved capacity and returns an
+// error.
+func (r *Runner) ReserveGang(ctx context.Context, domain string, members []Work) ([]ReservedTask, error) {
 	began := time.Now()
-	for try := 1; ctx.Err() == nil && !works[0].isAbandoned(); try++ {
-		if works[0].isPermitted() {
-			collect := time.Since(began) > collectAfter
-			if reserved := r.tryReserveGang(ctx, domain, works, try, collect); reserved != nil {
+	for try := 1; ctx.Err() == nil && !members[0].isAbandoned(); try++ {
+		if members[0].isPermitted() {
+			collect := time.Since(began) > collectDelay
+			if reserved := r.tryReserveGang(ctx, domain, members, try, collect); reserved != nil {
 				return reserved, nil
 			}
 		}
-		pause := minGangPause + rand.N(maxGangPause-minGangPause)
+		pause := minGangRetryPause + rand.N(maxGangRetryPause-minGangRetryPause)
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
@@ -59,12 +61,12 @@
 // has taken it over.
 var errGangNotReserved = errors.New("gang not reserved: the job was cancelled or has another holder")
 
-// tryReserveGang makes one try to reserve capacity for all tasks, and returns
-// nil if it fails. If collect is set, the try lasts up to maxCollectTime and
-// keeps what is reserved. Owners let one gang collect at a time and are asked
-// in name order, so the first owner decides which gang collects, and two gangs
-// never wait for each other.
-func (r *Runner) tryReserveGang(ctx context.Context, domain string, works []Work, try int, collect bool) []ReservedTask {
+// tryReserveGang makes one try to reserve capacity for all tasks, and returns nil
+// if it fails. If collect is set, the try lasts up to maxCollectTime and keeps
+// its reservations for that time. Each owner lets one gang at a time collect, and
+// owners are asked in the order of their names. The first owner therefore decides
+// which gang collects, and two gangs never wait for each other.
+func (r *Runner) tryReserveGang(ctx context.Context, domain string, members []Work, try int, collect bool) []ReservedTask {
 	owners := r.usableOwners(domain)
 	deadline := time.Now()
 	if collect {
@@ -72,16 +74,16 @@
 	}
 	held := map[string]ReservedTask{}
 	for {
-		gang, busy := r.reserveAll(ctx, owners, works, try, collect, held)
+		gang, busy := r.reserveAll(ctx, owners, members, try, collect, held)
 		if gang != nil {
 			r.releaseUnused(held, gang)
 			return gang
 		}
-		if busy || !time.Now().Before(deadline) || ctx.Err() != nil || works[0].isAbandoned() {
+		if busy || !time.Now().Before(deadline) || ctx.Err() != nil || members[0].isAbandoned() {
 			r.releaseUnused(held, nil)
 			return nil
 		}
-		time.Sleep(collectPause)
+		time.Sleep(collectRetryPause)
 	}
 }
 
@@ -98,18 +100,19 @@
 	return out
 }
 
-// reserveAll asks the owners in turn to reserve capacity for the tasks that
-// have none yet. It adds every reservation to held, by attempt, and returns the
-// gang when each task has one. busy is true when another gang collects.
-func (r *Runner) reserveAll(ctx context.Context, owners []Target, works []Work, try int, collect bool, held map[string]ReservedTask) (gang []ReservedTask, busy bool) {
-	reserved := make([]ReservedTask, len(works))
-	missing := len(works)
+// reserveAll asks the owners in turn to reserve capacity for the tasks that have
+// none yet. It adds every reservation to held, which maps attempt IDs to reserved
+// tasks. If every task has a reservation, it returns one per task as gang. busy
+// is true when another gang is collecting.
+func (r *Runner) reserveAll(ctx context.Context, owners []Target, members []Work, try int, collect bool, held map[string]ReservedTask) (gang []ReservedTask, busy bool) {
+	reserved := make([]ReservedTask, len(members))
+	missing := len(members)
 	for _, o := range owners {
-		offers := gangOffers(works, reserved, try, o, collect)
+		offers := newGangOffers(members, reserved, try, o, collect)
 		if len(offers) == 0 {
 			break
 		}
-		reply, err := r.reserve(ctx, o, works[0], offers, collect)
+		reply, err := r.callReserve(ctx, o, members[0], offers, collect)
 		if err != nil {
 			continue
 		}
@@ -131,19 +134,18 @@
 	return reserved, false
 }
 
-// gangOffer is a task of a gang that one owner is asked to reserve capacity
-// for.
+// gangOffer is a task of a gang for which one owner is asked to reserve capacity.
 type gangOffer struct {
 	// index is the position of the task in the gang.
 	index    int
 	reserved ReservedTask
 }
 
-// gangOffers returns the tasks to offer to an owner, by attempt: those without
-// reserved capacity, or all of them if the gang collects.
-func gangOffers(works []Work, reserved []ReservedTask, try int, o Target, collect bool) map[string]gangOffer {
+// newGangOffers returns the tasks to offer to an owner, keyed by attempt ID:
+// those without reserved capacity, or all of them if the gang collects.
+func newGangOffers(members []Work, reserved []ReservedTask, try int, o Target, collect bool) map[string]gangOffer {
 	out := map[string]gangOffer{}
-	for i, w := range works {
+	for i, w := range members {
 		if reserved[i].Task.Attempt != "" && !collect {
 			continue
 		}
@@ -153,8 +155,8 @@
 	return out
 }
 
-// reserve makes one Reserve call to an owner.
-func (r *Runner) reserve(ctx context.Context, o Target, w Work, offers map[string]gangOffer, collect bool) (entry.ReserveReply, error) {
+// callReserve makes one Reserve call to an owner.
+func (r *Runner) callReserve(ctx context.Context, o Target, w Work, offers map[string]gangOffer, collect bool) (entry.ReserveReply, error) {
 	tasks := make([]entry.Task, len(offers))
 	position := 0
 	for _, offer := range offers {
@@ -183,9 +185,10 @@
 	}
 }
 
-// Commit starts a task whose capacity is reserved. It returns the attempt and
-// its owner, to be set as Known and KnownAt of a Work that Run follows. If the
-// call fails, the state of the attempt is Moved, so that Run resolves it.
+// Commit starts a task whose capacity is reserved. It returns the attempt and its
+// owner, which the caller sets as ExistingAttempt and ExistingAttemptOwner of the
+// Work that it passes to Run. If the call fails, the state of the attempt is
+// Moved, so that Run finds out whether it was started.
 func (r *Runner) Commit(t ReservedTask) (entry.FoundAttempt, Target) {
 	ctx, cancel := context.WithTimeout(context.Background(), entry.CallTimeout)
 	defer cancel()
--- a/internal/node/request/request.go
+++ b/internal/node/request/request.go
@@ -99,8 +99,8 @@
 	ID     string `json:"id"`
 	State  State  `json:"state"`
 	Reason string `json:"reason,omitempty"`
-	// RetryAfterMilliseconds says when a task that was not run may be submitted
-	// again; zero means no hint.
+	// RetryAfterMilliseconds is how long the caller should wait before it
+	// resubmits a task that was not run; zero means no hint.
 	RetryAfterMilliseconds int64 `json:"retry_after_milliseconds,omitempty"`
 	// WaitedMilliseconds is how long the last attempt was queued before its
 	// start.
--- a/internal/node/request/resolve.go
+++ b/internal/node/request/resolve.go
@@ -10,26 +10,26 @@
 )
 
 // resolveAttempt finds out what became of an attempt whose owner did not answer
-// or has lost its worker. It ends in one of three ways: an owner knows the
-// attempt; the original owner fences it; or every worker of the failure domain
-// is proved to be held by another owner since a time at which the original
-// owner could no longer start the attempt, and no owner knows the attempt. If
-// ctx has ended, it gives up after maxResolveAfterCancel.
+// or has lost its worker. It returns in one of three cases: an owner knows the
+// attempt; the original owner has fenced it; or no owner knows the attempt, and
+// other owners verify that they hold every worker of the failure domain at a time
+// when the original owner can no longer start the attempt. If ctx has ended, it
+// gives up after resolveTimeoutAfterCancel.
 func (r *Runner) resolveAttempt(ctx context.Context, t Target, attempt string, lastCall time.Time) (Target, entry.Status) {
-	// After the barrier the original owner does not start the attempt if it still
-	// waits there, since its holder lease has ended.
-	barrier := lastCall.Add(entry.HolderLease + r.timing.ClockMargin)
-	reported := time.Now()
+	// After startCutoff the original owner no longer starts the attempt: if the
+	// attempt still waits there, its holder lease has expired.
+	startCutoff := lastCall.Add(entry.HolderLease + r.timing.ClockMargin)
+	lastLogged := time.Now()
 	for {
 		// A call to the original owner renews the holder lease of the attempt
-		// even if the reply is lost, and so moves the barrier.
+		// even if the reply is lost, so an unanswered call moves startCutoff.
 		sent := time.Now()
 		reply := r.askOriginalOwner(t, attempt)
 		if reply.found {
 			return reply.target, reply.status
 		}
 		if reply.unanswered {
-			barrier = sent.Add(entry.HolderLease + entry.CallTimeout + r.timing.ClockMargin)
+			startCutoff = sent.Add(entry.HolderLease + entry.CallTimeout + r.timing.ClockMargin)
 		}
 		answers := r.askAllOwners(t.Domain, entry.ResolveArgs{Attempts: []string{attempt}})
 		if target, status, ok := findAttempt(answers, attempt); ok {
@@ -37,35 +37,37 @@
 		}
 		excluded := t
 		if reply.workerLost {
-			// The original owner will no longer start the attempt, so a worker that
-			// it holds proves as much as one that another owner holds.
+			// The original owner will no longer start the attempt, so the workers
+			// that it holds itself count as verified, too.
 			excluded = Target{Domain: t.Domain}
 		}
-		unproved := r.unprovedWorkers(excluded, answers, barrier)
-		if len(unproved) == 0 {
+		unverified := r.unverifiedWorkers(excluded, answers, startCutoff)
+		if len(unverified) == 0 {
 			return t, entry.Status{State: entry.NotRun, Reason: entry.ReasonFenced, RetryAfter: time.Second}
 		}
-		if ctx.Err() != nil && time.Since(lastCall) > maxResolveAfterCancel {
+		if ctx.Err() != nil && time.Since(lastCall) > resolveTimeoutAfterCancel {
 			return t, entry.Status{State: entry.Stopped, Reason: reasonUnresolved}
 		}
-		if time.Since(reported) > reportInterval {
-			reported = time.Now()
-			r.log.Info("outcome_unresolved", "attempt", attempt, "owner", t.Name, "uncovered", strings.Join(unproved[:min(len(unproved), maxReportedWorkers)], ","))
+		if time.Since(lastLogged) > unresolvedLogInterval {
+			lastLogged = time.Now()
+			r.log.Info("outcome_unresolved", "attempt", attempt, "owner", t.Name, "uncovered", strings.Join(unverified[:min(len(unverified), maxLoggedWorkers)], ","))
 		}
 		time.Sleep(r.timing.RetryPause)
 	}
 }
 
 const (
-	// reportInterval is the interval at which an unresolved outcome is logged.
-	reportInterval = 5 * time.Second
-	// maxReportedWorkers is how many workers such a log line names.
-	maxReportedWorkers = 5
+	// unresolvedLogInterval is the interval at which an unresolved outcome is
+	// logged.
+	unresolvedLogInterval = 5 * time.Second
+	// maxLoggedWorkers is the maximum number of workers that such a log line
+	// names.
+	maxLoggedWorkers = 5
 )
 
-// maxResolveAfterCancel is how long the outcome of a cancelled attempt is
-// searched for.
-const maxResolveAfterCancel = time.Minute
+// resolveTimeoutAfterCancel is how long after the last call to its owner
+// resolveAttempt gives up on a cancelled attempt.
+const resolveTimeoutAfterCancel = time.Minute
 
 // reasonUnresolved is the reason of attempts whose outcome could not be found
 // out.
@@ -84,9 +86,9 @@
 	unanswered bool
 }
 
-// askOriginalOwner asks the owner that was given the attempt for its status.
-// The result is empty when that owner is gone, is not reachable or has another
-// epoch.
+// askOriginalOwner asks the owner to which the attempt was sent for its status.
+// It returns the zero value when that owner is gone, is not reachable or has
+// another epoch.
 func (r *Runner) askOriginalOwner(t Target, attempt string) ownerReply {
 	for _, o := range r.peers.Targets() {
 		if o.Name != t.Name || o.Epoch != t.Epoch || !o.Reachable {
@@ -110,7 +112,7 @@
 type resolveAnswer struct {
 	target Target
 	reply  entry.ResolveReply
-	sent   time.Time
+	sentAt time.Time
 }
 
 // askAllOwners sends a Resolve call to every reachable owner of a failure
@@ -136,7 +138,7 @@
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
-			answers = append(answers, resolveAnswer{target: o, reply: reply, sent: sent})
+			answers = append(answers, resolveAnswer{target: o, reply: reply, sentAt: sent})
 		})
 	}
 	group.Wait()
@@ -159,33 +161,33 @@
 	return target, status, ok
 }
 
-// unprovedWorkers returns the workers of the failure domain of t that may still
-// be held by the owner t with its epoch: those that no other owner has proved
-// to hold at a time after the barrier. It returns the word "unknown" when the
-// platform lists no workers for the domain.
-func (r *Runner) unprovedWorkers(t Target, answers []resolveAnswer, barrier time.Time) []string {
+// unverifiedWorkers returns the workers in the failure domain of t that the owner
+// t may still hold under its epoch: those for which no other owner or epoch
+// reports an answered call that was sent after startCutoff. When the platform
+// lists no workers for the domain, it returns the single element "unknown".
+func (r *Runner) unverifiedWorkers(t Target, answers []resolveAnswer, startCutoff time.Time) []string {
 	held := map[string]bool{}
 	for _, a := range answers {
 		if a.target.Name == t.Name && a.reply.Epoch == t.Epoch {
 			continue
 		}
 		for w, age := range a.reply.Verified {
-			if a.sent.Add(-age).After(barrier) {
+			if a.sentAt.Add(-age).After(startCutoff) {
 				held[w] = true
 			}
 		}
 	}
-	var unproved []string
+	var unverified []string
 	workers := r.peers.Workers(t.Domain)
 	for _, w := range workers {
 		if !held[w] {
-			unproved = append(unproved, w)
+			unverified = append(unverified, w)
 		}
 	}
 	if len(workers) == 0 {
 		return []string{"unknown"}
 	}
-	return unproved
+	return unverified
 }
 
 // LocatedAttempt is an attempt of a task that a former holder left behind, and its
@@ -196,12 +198,12 @@
 }
 
 // TakeOver finds the attempts that former holders left for the given tasks in a
-// failure domain. tasks maps each task to the generation of its new holder;
-// lower generations are fenced. It returns once each task has an attempt or is
-// proved never to start under a former generation, which needs every worker of
-// the domain to be proved held after the barrier. The error is that of ctx,
-// when ctx ends first.
-func (r *Runner) TakeOver(ctx context.Context, domain string, tasks map[string]int, barrier time.Time) (map[string]LocatedAttempt, error) {
+// failure domain. tasks maps each task to the generation of its new holder; lower
+// generations are fenced. TakeOver returns when it has found an attempt of every
+// task, or when the owners verify that they have held every worker of the domain
+// after startCutoff; a task without an attempt then never starts under a lower
+// generation. If ctx ends first, TakeOver returns the error of ctx.
+func (r *Runner) TakeOver(ctx context.Context, domain string, tasks map[string]int, startCutoff time.Time) (map[string]LocatedAttempt, error) {
 	for {
 		found := map[string]LocatedAttempt{}
 		answers := r.askAllOwners(domain, entry.ResolveArgs{Tasks: tasks})
@@ -215,7 +217,7 @@
 				found[name] = LocatedAttempt{f, a.target}
 			}
 		}
-		if len(found) == len(tasks) || len(r.unprovedWorkers(Target{Domain: domain}, answers, barrier)) == 0 {
+		if len(found) == len(tasks) || len(r.unverifiedWorkers(Target{Domain: domain}, answers, startCutoff)) == 0 {
 			return found, nil
 		}
 		select {
--- a/internal/node/request/resolve_test.go
+++ b/internal/node/request/resolve_test.go
@@ -23,9 +23,9 @@
 
 // lostReplyPeers has two owners. The reply of the owner "gone" to its first Run
 // call is lost, and the owner is not reachable afterwards. The owner "other"
-// proves at once that it holds every worker.
+// verifies at once that it holds every worker.
 type lostReplyPeers struct {
-	domain
+	fakeDomain
 	runCalls int
 }
 
@@ -84,11 +84,11 @@
 func TestWaitingAttemptIsDroppedWithoutItsHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h := &history{running: map[string]int{}, runs: map[string]int{}, events: map[string][]string{}, began: time.Now()}
-		net := &network{random: rand.New(rand.NewPCG(1, 1)), history: h, reliable: true}
+		h := &runHistory{runningWorkers: map[string]int{}, startCounts: map[string]int{}, events: map[string][]string{}, began: time.Now()}
+		net := &fakeNetwork{random: rand.New(rand.NewPCG(1, 1)), history: h, reliable: true}
 		w := &fakeWorker{network: net, name: "w", records: map[string]*worker.Record{}, changed: make(chan struct{})}
 		ctx, cancel := context.WithCancel(context.Background())
-		o := owner.New(ctx, "o", 1, owner.DefaultTiming, owner.Limits{Waiting: 10, PayloadBytes: 1 << 20}, func(vmlist.VM) worker.Peer { return link{w, "o"} }, noopObserver{}, logr.Discard())
+		o := owner.New(ctx, "o", 1, owner.DefaultTiming, owner.Limits{Waiting: 10, PayloadBytes: 1 << 20}, func(vmlist.VM) worker.Peer { return workerLink{w, "o"} }, noopObserver{}, logr.Discard())
 		x, err := plan.NewIndex(plan.Lists{
 			Customers:    plan.Customers{Customers: []plan.Customer{{Name: "c", Plans: []string{"p"}}}},
 			Entitlements: plan.Entitlements{Plans: []plan.Entitlement{{Plan: "p", PromisedShare: 1, LimitShare: 1, QueueLimit: 10, Classes: plan.Classes[:]}}},
@@ -107,7 +107,7 @@
 		s, err := o.Await(entry.AwaitArgs{Epoch: o.Epoch(), Attempt: "waiting/1"})
 		is.NoErr(err)
 		is.Equal(s.State, entry.NotRun)
-		is.Equal(h.runs["waiting"], 0)
+		is.Equal(h.startCounts["waiting"], 0)
 		cancel()
 		time.Sleep(time.Minute)
 	})
--- a/internal/node/request/route.go
+++ b/internal/node/request/route.go
@@ -7,12 +7,13 @@
 	"github.com/almondpost/almondpost/internal/state/plan"
 )
 
-// TwoChoices is a Router. While the workers of its own entry VM have free
+// TwoChoices is a Router. While the workers of the local entry VM have free
 // capacity and no queue, it keeps tasks there, since the load balancer already
 // spreads the callers and each hop costs control traffic. Otherwise it chooses
-// the less loaded of two random owners of its own failure domain. It chooses an
-// owner of another failure domain when its own has no owner left to try, or has
-// a queue while the other has free capacity.
+// the less loaded of two random owners in the local failure domain. It chooses an
+// owner in another failure domain when the local domain has no owner left to try,
+// or when the chosen local owner has a queue and no free capacity while the
+// remote owner has free capacity and no queue.
 type TwoChoices struct {
 	mutex  sync.Mutex
 	random *rand.Rand
@@ -26,37 +27,39 @@
 	return &TwoChoices{random: random, name: name, domain: domain}
 }
 
-// minLocalFree is the free fraction of the workers of the own entry VM above
-// which tasks stay there.
-const minLocalFree = 0.25
+// minLocalFreeFraction is a fraction of capacity. While more than this fraction
+// of the local workers' capacity is free and no attempt waits for it, tasks stay
+// on the local entry VM.
+const minLocalFreeFraction = 0.25
 
-// minRemoteFree is the free fraction that an owner in another failure domain
-// must advertise to get tasks while the own domain has a queue.
-const minRemoteFree = 0.2
+// minRemoteFreeFraction is a fraction of capacity. While the local failure domain
+// has a queue, an owner in another domain gets tasks only if it advertises more
+// free capacity than this.
+const minRemoteFreeFraction = 0.2
 
 // Route implements Router.
 func (c *TwoChoices) Route(targets []Target, _ plan.Class, tried map[string]bool) (Target, bool) {
-	var own, other []Target
+	var localTargets, remoteTargets []Target
 	for _, t := range targets {
 		switch {
 		case !t.Usable || tried[t.Name]:
-		case t.Name == c.name && t.FreeFraction > minLocalFree && t.Waiting == 0:
+		case t.Name == c.name && t.FreeFraction > minLocalFreeFraction && t.Waiting == 0:
 			return t, true
 		case t.Domain == c.domain:
-			own = append(own, t)
+			localTargets = append(localTargets, t)
 		default:
-			other = append(other, t)
+			remoteTargets = append(remoteTargets, t)
 		}
 	}
-	best, ok := c.pickLessLoaded(own)
+	best, ok := c.pickLessLoaded(localTargets)
 	if ok && (best.Waiting == 0 || best.FreeFraction > 0) {
 		return best, true
 	}
-	remote, found := c.pickLessLoaded(other)
+	remote, found := c.pickLessLoaded(remoteTargets)
 	switch {
 	case !ok:
 		return remote, found
-	case found && remote.FreeFraction > minRemoteFree && remote.Waiting == 0:
+	case found && remote.FreeFraction > minRemoteFreeFraction && remote.Waiting == 0:
 		return remote, true
 	}
 	return best, true
--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -21,8 +21,8 @@
 	Name   string
 	Epoch  uint64
 	Domain string
-	// FreeFraction is the free fraction, 0 to 1, of the scarcest resource over all its
-	// workers.
+	// FreeFraction is the free fraction, from 0 to 1, of the scarcest resource,
+	// summed over all its workers.
 	FreeFraction float64
 	// Waiting is the number of attempts in its queues.
 	Waiting int
@@ -36,12 +36,12 @@
 // VM.
 type Peers interface {
 	// Targets returns every known entry VM that may own workers, including the
-	// own one.
+	// local one.
 	Targets() []Target
 	// Workers returns the names of all workers of a failure domain in the VM
 	// list of the platform.
 	Workers(domain string) []string
-	// Run, Await and Resolve return errors with a kind of package entry.
+	// Run, Await and Resolve return errors whose kind is an entry.Kind.
 	Run(ctx context.Context, t Target, a entry.RunArgs) (entry.Status, error)
 	Await(ctx context.Context, t Target, a entry.AwaitArgs) (entry.Status, error)
 	Resolve(ctx context.Context, t Target, a entry.ResolveArgs) (entry.ResolveReply, error)
@@ -71,25 +71,26 @@
 // DefaultTiming is for entry VMs on the same site.
 var DefaultTiming = Timing{PollWait: 10 * time.Second, RetryPause: 200 * time.Millisecond, ClockMargin: 500 * time.Millisecond}
 
-// maxOffers is the number of owners that a task is offered to before it is
-// given back as not run.
-const maxOffers = 4
+// maxOffersPerTask is the number of owners that may refuse a task before it ends
+// as not run.
+const maxOffersPerTask = 4
 
 // Runner runs tasks on behalf of callers.
 type Runner struct {
-	peers  Peers
-	router Router
-	budget *retry.Budget
-	timing Timing
-	log    logr.Logger
+	peers       Peers
+	router      Router
+	retryBudget *retry.Budget
+	timing      Timing
+	log         logr.Logger
 }
 
 // New returns a Runner. The budget limits retries to a fraction of the tasks.
 func New(p Peers, r Router, b *retry.Budget, t Timing, log logr.Logger) *Runner {
-	return &Runner{peers: p, router: r, budget: b, timing: t, log: log}
+	return &Runner{peers: p, router: r, retryBudget: b, timing: t, log: log}
 }
 
-// Work is one task of a request or job, as its holder runs it.
+// Work is one task of a request or job, with the information that its holder
+// needs to run it.
 type Work struct {
 	// ID is unique over all tasks. The ID of an attempt is this ID and a
 	// number.
@@ -103,7 +104,7 @@
 	Domain string
 	// FirstAttempt is the number of the first attempt; 0 means 1.
 	FirstAttempt int
-	// Generation is that of the holder of a job; it is 0 for requests.
+	// Generation is the generation of the job's holder; it is 0 for requests.
 	Generation int
 	// Permit reports whether the holder may still start the task; nil means
 	// always. It is called before the task is offered to an owner and while an
@@ -114,11 +115,11 @@
 	Abandoned <-chan struct{}
 	// resumed is true once an attempt ran and was stopped or failed.
 	resumed bool
-	// ExistingAttempt is an attempt that exists already: one that a former holder left
-	// behind or that Commit has started. It is followed to its end before a new
-	// attempt is made.
+	// ExistingAttempt is an attempt that was made before Run is called: by a
+	// former holder or by Commit. Run waits for its end before it makes a new
+	// attempt.
 	ExistingAttempt entry.FoundAttempt
-	// ExistingAttemptOwner is the owner of Known.
+	// ExistingAttemptOwner is the owner of ExistingAttempt.
 	ExistingAttemptOwner Target
 }
 
@@ -143,28 +144,28 @@
 	return fmt.Sprintf("%s/%d.%d", w.ID, w.Generation, n)
 }
 
-// maxAttempts is how many attempts of a task may fail before the task has
-// failed.
-const maxAttempts = 4
+// maxFailedAttempts is the number of failed attempts after which a task is not
+// retried.
+const maxFailedAttempts = 4
 
 // AttemptID returns the ID of attempt number n of a task of a request.
 func AttemptID(task string, n int) string { return fmt.Sprintf("%s/%d", task, n) }
 
 // Run runs a task and returns its outcome. If ctx ends first, the task is
 // cancelled. At most one attempt exists at a time: the next one is made only
-// when the last one has ended or is proved never to start.
+// when the last one has ended or can certainly not start any more.
 func (r *Runner) Run(ctx context.Context, w Work) Outcome {
-	r.budget.RecordFirstAttempt()
+	r.retryBudget.RecordFirstAttempt()
 	out := Outcome{ID: w.ID}
 	failures := 0
-	n := max(1, w.FirstAttempt)
+	nextAttempt := max(1, w.FirstAttempt)
 	for {
 		var status entry.Status
 		if w.ExistingAttempt.Attempt != "" {
 			status = r.followAttempt(ctx, w, w.ExistingAttemptOwner, w.ExistingAttempt.Attempt, w.ExistingAttempt.Status, time.Now())
 			w.ExistingAttempt = entry.FoundAttempt{}
 		} else {
-			status = r.tryOwners(ctx, w, &n)
+			status = r.tryOwners(ctx, w, &nextAttempt)
 		}
 		if status.State != entry.NotRun {
 			out.Attempts++
@@ -177,7 +178,7 @@
 		if out.Attempts > 0 && out.State == NotRun {
 			out.State, out.Reason = MayHaveRun, entry.ReasonInterrupted
 		}
-		out.NextAttempt = n
+		out.NextAttempt = nextAttempt
 		return out
 	}
 }
@@ -191,10 +192,10 @@
 	}
 	switch s.State {
 	case entry.Stopped:
-		return s.Reason == entry.ReasonPreempted || s.Reason != entry.ReasonCancelled && r.budget.TakeRetry()
+		return s.Reason == entry.ReasonPreempted || s.Reason != entry.ReasonCancelled && r.retryBudget.TakeRetry()
 	case entry.Failed:
 		*failures++
-		return *failures < maxAttempts && r.budget.TakeRetry()
+		return *failures < maxFailedAttempts && r.retryBudget.TakeRetry()
 	}
 	return false
 }
@@ -226,35 +227,35 @@
 	out.WaitedMilliseconds = s.Waited.Milliseconds()
 }
 
-// tryOwners offers the task to one owner after another until one accepts it,
-// and follows the attempt to its end. Each offer is an attempt with its own
-// number, taken from n. It returns the last status when no owner accepts the
-// task.
-func (r *Runner) tryOwners(ctx context.Context, w Work, n *int) entry.Status {
+// tryOwners offers the task to one owner after another until one accepts it, and
+// follows the attempt to its end. Each offer is an attempt of its own, numbered
+// by nextAttempt. If no owner accepts the task, tryOwners returns the status of
+// the last refusal.
+func (r *Runner) tryOwners(ctx context.Context, w Work, nextAttempt *int) entry.Status {
 	tried := map[string]bool{}
-	last := entry.Status{State: entry.NotRun, Reason: reasonNoOwner, RetryAfter: time.Second}
-	for offers := 0; offers < maxOffers && ctx.Err() == nil && !w.isAbandoned(); offers++ {
+	lastRefusal := entry.Status{State: entry.NotRun, Reason: reasonNoOwner, RetryAfter: time.Second}
+	for offers := 0; offers < maxOffersPerTask && ctx.Err() == nil && !w.isAbandoned(); offers++ {
 		if !w.isPermitted() {
 			return entry.Status{State: entry.NotRun, Reason: reasonNotPermitted, RetryAfter: time.Second}
 		}
 		target, ok := r.router.Route(r.eligibleTargets(w), w.Spec.Class, tried)
 		if !ok {
-			return last
+			return lastRefusal
 		}
 		tried[target.Name] = true
-		attempt := w.attemptID(*n)
-		*n++
+		attempt := w.attemptID(*nextAttempt)
+		*nextAttempt++
 		remaining, ok := w.remainingTime(time.Now())
 		if !ok {
-			return entry.Status{State: entry.NotRun, Reason: reasonDeadline}
+			return entry.Status{State: entry.NotRun, Reason: reasonDeadlinePassed}
 		}
-		status := r.offer(ctx, w, target, w.newTask(attempt, remaining))
+		status := r.offerAttempt(ctx, w, target, w.newTask(attempt, remaining))
 		if status.State != entry.NotRun || isFinalRefusal(status.Reason) {
 			return status
 		}
-		last = status
+		lastRefusal = status
 	}
-	return last
+	return lastRefusal
 }
 
 // eligibleTargets returns the owners that the task may be offered to.
@@ -270,8 +271,8 @@
 const (
 	// reasonNoOwner means that there was no usable owner to offer the task to.
 	reasonNoOwner = "no_owner"
-	// reasonDeadline means that the deadline passed before the task was offered.
-	reasonDeadline = string(allocator.KindDeadlineOver)
+	// reasonDeadlinePassed means that the deadline passed before the task was offered.
+	reasonDeadlinePassed = string(allocator.KindDeadlineOver)
 	// reasonNotPermitted means that Permit did not let the holder start the task.
 	reasonNotPermitted = "holder_not_confirmed"
 	// reasonAbandoned means that another holder has taken the task over.
@@ -301,8 +302,8 @@
 	return reason == string(allocator.KindShed) || IsPermanent(reason)
 }
 
-// remainingTime returns the time to the deadline, zero without one, and whether
-// the deadline is still ahead.
+// remainingTime returns the time until the deadline, or zero when there is no
+// deadline. It returns false when the deadline has passed.
 func (w Work) remainingTime(now time.Time) (time.Duration, bool) {
 	if w.Spec.DeadlineMilliseconds == 0 {
 		return 0, true
@@ -323,9 +324,9 @@
 	}
 }
 
-// offer sends an attempt to one owner and follows it to its end. If the owner
-// did not receive the call or refused its epoch, the attempt is not run.
-func (r *Runner) offer(ctx context.Context, w Work, t Target, task entry.Task) entry.Status {
+// offerAttempt sends an attempt to one owner and follows it to its end. If the
+// owner did not receive the call or refused its epoch, the attempt is not run.
+func (r *Runner) offerAttempt(ctx context.Context, w Work, t Target, task entry.Task) entry.Status {
 	lastCall := time.Now()
 	callContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.timing.PollWait+entry.CallTimeout)
 	defer cancel()
@@ -351,9 +352,9 @@
 }
 
 // followAttempt polls the owner of an attempt until the attempt has ended, and
-// returns the final status. If the owner does not answer or has lost the
-// worker, the attempt is resolved with the other owners. lastCall is when the
-// last call about the attempt was sent to its owner.
+// returns the final status. If the owner does not answer or has lost the worker,
+// resolveAttempt finds the outcome. lastCall is when the last call about the
+// attempt was sent to its owner or, if that call failed, when it failed.
 func (r *Runner) followAttempt(ctx context.Context, w Work, t Target, attempt string, status entry.Status, lastCall time.Time) entry.Status {
 	for {
 		switch {
--- a/internal/node/request/runner_test.go
+++ b/internal/node/request/runner_test.go
@@ -31,10 +31,10 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 300) }
 
-// capacity is that of each worker; unit is the size of each task.
+// capacity is the capacity of each worker; taskSize is the size of each task.
 var (
 	capacity = resource.Vector{Milliprocessors: 2000, MemoryMebibytes: 2048, Slots: 2, Connections: 64}
-	unit     = resource.Vector{Milliprocessors: 1000, MemoryMebibytes: 1024, Slots: 1, Connections: 1}
+	taskSize = resource.Vector{Milliprocessors: 1000, MemoryMebibytes: 1024, Slots: 1, Connections: 1}
 )
 
 var errLost = errors.New("lost")
@@ -43,7 +43,7 @@
 // docs/design/worker_protocol.md. Owners call it through a network that loses
 // and delays calls, so that repeated and late calls arrive as well.
 type fakeWorker struct {
-	network *network
+	network *fakeNetwork
 	name    string
 	// muted workers receive every call, but their replies are lost.
 	muted bool
@@ -57,14 +57,14 @@
 	changed  chan struct{}
 }
 
-// history records what the workers ran, so that a test can check it without
+// runHistory records what the workers ran, so that a test can check it without
 // relying on the owners.
-type history struct {
+type runHistory struct {
 	mutex sync.Mutex
-	// running counts the workers that run a task now.
-	running map[string]int
-	// runs counts how often a task was started.
-	runs map[string]int
+	// runningWorkers maps each task to the number of workers that run it now.
+	runningWorkers map[string]int
+	// startCounts maps each task to the number of its starts.
+	startCounts map[string]int
 	// violations are the broken rules, each with the events of its task.
 	violations []string
 	// events are the events of each task, for the report of a failure.
@@ -73,37 +73,38 @@
 }
 
 // recordEvent adds an event of an attempt to the events of its task.
-func (h *history) recordEvent(attempt, format string, args ...any) {
+func (h *runHistory) recordEvent(attempt, format string, args ...any) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.recordEventLocked(attempt, format, args...)
 }
 
 // recordEventLocked is recordEvent for a caller that holds the lock.
-func (h *history) recordEventLocked(attempt, format string, args ...any) {
+func (h *runHistory) recordEventLocked(attempt, format string, args ...any) {
 	name := taskOf(attempt)
 	h.events[name] = append(h.events[name], fmt.Sprintf("%s %s: ", time.Since(h.began), attempt)+fmt.Sprintf(format, args...))
 }
 
 // addViolation records a broken rule together with the events of the task.
-func (h *history) addViolation(name, format string, args ...any) {
+func (h *runHistory) addViolation(name, format string, args ...any) {
 	h.violations = append(h.violations, fmt.Sprintf(format, args...)+"\n\t"+strings.Join(h.events[name], "\n\t"))
 }
 
-// network chooses at random, from a seed, which calls and replies are lost and
-// how long calls are delayed.
-type network struct {
+// fakeNetwork chooses at random, from a seed, which calls and replies are lost
+// and how long calls are delayed.
+type fakeNetwork struct {
 	mutex  sync.Mutex
 	random *rand.Rand
-	// loss is the probability that a call or a reply is lost.
-	loss    float64
-	history *history
+	// lossProbability is the probability that a call or a reply is lost.
+	lossProbability float64
+	history         *runHistory
 	// reliable networks lose nothing and delay calls only briefly.
 	reliable bool
 }
 
-// drawFaults draws the faults of one call.
-func (n *network) drawFaults() (requestLost, replyLost bool, delay time.Duration) {
+// drawFaults chooses at random whether one call or its reply is lost and how long
+// the call is delayed.
+func (n *fakeNetwork) drawFaults() (requestLost, replyLost bool, delay time.Duration) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	delay = time.Duration(n.random.IntN(20)) * time.Millisecond
@@ -113,18 +114,19 @@
 	if n.random.IntN(20) == 0 {
 		delay += time.Duration(n.random.IntN(6000)) * time.Millisecond
 	}
-	return n.random.Float64() < n.loss, n.random.Float64() < n.loss, delay
+	return n.random.Float64() < n.lossProbability, n.random.Float64() < n.lossProbability, delay
 }
 
-// link is the connection of one owner to one worker. It implements worker.Peer.
-type link struct {
+// workerLink is the connection of one owner to one worker. It implements
+// worker.Peer.
+type workerLink struct {
 	worker *fakeWorker
 	owner  string
 }
 
 // callWorker makes one call to a worker over the faulty network. A lost call or
 // reply is an error of the kind worker.KindUnreachable.
-func callWorker[Q, A any](ctx context.Context, l link, q Q, f func(context.Context, Q) (A, error)) (A, error) {
+func callWorker[Q, A any](ctx context.Context, l workerLink, q Q, f func(context.Context, Q) (A, error)) (A, error) {
 	var none A
 	requestLost, replyLost, delay := l.worker.network.drawFaults()
 	timeout := 3 * time.Second
@@ -160,19 +162,19 @@
 	return reply, err
 }
 
-func (l link) Adopt(ctx context.Context, q worker.AdoptRequest) (worker.AdoptReply, error) {
+func (l workerLink) Adopt(ctx context.Context, q worker.AdoptRequest) (worker.AdoptReply, error) {
 	return callWorker(ctx, l, q, l.worker.adopt)
 }
 
-func (l link) Start(ctx context.Context, q worker.StartRequest) (worker.Record, error) {
+func (l workerLink) Start(ctx context.Context, q worker.StartRequest) (worker.Record, error) {
 	return callWorker(ctx, l, q, l.worker.start)
 }
 
-func (l link) Sync(ctx context.Context, q worker.SyncRequest) (worker.SyncReply, error) {
+func (l workerLink) Sync(ctx context.Context, q worker.SyncRequest) (worker.SyncReply, error) {
 	return callWorker(ctx, l, q, l.worker.sync)
 }
 
-func (l link) Stop(ctx context.Context, q worker.StopRequest) (worker.StopReply, error) {
+func (l workerLink) Stop(ctx context.Context, q worker.StopRequest) (worker.StopReply, error) {
 	return callWorker(ctx, l, q, l.worker.stop)
 }
 
@@ -184,16 +186,16 @@
 	h.mutex.Lock()
 	h.recordEventLocked(r.Attempt.ID, "%s on %s (token %v) %s", p, w.name, w.token, reason)
 	if p == worker.Running {
-		h.running[task]++
-		h.runs[task]++
-		if h.running[task] > 1 {
+		h.runningWorkers[task]++
+		h.startCounts[task]++
+		if h.runningWorkers[task] > 1 {
 			h.addViolation(task, "task %s runs in two places", task)
 		}
-		if !r.Attempt.Repeatable && h.runs[task] > 1 {
+		if !r.Attempt.Repeatable && h.startCounts[task] > 1 {
 			h.addViolation(task, "task %s is not repeatable, but ran twice", task)
 		}
 	} else if r.Phase == worker.Running {
-		h.running[task]--
+		h.runningWorkers[task]--
 		w.used = w.used.Sub(r.Attempt.Size)
 	}
 	h.mutex.Unlock()
@@ -352,15 +354,15 @@
 	return worker.StopReply{Record: *r}, nil
 }
 
-// domain is one failure domain with owners and fake workers. It implements
+// fakeDomain is one failure domain with owners and fake workers. It implements
 // request.Peers.
-type domain struct {
-	network      *network
+type fakeDomain struct {
+	network      *fakeNetwork
 	workers      []*fakeWorker
 	mutex        sync.Mutex
 	owners       map[string]*owner.Owner
 	incarnations map[string]uint64
-	cancels      map[string]context.CancelFunc
+	stopFuncs    map[string]context.CancelFunc
 	// unreachable owners run, but calls of holders do not reach them.
 	unreachable     map[string]bool
 	lastIncarnation uint64
@@ -371,7 +373,7 @@
 func (noopObserver) Started(entry.Task, time.Duration) {}
 
 // vms returns the workers as a VM list.
-func (d *domain) vms() []vmlist.VM {
+func (d *fakeDomain) vms() []vmlist.VM {
 	var out []vmlist.VM
 	for _, w := range d.workers {
 		out = append(out, vmlist.VM{Name: w.name, Role: vmlist.Worker, Domain: "d"})
@@ -380,7 +382,7 @@
 }
 
 // startOwner starts an owner with a new incarnation and the given plans.
-func (d *domain) startOwner(ctx context.Context, name string, x *plan.Index) {
+func (d *fakeDomain) startOwner(ctx context.Context, name string, x *plan.Index) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.lastIncarnation++
@@ -388,29 +390,29 @@
 	dial := func(v vmlist.VM) worker.Peer {
 		for _, w := range d.workers {
 			if w.name == v.Name {
-				return link{w, name}
+				return workerLink{w, name}
 			}
 		}
 		return nil
 	}
 	o := owner.New(ctx, name, d.lastIncarnation, owner.DefaultTiming, owner.Limits{Waiting: 1000, PayloadBytes: 1 << 20}, dial, noopObserver{}, logr.Discard())
 	o.SetPlans(x)
-	d.owners[name], d.incarnations[name], d.cancels[name] = o, d.lastIncarnation, cancel
+	d.owners[name], d.incarnations[name], d.stopFuncs[name] = o, d.lastIncarnation, cancel
 }
 
-// kill stops an owner for good.
-func (d *domain) kill(name string) {
+// killOwner stops an owner and removes it from the domain.
+func (d *fakeDomain) killOwner(name string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.cancels[name]()
+	d.stopFuncs[name]()
 	delete(d.owners, name)
 	delete(d.incarnations, name)
 }
 
-// assign assigns every worker to one random owner. If contested is set, it
+// assignWorkers assigns every worker to one random owner. If contested is set, it
 // assigns some workers to two owners at once, as happens when the entry VMs
 // disagree on the membership.
-func (d *domain) assign(random *rand.Rand, contested bool) {
+func (d *fakeDomain) assignWorkers(random *rand.Rand, contested bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	names := make([]string, 0, len(d.owners))
@@ -437,7 +439,7 @@
 
 // setUnreachable cuts an owner off from the holders or connects it again. A
 // cut-off owner keeps its workers until other owners adopt them.
-func (d *domain) setUnreachable(name string, unreachable bool) {
+func (d *fakeDomain) setUnreachable(name string, unreachable bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.unreachable[name] = unreachable
@@ -449,7 +451,7 @@
 	w.muted = muted
 }
 
-func (d *domain) Targets() []request.Target {
+func (d *fakeDomain) Targets() []request.Target {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var out []request.Target
@@ -468,7 +470,7 @@
 	return out
 }
 
-func (d *domain) Workers(string) []string {
+func (d *fakeDomain) Workers(string) []string {
 	var out []string
 	for _, v := range d.vms() {
 		out = append(out, v.Name)
@@ -478,7 +480,7 @@
 
 // callOwner makes one call to an owner over the faulty network. If the owner is
 // gone when the reply is due, the reply is lost.
-func callOwner[A any](ctx context.Context, d *domain, t request.Target, method string, f func(o *owner.Owner) (A, error)) (A, error) {
+func callOwner[A any](ctx context.Context, d *fakeDomain, t request.Target, method string, f func(o *owner.Owner) (A, error)) (A, error) {
 	var none A
 	requestLost, replyLost, delay := d.network.drawFaults()
 	time.Sleep(min(delay, time.Second))
@@ -502,19 +504,19 @@
 	return reply, err
 }
 
-func (d *domain) Run(ctx context.Context, t request.Target, a entry.RunArgs) (entry.Status, error) {
+func (d *fakeDomain) Run(ctx context.Context, t request.Target, a entry.RunArgs) (entry.Status, error) {
 	s, err := callOwner(ctx, d, t, "Run", func(o *owner.Owner) (entry.Status, error) { return o.Run(a) })
 	d.network.history.recordEvent(a.Task.Attempt, "Run at %s epoch %d: %s %s %v", t.Name, a.Epoch, s.State, s.Reason, err)
 	return s, err
 }
 
-func (d *domain) Await(ctx context.Context, t request.Target, a entry.AwaitArgs) (entry.Status, error) {
+func (d *fakeDomain) Await(ctx context.Context, t request.Target, a entry.AwaitArgs) (entry.Status, error) {
 	s, err := callOwner(ctx, d, t, "Await", func(o *owner.Owner) (entry.Status, error) { return o.Await(a) })
 	d.network.history.recordEvent(a.Attempt, "Await at %s epoch %d: %s %s %v", t.Name, a.Epoch, s.State, s.Reason, err)
 	return s, err
 }
 
-func (d *domain) Resolve(ctx context.Context, t request.Target, a entry.ResolveArgs) (entry.ResolveReply, error) {
+func (d *fakeDomain) Resolve(ctx context.Context, t request.Target, a entry.ResolveArgs) (entry.ResolveReply, error) {
 	r, err := callOwner(ctx, d, t, "Resolve", func(o *owner.Owner) (entry.ResolveReply, error) { return o.Resolve(a) })
 	for _, id := range a.Attempts {
 		d.network.history.recordEvent(id, "Resolve at %s: %+v %v", t.Name, r, err)
@@ -522,30 +524,30 @@
 	return r, err
 }
 
-func (d *domain) Reserve(ctx context.Context, t request.Target, a entry.ReserveArgs) (entry.ReserveReply, error) {
+func (d *fakeDomain) Reserve(ctx context.Context, t request.Target, a entry.ReserveArgs) (entry.ReserveReply, error) {
 	return callOwner(ctx, d, t, "Reserve", func(o *owner.Owner) (entry.ReserveReply, error) { return o.Reserve(a) })
 }
 
-func (d *domain) Cancel(ctx context.Context, t request.Target, a entry.CancelArgs) error {
+func (d *fakeDomain) Cancel(ctx context.Context, t request.Target, a entry.CancelArgs) error {
 	_, err := callOwner(ctx, d, t, "Cancel", func(o *owner.Owner) (struct{}, error) { return struct{}{}, o.Cancel(a) })
 	return err
 }
 
-// schedule holds the parameters of one random run. They are drawn before the
-// synctest bubble starts.
-type schedule struct {
+// faultSchedule holds the parameters of one random test run. They are drawn
+// before the synctest bubble starts.
+type faultSchedule struct {
 	seed uint64
-	// loss is the probability that a call or a reply is lost.
-	loss  float64
-	tasks int
-	// kills counts the times that an owner is killed.
-	kills int
-	// cuts counts the times that an owner is cut off from the holders.
-	cuts int
-	// mutes counts the times that a worker is muted.
-	mutes int
-	// contest makes two owners claim some workers at the same time.
-	contest bool
+	// lossProbability is the probability that a call or a reply is lost.
+	lossProbability float64
+	tasks           int
+	// ownerKills is how often an owner is killed.
+	ownerKills int
+	// ownerCuts is how often an owner is cut off from the holders.
+	ownerCuts int
+	// workerMutes is how often a worker is muted.
+	workerMutes int
+	// contestWorkers makes two owners claim some workers at the same time.
+	contestWorkers bool
 }
 
 // TestAttemptsUnderFaults runs tasks over a network that loses and delays
@@ -555,14 +557,14 @@
 // exceeds its capacity. A task reported as not run must not have run.
 func TestAttemptsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := schedule{
-			seed:    rapid.Uint64().Draw(rt, "seed"),
-			loss:    rapid.Float64Range(0, 0.2).Draw(rt, "loss"),
-			tasks:   rapid.IntRange(1, 30).Draw(rt, "tasks"),
-			kills:   rapid.IntRange(0, 3).Draw(rt, "kills"),
-			cuts:    rapid.IntRange(0, 2).Draw(rt, "cuts"),
-			mutes:   rapid.IntRange(0, 1).Draw(rt, "mutes"),
-			contest: rapid.Bool().Draw(rt, "contest"),
+		s := faultSchedule{
+			seed:            rapid.Uint64().Draw(rt, "seed"),
+			lossProbability: rapid.Float64Range(0, 0.2).Draw(rt, "loss"),
+			tasks:           rapid.IntRange(1, 30).Draw(rt, "tasks"),
+			ownerKills:      rapid.IntRange(0, 3).Draw(rt, "kills"),
+			ownerCuts:       rapid.IntRange(0, 2).Draw(rt, "cuts"),
+			workerMutes:     rapid.IntRange(0, 1).Draw(rt, "mutes"),
+			contestWorkers:  rapid.Bool().Draw(rt, "contest"),
 		}
 		var faults []string
 		synctest.Test(t, func(t *testing.T) { faults = s.run(t) })
@@ -578,9 +580,9 @@
 func TestSchedulesThatFailed(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		schedule schedule
+		schedule faultSchedule
 	}{
-		{"late refusal of a start hides a running attempt", schedule{seed: 1, loss: 0.2, tasks: 23, kills: 2, contest: true}},
+		{"late refusal of a start hides a running attempt", faultSchedule{seed: 1, lossProbability: 0.2, tasks: 23, ownerKills: 2, contestWorkers: true}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -596,11 +598,11 @@
 }
 
 // run runs the tasks of a schedule with its faults and returns the violations.
-func (s schedule) run(t *testing.T) []string {
+func (s faultSchedule) run(t *testing.T) []string {
 	random := rand.New(rand.NewPCG(s.seed, 1))
-	h := &history{running: map[string]int{}, runs: map[string]int{}, events: map[string][]string{}, began: time.Now()}
-	net := &network{random: rand.New(rand.NewPCG(s.seed, 2)), loss: s.loss, history: h}
-	d := &domain{network: net, owners: map[string]*owner.Owner{}, incarnations: map[string]uint64{}, cancels: map[string]context.CancelFunc{}, unreachable: map[string]bool{}}
+	h := &runHistory{runningWorkers: map[string]int{}, startCounts: map[string]int{}, events: map[string][]string{}, began: time.Now()}
+	net := &fakeNetwork{random: rand.New(rand.NewPCG(s.seed, 2)), lossProbability: s.lossProbability, history: h}
+	d := &fakeDomain{network: net, owners: map[string]*owner.Owner{}, incarnations: map[string]uint64{}, stopFuncs: map[string]context.CancelFunc{}, unreachable: map[string]bool{}}
 	for i := range 4 {
 		d.workers = append(d.workers, &fakeWorker{network: net, name: fmt.Sprintf("w%d", i), records: map[string]*worker.Record{}, changed: make(chan struct{})})
 	}
@@ -615,7 +617,7 @@
 	for i := range 3 {
 		d.startOwner(ctx, fmt.Sprintf("o%d", i), x)
 	}
-	d.assign(random, false)
+	d.assignWorkers(random, false)
 	time.Sleep(time.Second)
 	runner := request.New(d, request.NewTwoChoices("o0", "d", rand.New(rand.NewPCG(s.seed, 3))), retry.New(0.5, 100), request.DefaultTiming, logr.Discard())
 	outcomes := make([]request.Outcome, s.tasks)
@@ -624,35 +626,35 @@
 	for i := range s.tasks {
 		repeatable[i] = random.IntN(2) == 0
 		work := request.Work{ID: fmt.Sprintf("t%d", i), Submitted: time.Now(), Spec: request.Spec{
-			Plan: "p", Class: plan.Normal, Size: unit, Repeatable: repeatable[i], RunTimeMilliseconds: s.drawRunTime(random),
+			Plan: "p", Class: plan.Normal, Size: taskSize, Repeatable: repeatable[i], RunTimeMilliseconds: s.drawRunTime(random),
 		}}
 		group.Go(func() { outcomes[i] = runner.Run(ctx, work) })
 		time.Sleep(time.Duration(random.IntN(300)) * time.Millisecond)
 	}
-	for i := range s.kills {
+	for i := range s.ownerKills {
 		time.Sleep(time.Duration(random.IntN(4000)) * time.Millisecond)
 		name := fmt.Sprintf("o%d", random.IntN(3))
 		if len(d.owners) > 1 && d.owners[name] != nil {
-			d.kill(name)
+			d.killOwner(name)
 		}
-		d.assign(random, s.contest)
+		d.assignWorkers(random, s.contestWorkers)
 		if i%2 == 1 && d.owners[name] == nil {
 			d.startOwner(ctx, name, x)
-			d.assign(random, s.contest)
+			d.assignWorkers(random, s.contestWorkers)
 		}
 	}
-	for range s.cuts {
+	for range s.ownerCuts {
 		name := fmt.Sprintf("o%d", random.IntN(3))
 		if d.owners[name] == nil || len(d.owners) < 2 {
 			continue
 		}
 		d.setUnreachable(name, true)
-		d.assign(random, s.contest)
+		d.assignWorkers(random, s.contestWorkers)
 		time.Sleep(time.Duration(random.IntN(12_000)) * time.Millisecond)
 		d.setUnreachable(name, false)
-		d.assign(random, s.contest)
+		d.assignWorkers(random, s.contestWorkers)
 	}
-	for range s.mutes {
+	for range s.workerMutes {
 		w := d.workers[random.IntN(len(d.workers))]
 		w.setMuted(true)
 		time.Sleep(time.Duration(20_000+random.IntN(40_000)) * time.Millisecond)
@@ -661,7 +663,7 @@
 	net.mutex.Lock()
 	net.reliable = true
 	net.mutex.Unlock()
-	d.assign(random, false)
+	d.assignWorkers(random, false)
 	group.Wait()
 	cancel()
 	time.Sleep(time.Minute)
@@ -670,8 +672,8 @@
 
 // drawRunTime draws a run time in milliseconds. With muted workers some tasks
 // run longer than a lease.
-func (s schedule) drawRunTime(random *rand.Rand) int64 {
-	if s.mutes > 0 && random.IntN(3) == 0 {
+func (s faultSchedule) drawRunTime(random *rand.Rand) int64 {
+	if s.workerMutes > 0 && random.IntN(3) == 0 {
 		return int64(30_000 + random.IntN(60_000))
 	}
 	return int64(random.IntN(8000))
@@ -679,7 +681,7 @@
 
 // checkOutcomes compares the outcomes with the history and returns all
 // violations.
-func (s schedule) checkOutcomes(h *history, outcomes []request.Outcome) []string {
+func (s faultSchedule) checkOutcomes(h *runHistory, outcomes []request.Outcome) []string {
 	for i, o := range outcomes {
 		name := fmt.Sprintf("t%d", i)
 		switch {
@@ -687,7 +689,7 @@
 			h.addViolation(name, "task %s has no outcome", name)
 		case o.State == request.Done && (!o.IsAnswerIntact() || string(o.Answer) != name):
 			h.addViolation(name, "task %s got the answer %q", name, o.Answer)
-		case o.State == request.NotRun && h.runs[name] > 0:
+		case o.State == request.NotRun && h.startCounts[name] > 0:
 			h.addViolation(name, "task %s was reported as not run (%s), but ran", name, o.Reason)
 		}
 	}
@@ -712,7 +714,7 @@
 
 // scriptedPeers has one owner, which returns the given statuses in turn.
 type scriptedPeers struct {
-	domain
+	fakeDomain
 	statuses []entry.Status
 	lastTask entry.Task
 }
--- a/internal/operate/deployment/deployment.go
+++ b/internal/operate/deployment/deployment.go
@@ -29,9 +29,10 @@
 	Name string `json:"name"`
 	// Domains names the failure domains. Entry VMs and racks are distributed over
 	// them round-robin.
-	Domains  []string `json:"domains"`
-	EntryVMs int      `json:"entry_vms"`
-	Pools    []Pool   `json:"pools"`
+	Domains []string `json:"domains"`
+	// EntryVMs is the number of entry VMs.
+	EntryVMs int    `json:"entry_vms"`
+	Pools    []Pool `json:"pools"`
 	// Lists holds the customers and plans, which have files of their own.
 	Lists plan.Lists `json:"-"`
 }
@@ -55,13 +56,13 @@
 	Name, Domain string
 }
 
-// Load reads and validates the deployment in the folder name. Errors are of type
-// *Error.
+// Load reads and validates the deployment in the folder with the given name.
+// Errors are of type *Error.
 func Load(files fs.FS, name string) (Deployment, error) {
 	var d Deployment
 	for _, f := range []struct {
-		file string
-		into any
+		file   string
+		target any
 	}{
 		{"deployment.json", &d}, {"customers.json", &d.Lists.Customers}, {"entitlements.json", &d.Lists.Entitlements},
 	} {
@@ -69,7 +70,7 @@
 		if err != nil {
 			return d, fault.New("load", KindUnreadable, err)
 		}
-		if err := plan.DecodeStrict(data, f.into); err != nil {
+		if err := plan.DecodeStrict(data, f.target); err != nil {
 			return d, fault.New("load", KindInvalid, err)
 		}
 	}
--- a/internal/operate/explain/explain.go
+++ b/internal/operate/explain/explain.go
@@ -27,9 +27,9 @@
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// line is a logged event.
-type line struct {
-	at time.Time
+// logLine is a log line that contains an event.
+type logLine struct {
+	loggedAt time.Time
 	// text is the rest of the log line from "event=" on.
 	text string
 }
@@ -46,7 +46,7 @@
 // first one. It includes the contextEvents between the first and the last event of
 // the job.
 func Job(w io.Writer, id string, logs []io.Reader) error {
-	var jobLines, contextLines []line
+	var jobLines, contextLines []logLine
 	for _, l := range logs {
 		if err := readLog(l, id, &jobLines, &contextLines); err != nil {
 			return err
@@ -55,17 +55,17 @@
 	if len(jobLines) == 0 {
 		return fault.Newf("explain", KindNotFound, "no log line contains the job ID %q", id)
 	}
-	byTime := func(a, b line) int { return a.at.Compare(b.at) }
+	byTime := func(a, b logLine) int { return a.loggedAt.Compare(b.loggedAt) }
 	slices.SortStableFunc(jobLines, byTime)
-	first, last := jobLines[0].at, jobLines[len(jobLines)-1].at
+	first, last := jobLines[0].loggedAt, jobLines[len(jobLines)-1].loggedAt
 	for _, l := range contextLines {
-		if !l.at.Before(first) && !l.at.After(last) {
+		if !l.loggedAt.Before(first) && !l.loggedAt.After(last) {
 			jobLines = append(jobLines, l)
 		}
 	}
 	slices.SortStableFunc(jobLines, byTime)
 	for _, l := range jobLines {
-		if _, err := fmt.Fprintf(w, "%+8.3fs %s\n", l.at.Sub(first).Seconds(), l.text); err != nil {
+		if _, err := fmt.Fprintf(w, "%+8.3fs %s\n", l.loggedAt.Sub(first).Seconds(), l.text); err != nil {
 			return err
 		}
 	}
@@ -74,7 +74,7 @@
 
 // readLog appends the events of the job with the given ID to jobLines and the
 // contextEvents to contextLines.
-func readLog(r io.Reader, id string, jobLines, contextLines *[]line) error {
+func readLog(r io.Reader, id string, jobLines, contextLines *[]logLine) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
@@ -83,9 +83,9 @@
 		switch {
 		case !ok:
 		case strings.Contains(text, id):
-			*jobLines = append(*jobLines, line{at, event})
+			*jobLines = append(*jobLines, logLine{at, event})
 		case slices.ContainsFunc(contextEvents, func(name string) bool { return strings.HasPrefix(event, "event="+name+" ") }):
-			*contextLines = append(*contextLines, line{at, event})
+			*contextLines = append(*contextLines, logLine{at, event})
 		}
 	}
 	if err := scanner.Err(); err != nil {
--- a/internal/operate/explain/explain_test.go
+++ b/internal/operate/explain/explain_test.go
@@ -20,7 +20,7 @@
   1.2 b time=2026-02-14T03:02:34.600Z level=INFO event=job_completed vm=b job=0123
   1.2 b time=2026-02-14T03:02:34.700Z level=INFO event=job_completed vm=b job=4567`
 
-func TestJob(t *testing.T) {
+func TestJobPrintsEventsInOrder(t *testing.T) {
 	is := is.New(t)
 	var text strings.Builder
 	is.NoErr(explain.Job(&text, "0123", []io.Reader{strings.NewReader(secondLog), strings.NewReader(firstLog)}))
--- a/internal/operate/invariant/invariant.go
+++ b/internal/operate/invariant/invariant.go
@@ -10,12 +10,12 @@
 )
 
 var (
-	violations = expvar.NewMap("invariant_violations")
-	fatal      atomic.Bool
+	violations       = expvar.NewMap("invariant_violations")
+	panicOnViolation atomic.Bool
 )
 
 // SetFatal sets whether later violations panic.
-func SetFatal(on bool) { fatal.Store(on) }
+func SetFatal(on bool) { panicOnViolation.Store(on) }
 
 // Check reports a violation of the named invariant when ok is false. The message is
 // formatted only when the violation panics.
@@ -24,7 +24,7 @@
 		return
 	}
 	violations.Add(name, 1)
-	if fatal.Load() {
+	if panicOnViolation.Load() {
 		panic("invariant " + name + ": " + fmt.Sprintf(format, args...))
 	}
 }
--- a/internal/operate/logbuffer/logbuffer.go
+++ b/internal/operate/logbuffer/logbuffer.go
@@ -14,7 +14,7 @@
 	maxPendingBytes = 1 << 20
 	// flushInterval is how long lines are collected before they are written.
 	flushInterval = 20 * time.Millisecond
-	// closeTimeout is how long Close waits for the output.
+	// closeTimeout is how long Close waits for the pending lines to be written.
 	closeTimeout = 200 * time.Millisecond
 )
 
@@ -24,11 +24,12 @@
 	mutex sync.Mutex
 	// pending holds the lines that have not been written yet.
 	pending []byte
-	// dropped counts the lines dropped since the last log_lines_dropped event.
-	dropped int
-	// wake signals run that there are pending lines.
+	// droppedLines counts the lines dropped since the last log_lines_dropped
+	// event.
+	droppedLines int
+	// wake signals writeLoop that there are pending lines.
 	wake chan struct{}
-	// closing is closed by Close, done when run returns.
+	// closing is closed by Close; done is closed when writeLoop returns.
 	closing chan struct{}
 	done    chan struct{}
 }
@@ -36,7 +37,7 @@
 // New returns a buffer that writes to out in the background.
 func New(out io.Writer) *Buffer {
 	b := &Buffer{out: out, wake: make(chan struct{}, 1), closing: make(chan struct{}), done: make(chan struct{})}
-	go b.run()
+	go b.writeLoop()
 	return b
 }
 
@@ -46,7 +47,7 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if len(b.pending)+len(line) > maxPendingBytes {
-		b.dropped++
+		b.droppedLines++
 		return len(line), nil
 	}
 	b.pending = append(b.pending, line...)
@@ -64,15 +65,15 @@
 	defer b.mutex.Unlock()
 	lines := b.pending
 	b.pending = spare[:0]
-	if b.dropped > 0 {
-		lines = fmt.Appendf(lines, "time=%s level=WARN event=log_lines_dropped lines=%d\n", time.Now().UTC().Format(time.RFC3339Nano), b.dropped)
-		b.dropped = 0
+	if b.droppedLines > 0 {
+		lines = fmt.Appendf(lines, "time=%s level=WARN event=log_lines_dropped lines=%d\n", time.Now().UTC().Format(time.RFC3339Nano), b.droppedLines)
+		b.droppedLines = 0
 	}
 	return lines
 }
 
-// run writes pending lines to the output until Close.
-func (b *Buffer) run() {
+// writeLoop writes pending lines to the output until Close.
+func (b *Buffer) writeLoop() {
 	defer close(b.done)
 	var spare []byte
 	for {
@@ -86,7 +87,7 @@
 		lines := b.swapPending(spare)
 		if _, err := b.out.Write(lines); err != nil {
 			b.mutex.Lock()
-			b.dropped++
+			b.droppedLines++
 			b.mutex.Unlock()
 		}
 		spare = lines
--- a/internal/operate/measure/measure.go
+++ b/internal/operate/measure/measure.go
@@ -13,9 +13,9 @@
 
 // The histograms record times from 1 ms to 10 min with two significant digits.
 const (
-	lowestMilliseconds  = 1
-	highestMilliseconds = int64(10 * time.Minute / time.Millisecond)
-	significantDigits   = 2
+	minRecordedMilliseconds = 1
+	maxRecordedMilliseconds = int64(10 * time.Minute / time.Millisecond)
+	significantDigits       = 2
 )
 
 // Key identifies a counter or a histogram.
@@ -60,18 +60,18 @@
 	defer s.mutex.Unlock()
 	h := s.histograms[k]
 	if h == nil {
-		h = hdrhistogram.New(lowestMilliseconds, highestMilliseconds, significantDigits)
+		h = hdrhistogram.New(minRecordedMilliseconds, maxRecordedMilliseconds, significantDigits)
 		s.histograms[k] = h
 	}
-	ms := min(max(d.Milliseconds(), lowestMilliseconds), highestMilliseconds)
+	ms := min(max(d.Milliseconds(), minRecordedMilliseconds), maxRecordedMilliseconds)
 	_ = h.RecordValue(ms) // The value is within the range.
 }
 
-// quantiles lists the percentiles that Write prints for each histogram.
-var quantiles = []float64{50, 95, 99}
+// percentiles lists the percentiles that Write prints for each histogram.
+var percentiles = []float64{50, 95, 99}
 
-// Write prints one line for each counter, and for each histogram its count and its
-// quantiles.
+// Write prints one line for each counter, and for each histogram its count and
+// its percentiles.
 func (s *Set) Write(w io.Writer) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -81,7 +81,7 @@
 	}
 	for k, h := range s.histograms {
 		lines = append(lines, fmt.Sprintf("%s_count %d\n", k, h.TotalCount()))
-		for _, q := range quantiles {
+		for _, q := range percentiles {
 			lines = append(lines, fmt.Sprintf("%s_p%g_milliseconds %d\n", k, q, h.ValueAtQuantile(q)))
 		}
 	}
--- a/internal/operate/measure/measure_test.go
+++ b/internal/operate/measure/measure_test.go
@@ -10,7 +10,7 @@
 	"github.com/almondpost/almondpost/internal/operate/measure"
 )
 
-func TestWrite(t *testing.T) {
+func TestWritePrintsCountersAndPercentiles(t *testing.T) {
 	is := is.New(t)
 	s := measure.New()
 	s.Count(measure.Key{Name: "jobs_accepted", Label: "mail"})
--- a/internal/operate/metrics/metrics.go
+++ b/internal/operate/metrics/metrics.go
@@ -19,9 +19,9 @@
 
 // The histograms record waiting times from 1 ms to 1 h with two significant digits.
 const (
-	lowestMilliseconds  = 1
-	highestMilliseconds = int64(time.Hour / time.Millisecond)
-	significantDigits   = 2
+	minRecordedMilliseconds = 1
+	maxRecordedMilliseconds = int64(time.Hour / time.Millisecond)
+	significantDigits       = 2
 )
 
 // Summary contains the metrics of one group.
@@ -30,10 +30,12 @@
 	Submitted int64 `json:"submitted"`
 	Answered  int64 `json:"answered"`
 	NotRun    int64 `json:"not_run"`
-	// Other counts the requests that ended neither answered nor not run.
+	// Other counts the ended requests that are counted neither in Answered nor in
+	// NotRun.
 	Other int64 `json:"other"`
-	// Used sums over the answered requests the requested milliprocessors times the
-	// declared run time, in milliprocessor seconds.
+	// Used is the processor use of the answered requests in milliprocessor
+	// seconds: the sum of their requested milliprocessors times their declared
+	// run times.
 	Used int64 `json:"used_milliprocessor_seconds"`
 	// P50, P95 and P99 are percentiles of the waiting time.
 	P50     float64 `json:"waiting_p50_milliseconds"`
@@ -42,11 +44,11 @@
 	Started int64   `json:"started"`
 }
 
-// group holds the metrics of one Key. The mutex guards both other fields.
+// group holds the metrics of one Key. The mutex guards the other two fields.
 type group struct {
-	mutex   sync.Mutex
-	summary Summary
-	waiting *hdrhistogram.Histogram
+	mutex        sync.Mutex
+	summary      Summary
+	waitingTimes *hdrhistogram.Histogram
 }
 
 // Registry holds the metrics of one entry VM.
@@ -66,8 +68,8 @@
 	}
 }
 
-// group returns the group of a key and creates it on first use.
-func (r *Registry) group(k Key) *group {
+// getOrCreateGroup returns the group of a key and creates it on first use.
+func (r *Registry) getOrCreateGroup(k Key) *group {
 	r.mutex.RLock()
 	g := r.groups[k]
 	r.mutex.RUnlock()
@@ -77,7 +79,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if g = r.groups[k]; g == nil {
-		g = &group{summary: Summary{Key: k}, waiting: hdrhistogram.New(lowestMilliseconds, highestMilliseconds, significantDigits)}
+		g = &group{summary: Summary{Key: k}, waitingTimes: hdrhistogram.New(minRecordedMilliseconds, maxRecordedMilliseconds, significantDigits)}
 		r.groups[k] = g
 	}
 	return g
@@ -85,19 +87,19 @@
 
 // Update calls change with the counters of a group while it holds the group's lock.
 func (r *Registry) Update(k Key, change func(s *Summary)) {
-	g := r.group(k)
+	g := r.getOrCreateGroup(k)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	change(&g.summary)
 }
 
-// RecordWait records the start of a task and how long the task waited for it.
+// RecordWait records that a task has started and how long it had waited.
 func (r *Registry) RecordWait(k Key, d time.Duration) {
-	g := r.group(k)
+	g := r.getOrCreateGroup(k)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.summary.Started++
-	_ = g.waiting.RecordValue(min(max(d.Milliseconds(), 0), highestMilliseconds))
+	_ = g.waitingTimes.RecordValue(min(max(d.Milliseconds(), 0), maxRecordedMilliseconds))
 }
 
 // Summaries returns the metrics of every group.
@@ -112,9 +114,9 @@
 	for _, g := range groups {
 		g.mutex.Lock()
 		s := g.summary
-		s.P50 = float64(g.waiting.ValueAtQuantile(50))
-		s.P95 = float64(g.waiting.ValueAtQuantile(95))
-		s.P99 = float64(g.waiting.ValueAtQuantile(99))
+		s.P50 = float64(g.waitingTimes.ValueAtQuantile(50))
+		s.P95 = float64(g.waitingTimes.ValueAtQuantile(95))
+		s.P99 = float64(g.waitingTimes.ValueAtQuantile(99))
 		g.mutex.Unlock()
 		out = append(out, s)
 	}
--- a/internal/operate/report/plot.go
+++ b/internal/operate/report/plot.go
@@ -21,9 +21,9 @@
 type Error = fault.Error[Kind]
 
 const (
-	plotWidth  = 20 * vg.Centimeter
-	plotHeight = 10 * vg.Centimeter
-	barWidth   = 14 * vg.Millimeter
+	plotWidth     = 20 * vg.Centimeter
+	plotHeight    = 10 * vg.Centimeter
+	barGroupWidth = 14 * vg.Millimeter
 )
 
 // WriteSVG draws a bar chart of each plan's VM-hours: used, charged in the shared pool
@@ -45,12 +45,12 @@
 		if len(values[title]) == 0 {
 			continue
 		}
-		bars, err := plotter.NewBarChart(values[title], barWidth/3)
+		bars, err := plotter.NewBarChart(values[title], barGroupWidth/3)
 		if err != nil {
 			return fault.New("plot", KindPlot, err)
 		}
 		bars.Color = plotutil.Color(i)
-		bars.Offset = vg.Length(i-1) * barWidth / 3
+		bars.Offset = vg.Length(i-1) * barGroupWidth / 3
 		p.Add(bars)
 		p.Legend.Add(title, bars)
 	}
--- a/internal/operate/report/report.go
+++ b/internal/operate/report/report.go
@@ -17,7 +17,8 @@
 type Report struct {
 	Begin time.Time `json:"begin"`
 	End   time.Time `json:"end"`
-	// PoolVMHours is the number of workers in the pool integrated over the time.
+	// PoolVMHours is the capacity of the pool: the number of its workers,
+	// integrated over the time of the report.
 	PoolVMHours float64 `json:"pool_vm_hours"`
 	Rows        []Row   `json:"rows"`
 	// Missing names the entry VMs that did not answer. Their usage is not included.
@@ -42,8 +43,9 @@
 	// AloneVMHours is what a separate pool for the plan would need for the same
 	// waiting times.
 	AloneVMHours float64 `json:"alone_vm_hours"`
-	SharedCost   float64 `json:"shared_cost"`
-	AloneCost    float64 `json:"alone_cost"`
+	// SharedCost and AloneCost are the prices of SharedVMHours and AloneVMHours.
+	SharedCost float64 `json:"shared_cost"`
+	AloneCost  float64 `json:"alone_cost"`
 	// Started counts the started tasks.
 	Started int64 `json:"started"`
 	// Waiting counts the started tasks by waiting time, for each class.
@@ -52,11 +54,12 @@
 
 const secondsPerHour = 3600
 
-// New merges the usage periods of all pools into a report. missing names the entry
-// VMs that did not answer; logRead is false when the log service did not.
-func New(periods []usage.Period, prices *plan.Index, missing []string, logRead bool) Report {
-	r := Report{Missing: missing, Complete: len(missing) == 0 && logRead}
-	if !logRead {
+// New merges the usage periods of all pools into a report. prices contains the
+// price of each plan. missing names the entry VMs that did not answer;
+// logAnswered is false when the log service did not answer.
+func New(periods []usage.Period, prices *plan.Index, missing []string, logAnswered bool) Report {
+	r := Report{Missing: missing, Complete: len(missing) == 0 && logAnswered}
+	if !logAnswered {
 		r.Note = "the log gave no answer: earlier periods are missing"
 	}
 	sums := map[string]usage.Sums{}
@@ -88,7 +91,8 @@
 	return r
 }
 
-// newRow converts the usage sums of a plan; price is the price of a VM-hour.
+// newRow converts the usage sums of a plan to a row; price is the price of a
+// VM-hour.
 func newRow(s usage.Sums, price float64) Row {
 	row := Row{
 		Customer: s.Customer, Plan: s.Plan,
--- a/internal/operate/traffic/traffic.go
+++ b/internal/operate/traffic/traffic.go
@@ -20,8 +20,8 @@
 // Bytes returns the number of bytes counted so far.
 func (c *Counter) Bytes() int64 { return c.bytes.Load() }
 
-// Counters holds one counter per kind of peer of an entry VM. Peers are other entry
-// VMs.
+// Counters holds the traffic counters of an entry VM, one per kind of peer. The
+// counter Peers is for calls between entry VMs.
 type Counters struct {
 	Heartbeats, Peers, Workers, Platform Counter
 }
@@ -47,40 +47,40 @@
 	}
 }
 
-// conn is a connection that counts the bytes read and written.
-type conn struct {
+// countingConn is a connection that counts the bytes read and written.
+type countingConn struct {
 	net.Conn
 	counter *Counter
 }
 
 // Read implements net.Conn.
-func (c conn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.counter.Add(n)
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c conn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.counter.Add(n)
 	return n, err
 }
 
 // WrapConn returns a connection that counts its bytes in counter.
-func WrapConn(c net.Conn, counter *Counter) net.Conn { return conn{c, counter} }
+func WrapConn(c net.Conn, counter *Counter) net.Conn { return countingConn{c, counter} }
 
 const (
-	dialTimeout    = time.Second
-	keepAlive      = 15 * time.Second
-	maxIdlePerHost = 16
+	dialTimeout         = time.Second
+	keepAliveInterval   = 15 * time.Second
+	maxIdleConnsPerHost = 16
 )
 
 // Client returns an HTTP client whose connections count their bytes in counter.
 func Client(counter *Counter) *http.Client {
-	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: keepAliveInterval}
 	return &http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: maxIdlePerHost,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		DisableCompression:  true,
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			c, err := dialer.DialContext(ctx, network, address)
--- a/internal/peer/backend/backend.go
+++ b/internal/peer/backend/backend.go
@@ -34,7 +34,8 @@
 	KindNoRoom Kind = "no_room"
 	// KindTicket means that the order lacks a valid ticket.
 	KindTicket Kind = "ticket"
-	// KindOtherLife means that another process runs at the worker's address.
+	// KindOtherLife means that the process at the worker's address is not the one
+	// that the order is meant for.
 	KindOtherLife Kind = "other_life"
 	// KindUnhealthy means that the worker temporarily accepts no orders.
 	KindUnhealthy Kind = "unhealthy"
@@ -114,8 +115,8 @@
 // requests a Report. It is a long poll.
 type Hold struct {
 	Token int64
-	// Acknowledged is the highest End.Number that the leader has stored. The worker
-	// lists only later ends.
+	// Acknowledged is the highest End.Number that the leader has stored. The
+	// worker reports only ended runs with a higher number.
 	Acknowledged int64
 	// Deadline is when the lease expires, as a reading of the worker's clock; 0
 	// leaves the lease unchanged.
@@ -155,8 +156,8 @@
 
 // End describes a run that has ended.
 type End struct {
-	// Number counts the ends in the current life of the worker; it increases by one
-	// with each end.
+	// Number numbers the ended runs in the current life of the worker, in the
+	// order in which they ended. It increases by one per run.
 	Number     int64
 	Task       work.TaskID
 	Run        int64
@@ -170,10 +171,10 @@
 	// Clock is the reading of the worker's clock.
 	Clock   time.Duration
 	Running []Run
-	// Ended lists the ends that have not been acknowledged.
+	// Ended lists the ended runs that have not been acknowledged.
 	Ended []End
-	// Truncated means that Ended may be incomplete. The worker lists further ends
-	// after these have been acknowledged.
+	// Truncated means that Ended may be incomplete. The worker reports the other
+	// ended runs once these have been acknowledged.
 	Truncated bool
 }
 
--- a/internal/peer/caller/gateway.go
+++ b/internal/peer/caller/gateway.go
@@ -24,22 +24,23 @@
 	"github.com/almondpost/almondpost/internal/state/job"
 )
 
-// Service is the entry VM that executes the calls of a Gateway. Requests and jobs
-// are found by ID no matter which entry VM they were submitted to.
+// Service executes the calls of a Gateway; the entry VM implements it. It finds
+// requests and jobs by ID, no matter which entry VM they were submitted to.
 type Service interface {
-	// Submit submits a request and returns its ID. When admission refuses it, it
-	// also returns the final outcome.
+	// Submit submits a request and returns its ID. When admission refuses the
+	// request, Submit also returns its final outcome.
 	Submit(spec request.Spec) (id string, refused *request.Outcome)
-	// Fetch waits up to wait for a request to end and returns its outcome so far.
-	// It returns false for an unknown request.
+	// Fetch waits for a request to end, for at most the given time, and returns
+	// its current outcome. It returns false for an unknown request.
 	Fetch(ctx context.Context, id string, wait time.Duration) (request.Outcome, bool)
 	// CancelRequest cancels a request. It returns false for an unknown request.
 	CancelRequest(ctx context.Context, id string) bool
-	// SubmitJob stores a job in the log. It returns once the job is stored or
-	// refused, or once it is unknown whether the job was stored.
+	// SubmitJob stores a job in the log. The returned status is pending when the
+	// job is stored, not_run when it is refused, and may_have_run when the log
+	// did not confirm whether the job is stored.
 	SubmitJob(ctx context.Context, spec job.Spec) job.Status
-	// FetchJob waits up to wait for a job to end and returns its status. It returns
-	// false for an unknown job.
+	// FetchJob waits for a job to end, for at most the given time, and returns
+	// its current status. It returns false for an unknown job.
 	FetchJob(ctx context.Context, id string, wait time.Duration) (job.Status, bool)
 	// CancelJob stores the cancellation of a job in the log. The job ends later.
 	CancelJob(ctx context.Context, id string) error
@@ -49,7 +50,8 @@
 	Ready() bool
 }
 
-// Problem is the body of an error reply that has no outcome or status to report.
+// Problem is the body of an error reply that contains neither the outcome of a
+// request nor the status of a job.
 type Problem struct {
 	// Reason is a machine-readable code.
 	Reason string `json:"reason"`
@@ -68,12 +70,12 @@
 )
 
 const (
-	// DefaultWait is how long the reply to a submission waits for the request to
-	// end, unless the caller sets wait_milliseconds. It is also the maximum of
-	// wait_milliseconds.
+	// DefaultWait is how long the gateway waits for a submitted request to end
+	// before it replies, unless the caller sets wait_milliseconds. It is also the
+	// maximum of wait_milliseconds.
 	DefaultWait = 10 * time.Minute
-	// maxFetchWait is the maximum wait of one call to Service.Fetch or FetchJob.
-	// Longer waits take several calls.
+	// maxFetchWait is the maximum wait of one call to Service.Fetch or
+	// Service.FetchJob. The gateway splits a longer wait into several calls.
 	maxFetchWait = 30 * time.Second
 	// These timeouts limit how long slow callers can occupy a connection.
 	readTimeout       = 15 * time.Second
@@ -97,18 +99,18 @@
 // it may be nil.
 func (g *Gateway) Server(addRoutes func(r chi.Router)) *http.Server {
 	return &http.Server{
-		Handler:           g.handler(addRoutes),
+		Handler:           g.newHandler(addRoutes),
 		ReadTimeout:       readTimeout,
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
 	}
 }
 
-func (g *Gateway) handler(addRoutes func(r chi.Router)) http.Handler {
+func (g *Gateway) newHandler(addRoutes func(r chi.Router)) http.Handler {
 	r := chi.NewRouter()
-	r.Post("/v1/requests", g.submit)
-	r.Get("/v1/requests/{id}", g.fetch)
-	r.Delete("/v1/requests/{id}", g.cancel)
+	r.Post("/v1/requests", g.submitRequest)
+	r.Get("/v1/requests/{id}", g.fetchRequest)
+	r.Delete("/v1/requests/{id}", g.cancelRequest)
 	r.Post("/v1/jobs", g.submitJob)
 	r.Get("/v1/jobs/{id}", g.fetchJob)
 	r.Delete("/v1/jobs/{id}", g.cancelJob)
@@ -116,7 +118,7 @@
 		jsonhttp.Write(w, http.StatusOK, g.service.Report(q.Context()))
 	})
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
-	r.Get("/readyz", g.ready)
+	r.Get("/readyz", g.reportReadiness)
 	r.Method(http.MethodGet, "/debug/vars", expvar.Handler())
 	if addRoutes != nil {
 		addRoutes(r)
@@ -124,7 +126,7 @@
 	return r
 }
 
-func (g *Gateway) ready(w http.ResponseWriter, _ *http.Request) {
+func (g *Gateway) reportReadiness(w http.ResponseWriter, _ *http.Request) {
 	if !g.service.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
@@ -134,14 +136,15 @@
 	jsonhttp.Write(w, status, Problem{Reason: reason, Detail: detail})
 }
 
-// validator is a decoded body. Validate describes its first invalid field, or returns
-// an empty string.
+// validator is a request body that can check its own fields. Validate returns a
+// description of the first invalid field, or an empty string when all fields are
+// valid.
 type validator interface{ Validate() string }
 
-// decode decodes and validates a body. If that fails, it replies with a Problem and
-// returns false.
-func decode[T validator](w http.ResponseWriter, r *http.Request, limit int64) (body T, ok bool) {
-	if !decodeBody(w, r, limit, &body) {
+// decodeAndValidate decodes a request body of at most maxBytes bytes and
+// validates it. If either fails, it replies with a Problem and returns false.
+func decodeAndValidate[T validator](w http.ResponseWriter, r *http.Request, maxBytes int64) (body T, ok bool) {
+	if !decodeBody(w, r, maxBytes, &body) {
 		return body, false
 	}
 	if reason := body.Validate(); reason != "" {
@@ -151,11 +154,11 @@
 	return body, true
 }
 
-// decodeBody decodes a JSON body of at most limit bytes into target. It rejects
-// unknown fields and trailing data. If that fails, it replies with a Problem and
-// returns false.
-func decodeBody(w http.ResponseWriter, r *http.Request, limit int64, target any) bool {
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, limit))
+// decodeBody decodes a JSON body of at most maxBytes bytes into target. It
+// rejects unknown fields and trailing data. If decoding fails, it replies with a
+// Problem and returns false.
+func decodeBody(w http.ResponseWriter, r *http.Request, maxBytes int64, target any) bool {
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBytes))
 	d.DisallowUnknownFields()
 	err := d.Decode(target)
 	if err == nil {
@@ -167,15 +170,15 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		writeProblem(w, http.StatusRequestEntityTooLarge, ReasonBodyTooLarge, fmt.Sprintf("the body is above %d bytes", limit))
+		writeProblem(w, http.StatusRequestEntityTooLarge, ReasonBodyTooLarge, fmt.Sprintf("the body is above %d bytes", maxBytes))
 		return false
 	}
 	writeProblem(w, http.StatusBadRequest, ReasonMalformed, err.Error())
 	return false
 }
 
-func (g *Gateway) submit(w http.ResponseWriter, r *http.Request) {
-	spec, ok := decode[request.Spec](w, r, g.maxBodyBytes)
+func (g *Gateway) submitRequest(w http.ResponseWriter, r *http.Request) {
+	spec, ok := decodeAndValidate[request.Spec](w, r, g.maxBodyBytes)
 	if !ok {
 		return
 	}
@@ -191,9 +194,9 @@
 	g.waitForOutcome(w, r, id, wait)
 }
 
-// waitForOutcome waits up to wait for a request to end and replies with its outcome.
-// A caller that disconnects does not cancel the request; it can fetch the outcome
-// from any entry VM later.
+// waitForOutcome waits for a request to end, for at most the given time, and
+// replies with its current outcome. If the caller disconnects, the request is not
+// cancelled; the caller can fetch the outcome from any entry VM later.
 func (g *Gateway) waitForOutcome(w http.ResponseWriter, r *http.Request, id string, wait time.Duration) {
 	deadline := time.Now().Add(wait)
 	for {
@@ -212,13 +215,13 @@
 	}
 }
 
-func (g *Gateway) fetch(w http.ResponseWriter, r *http.Request) {
+func (g *Gateway) fetchRequest(w http.ResponseWriter, r *http.Request) {
 	if wait, ok := parseWait(w, r, 0); ok {
 		g.waitForOutcome(w, r, chi.URLParam(r, "id"), wait)
 	}
 }
 
-func (g *Gateway) cancel(w http.ResponseWriter, r *http.Request) {
+func (g *Gateway) cancelRequest(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
 	if !g.service.CancelRequest(r.Context(), id) {
 		writeProblem(w, http.StatusNotFound, ReasonUnknownRequest, "no request "+id+" is known")
@@ -247,14 +250,14 @@
 	if o.RetryAfterMilliseconds > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(float64(o.RetryAfterMilliseconds)/1000))))
 	}
-	jsonhttp.Write(w, outcomeStatusCode(o), o)
+	jsonhttp.Write(w, httpStatusOfOutcome(o), o)
 }
 
-func outcomeStatusCode(o request.Outcome) int {
-	return stateStatusCode(o.State, o.RetryAfterMilliseconds)
+func httpStatusOfOutcome(o request.Outcome) int {
+	return httpStatusOfState(o.State, o.RetryAfterMilliseconds)
 }
 
-func stateStatusCode(s request.State, retryAfterMilliseconds int64) int {
+func httpStatusOfState(s request.State, retryAfterMilliseconds int64) int {
 	switch s {
 	case request.Done:
 		return http.StatusOK
--- a/internal/peer/caller/jobs.go
+++ b/internal/peer/caller/jobs.go
@@ -11,12 +11,12 @@
 )
 
 func (g *Gateway) submitJob(w http.ResponseWriter, r *http.Request) {
-	spec, ok := decode[job.Spec](w, r, g.maxBodyBytes)
+	spec, ok := decodeAndValidate[job.Spec](w, r, g.maxBodyBytes)
 	if !ok {
 		return
 	}
 	s := g.service.SubmitJob(r.Context(), spec)
-	jsonhttp.Write(w, stateStatusCode(s.State, s.RetryAfterMilliseconds), s)
+	jsonhttp.Write(w, httpStatusOfState(s.State, s.RetryAfterMilliseconds), s)
 }
 
 func (g *Gateway) fetchJob(w http.ResponseWriter, r *http.Request) {
@@ -36,7 +36,7 @@
 			writeProblem(w, http.StatusNotFound, ReasonUnknownRequest, "no job "+id+" is known")
 			return
 		case ok && (s.State.Ended() || remaining == 0):
-			jsonhttp.Write(w, stateStatusCode(s.State, s.RetryAfterMilliseconds), s)
+			jsonhttp.Write(w, httpStatusOfState(s.State, s.RetryAfterMilliseconds), s)
 			return
 		}
 	}
--- a/internal/peer/entry/client.go
+++ b/internal/peer/entry/client.go
@@ -19,8 +19,8 @@
 // Timing of connections between entry VMs.
 const (
 	DialTimeout = time.Second
-	// CallTimeout is for callers to set as the deadline of short calls; Call itself
-	// does not apply it.
+	// CallTimeout is the timeout of calls that are answered without waiting. Call
+	// does not apply it; the caller of Call sets it on ctx.
 	CallTimeout = 3 * time.Second
 	// PingInterval is the pause between pings on a connection with calls in flight.
 	PingInterval = time.Second
@@ -37,14 +37,14 @@
 	// blocked reports whether fault injection cuts off a peer from this client.
 	blocked     func(a netip.AddrPort) bool
 	mutex       sync.Mutex
-	connections map[netip.AddrPort]*connection
+	connections map[netip.AddrPort]*peerConnection
 }
 
-// connection is the connection to one peer.
-type connection struct {
-	rpc *rpc.Client
-	// outstanding is the number of calls in flight.
-	outstanding int
+// peerConnection is the connection to one peer.
+type peerConnection struct {
+	rpcClient *rpc.Client
+	// callsInFlight is the number of calls in flight.
+	callsInFlight int
 	// dropped is closed together with the connection.
 	dropped chan struct{}
 	// probing is true while a goroutine pings the connection.
@@ -54,16 +54,16 @@
 // NewClient returns a client that counts its traffic in counter. Calls to peers for which
 // blocked returns true fail.
 func NewClient(counter *traffic.Counter, blocked func(a netip.AddrPort) bool) *Client {
-	return &Client{counter: counter, blocked: blocked, connections: map[netip.AddrPort]*connection{}}
+	return &Client{counter: counter, blocked: blocked, connections: map[netip.AddrPort]*peerConnection{}}
 }
 
-// acquire returns the open connection to a peer or dials a new one, and counts a
-// call in flight on it until release.
-func (c *Client) acquire(a netip.AddrPort) (*connection, error) {
+// acquire returns the open connection to a peer or dials a new one. It counts one
+// more call in flight on the connection, until releaseConnection is called.
+func (c *Client) acquire(a netip.AddrPort) (*peerConnection, error) {
 	c.mutex.Lock()
 	if p := c.connections[a]; p != nil {
-		p.outstanding++
-		c.probe(a, p)
+		p.callsInFlight++
+		c.startProbing(a, p)
 		c.mutex.Unlock()
 		return p, nil
 	}
@@ -76,18 +76,19 @@
 	defer c.mutex.Unlock()
 	if p := c.connections[a]; p != nil {
 		_ = conn.Close()
-		p.outstanding++
+		p.callsInFlight++
 		return p, nil
 	}
-	p := &connection{rpc: rpc.NewClient(traffic.WrapConn(conn, c.counter)), outstanding: 1, dropped: make(chan struct{})}
+	p := &peerConnection{rpcClient: rpc.NewClient(traffic.WrapConn(conn, c.counter)), callsInFlight: 1, dropped: make(chan struct{})}
 	c.connections[a] = p
-	c.probe(a, p)
+	c.startProbing(a, p)
 	return p, nil
 }
 
-// probe starts a goroutine that pings a connection while calls are in flight on it
-// and drops it when a ping fails. The caller must hold the mutex.
-func (c *Client) probe(a netip.AddrPort, p *connection) {
+// startProbing starts a goroutine, unless there is one, that pings a connection
+// while calls are in flight on it and drops the connection when a ping fails. The
+// caller must hold the mutex.
+func (c *Client) startProbing(a netip.AddrPort, p *peerConnection) {
 	if p.probing {
 		return
 	}
@@ -96,13 +97,13 @@
 		for {
 			time.Sleep(PingInterval)
 			c.mutex.Lock()
-			if p.outstanding == 0 {
+			if p.callsInFlight == 0 {
 				p.probing = false
 				c.mutex.Unlock()
 				return
 			}
 			c.mutex.Unlock()
-			call := p.rpc.Go(ServiceName+".Ping", Empty{}, &Empty{}, make(chan *rpc.Call, 1))
+			call := p.rpcClient.Go(ServiceName+".Ping", Empty{}, &Empty{}, make(chan *rpc.Call, 1))
 			select {
 			case <-call.Done:
 				if call.Error == nil && !c.blocked(a) {
@@ -110,28 +111,29 @@
 				}
 			case <-time.After(PingTimeout):
 			}
-			c.drop(a, p)
+			c.dropConnection(a, p)
 			return
 		}
 	}()
 }
 
-// drop closes a connection and ends the calls in flight on it with KindUnknown.
-func (c *Client) drop(a netip.AddrPort, p *connection) {
+// dropConnection closes a connection and ends the calls in flight on it with
+// KindUnknown.
+func (c *Client) dropConnection(a netip.AddrPort, p *peerConnection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.connections[a] == p {
 		delete(c.connections, a)
 		close(p.dropped)
-		_ = p.rpc.Close()
+		_ = p.rpcClient.Close()
 	}
 }
 
-// release ends the count that acquire began.
-func (c *Client) release(p *connection) {
+// releaseConnection ends a call that acquire counted as in flight.
+func (c *Client) releaseConnection(p *peerConnection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	p.outstanding--
+	p.callsInFlight--
 }
 
 // Call calls a method of a peer's service and waits for the reply until ctx ends.
@@ -144,8 +146,8 @@
 	if err != nil {
 		return fault.New(method, KindNotSent, err)
 	}
-	defer c.release(p)
-	call := p.rpc.Go(ServiceName+"."+method, args, reply, make(chan *rpc.Call, 1))
+	defer c.releaseConnection(p)
+	call := p.rpcClient.Go(ServiceName+"."+method, args, reply, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
 		if c.blocked(a) {
@@ -161,7 +163,7 @@
 
 // classifyError converts the error of a finished call. It drops the connection when
 // the error does not come from the called method.
-func (c *Client) classifyError(a netip.AddrPort, p *connection, method string, err error) error {
+func (c *Client) classifyError(a netip.AddrPort, p *peerConnection, method string, err error) error {
 	var serverError rpc.ServerError
 	switch {
 	case err == nil:
@@ -172,7 +174,7 @@
 		}
 		return fault.New(method, KindUnknown, err)
 	}
-	c.drop(a, p)
+	c.dropConnection(a, p)
 	return fault.New(method, KindUnknown, err)
 }
 
@@ -183,6 +185,6 @@
 	for a, p := range c.connections {
 		delete(c.connections, a)
 		close(p.dropped)
-		_ = p.rpc.Close()
+		_ = p.rpcClient.Close()
 	}
 }
--- a/internal/peer/entry/heartbeat.go
+++ b/internal/peer/entry/heartbeat.go
@@ -34,8 +34,8 @@
 	return h.socket.WriteToUDPAddrPort(data, to)
 }
 
-// Received is a received heartbeat.
-type Received struct {
+// ReceivedHeartbeat is a heartbeat with the address of its sender and its size.
+type ReceivedHeartbeat struct {
 	membership.Heartbeat
 	// From is the address of the sender.
 	From netip.AddrPort
@@ -45,16 +45,16 @@
 
 // Receive waits for the next heartbeat and skips malformed datagrams. It returns an
 // error after the socket is closed.
-func (h *Heartbeats) Receive() (Received, error) {
+func (h *Heartbeats) Receive() (ReceivedHeartbeat, error) {
 	buffer := make([]byte, maxHeartbeatBytes)
 	for {
 		n, from, err := h.socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
-			return Received{}, err
+			return ReceivedHeartbeat{}, err
 		}
 		var b membership.Heartbeat
 		if json.Unmarshal(buffer[:n], &b) == nil && b.Name != "" && (b.IsBrief() || b.Address.IsValid()) {
-			return Received{Heartbeat: b, From: from, Length: n}, nil
+			return ReceivedHeartbeat{Heartbeat: b, From: from, Length: n}, nil
 		}
 	}
 }
--- a/internal/peer/entry/protocol.go
+++ b/internal/peer/entry/protocol.go
@@ -1,9 +1,10 @@
 // Package entry implements the protocol between entry VMs: net/rpc calls over TCP
 // and heartbeats over UDP.
 //
-// Each worker is owned by one entry VM, which queues and runs attempts on it. The
-// holder of a request or job is the entry VM that tracks it and asks owners to run
-// its attempts.
+// An attempt is one try to run a task. Each worker is owned by one entry VM, its
+// owner, which queues attempts and runs them on the worker. The holder of a
+// request or job is the entry VM that tracks it and asks owners to run its
+// attempts.
 package entry
 
 import (
@@ -24,8 +25,9 @@
 	KindNotSent Kind = "not_sent"
 	// KindUnknown means that the call may have taken effect.
 	KindUnknown Kind = "unknown_outcome"
-	// KindEpochMismatch means that the epoch in the call is not that of the called owner:
-	// its process has restarted, or it took a new epoch after a pause.
+	// KindEpochMismatch means that the call carries another epoch than the called
+	// owner has. An owner gets a new epoch when its process restarts and when it
+	// resumes after a pause.
 	KindEpochMismatch Kind = "other_epoch"
 )
 
@@ -47,7 +49,7 @@
 	// NotRun means that the attempt never ran and never will.
 	NotRun State = "not_run"
 	// Moved means that another owner has adopted the worker of the attempt. The
-	// outcome must be resolved there.
+	// holder must ask that owner for the outcome.
 	Moved State = "moved"
 )
 
@@ -74,7 +76,8 @@
 	Plan     string
 	Class    plan.Class
 	Size     resource.Vector
-	Kind     string
+	// Kind names the service or program that runs the task.
+	Kind string
 	// Spread names a group of tasks that should run on different racks; it may be
 	// empty.
 	Spread string
@@ -89,8 +92,9 @@
 	// Generation increases each time that another entry VM becomes the holder of the
 	// job. It is 0 for requests.
 	Generation int
-	// Remaining is the time from the sending of the call to the deadline; 0 means
-	// no deadline. It is a duration because the clocks of VMs differ.
+	// Remaining is how much time was left until the deadline when the call was
+	// sent; 0 means no deadline. It is a duration rather than a point in time
+	// because the clocks of VMs differ.
 	Remaining time.Duration
 	Payload   []byte
 }
@@ -108,9 +112,10 @@
 	Waited time.Duration
 }
 
-// HolderLease is how long an attempt stays startable after its holder last called
-// Run or Await for it. A waiting attempt does not start after that, so a holder that
-// cannot reach the owner knows after this time that the attempt will not start.
+// HolderLease is how long an owner may still start a waiting attempt after the
+// holder last called Run or Await for it. A holder that cannot reach the owner
+// therefore knows after this time that the attempt, if it was still waiting, will
+// not start.
 const HolderLease = 4 * time.Second
 
 // RunArgs requests that an owner run an attempt and wait for its end.
@@ -119,7 +124,8 @@
 	// the call.
 	Epoch uint64
 	Task  Task
-	// Wait is how long the owner may wait for the end of the attempt.
+	// Wait is how long the owner may wait for the attempt to end before it
+	// replies.
 	Wait time.Duration
 }
 
@@ -143,24 +149,25 @@
 	Attempts []string
 	// Peek disables the fencing of unknown attempts.
 	Peek bool
-	// Tasks maps task names to generations. The owner reports the attempts of these
-	// tasks and fences those of a lower generation, so that they can no longer start
-	// there.
+	// Tasks maps task names to generations. The owner reports an attempt of each
+	// of these tasks. It also fences their attempts with a lower generation, so
+	// that these can no longer start there.
 	Tasks map[string]int
 }
 
 // ResolveReply is the result of a Resolve call.
 type ResolveReply struct {
-	// FoundTasks maps each requested task that has an attempt at the owner to the
-	// most advanced one: finished before running or waiting before the rest.
+	// FoundTasks maps each task in ResolveArgs.Tasks to its most advanced attempt
+	// at the owner. A finished attempt ranks above a running or waiting one, and
+	// that above all others. Tasks without an attempt are left out.
 	FoundTasks map[string]FoundAttempt
 	// Found maps the requested attempts that the owner knows to their status.
 	// Attempts that are fenced or that moved to another owner are left out.
 	Found map[string]Status
 	// Epoch is the epoch of the answering owner.
 	Epoch uint64
-	// Verified maps each worker that the owner has adopted to the time since the
-	// last answered call to it was sent.
+	// Verified maps each worker that the owner has adopted to an age: the time
+	// since the owner sent the last call that the worker answered.
 	Verified map[string]time.Duration
 }
 
@@ -177,7 +184,8 @@
 	Job bool
 	// Cancel cancels the request instead of fetching its outcome.
 	Cancel bool
-	// Wait is how long the entry VM may wait for the end.
+	// Wait is how long the entry VM may wait for the request or job to end before
+	// it replies.
 	Wait time.Duration
 }
 
@@ -205,8 +213,9 @@
 	Tasks []Task
 	// Lease is how long the reservation lasts without renewal.
 	Lease time.Duration
-	// Collect also reserves capacity that becomes free later, ahead of all queues.
-	// Only one gang at a time may do this at an owner.
+	// Collect asks the owner to also reserve capacity that becomes free later,
+	// before any queued attempt can use it. An owner lets only one gang at a time
+	// collect capacity.
 	Collect bool
 }
 
@@ -223,5 +232,6 @@
 	Periods []usage.Period
 }
 
-// Empty is the argument or reply of a method without one.
+// Empty is the argument type of methods without arguments and the reply type of
+// methods without a result.
 type Empty struct{}
--- a/internal/peer/jsonhttp/jsonhttp.go
+++ b/internal/peer/jsonhttp/jsonhttp.go
@@ -35,18 +35,18 @@
 	if err != nil {
 		return err
 	}
-	return do(ctx, client, http.MethodPost, url, bytes.NewReader(body), reply)
+	return doRequest(ctx, client, http.MethodPost, url, bytes.NewReader(body), reply)
 }
 
 // Get sends a GET request and decodes the JSON reply. It returns a *StatusError for
 // a status other than 200.
 func Get(ctx context.Context, client *http.Client, url string, reply any) error {
-	return do(ctx, client, http.MethodGet, url, nil, reply)
+	return doRequest(ctx, client, http.MethodGet, url, nil, reply)
 }
 
-// GetIfChanged is Get with the condition that the entity tag differs from tag, and
-// returns the current tag. It leaves reply unchanged when the tag is the same. An
-// empty tag means no condition.
+// GetIfChanged is like Get, but skips the download when the entity tag of the
+// resource still equals tag; reply is then left unchanged. It returns the current
+// entity tag. With an empty tag it always downloads the resource.
 func GetIfChanged(ctx context.Context, client *http.Client, url, tag string, reply any) (string, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -63,11 +63,11 @@
 	if s.StatusCode == http.StatusNotModified {
 		return tag, s.Body.Close()
 	}
-	return s.Header.Get("ETag"), decode(s, reply)
+	return s.Header.Get("ETag"), decodeResponse(s, reply)
 }
 
-// do sends a request and decodes the JSON reply.
-func do(ctx context.Context, client *http.Client, method, url string, body io.Reader, reply any) error {
+// doRequest sends a request and decodes the JSON reply.
+func doRequest(ctx context.Context, client *http.Client, method, url string, body io.Reader, reply any) error {
 	r, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
 		return err
@@ -78,15 +78,16 @@
 	if err != nil {
 		return err
 	}
-	return decode(s, reply)
+	return decodeResponse(s, reply)
 }
 
 // omitUserAgent removes the User-Agent header, which no peer reads, to save
 // traffic.
 func omitUserAgent(r *http.Request) { r.Header.Set("User-Agent", "") }
 
-// decode reads and closes the body of a response.
-func decode(s *http.Response, reply any) error {
+// decodeResponse decodes the JSON body of a response into reply and closes the
+// body.
+func decodeResponse(s *http.Response, reply any) error {
 	defer func() { _ = s.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(s.Body, MaxBodyBytes))
 	if err != nil {
--- a/internal/peer/link/client.go
+++ b/internal/peer/link/client.go
@@ -98,8 +98,9 @@
 	}
 }
 
-// drop closes a connection and removes it, so that the next call opens a new one.
-func (c *Client) drop(a netip.AddrPort, p *rpc.Client) {
+// dropConnection closes a connection and removes it, so that the next call opens
+// a new one.
+func (c *Client) dropConnection(a netip.AddrPort, p *rpc.Client) {
 	c.mutex.Lock()
 	if c.connections[a] == p {
 		delete(c.connections, a)
@@ -128,14 +129,14 @@
 		case errors.As(call.Error, &serverError):
 			return reply, fault.New(method, KindFailed, call.Error)
 		}
-		c.drop(a, p)
+		c.dropConnection(a, p)
 		return reply, fault.New(method, KindUnknown, call.Error)
 	case <-ctx.Done():
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			c.recordAnswer(a, false)
-			c.drop(a, p)
+			c.dropConnection(a, p)
 		}
-		var none Reply // The call in flight may still write to reply.
+		var none Reply // The abandoned call may still write to reply, so return a separate empty value.
 		return none, fault.New(method, KindUnknown, ctx.Err())
 	}
 }
--- a/internal/peer/logservice/log.go
+++ b/internal/peer/logservice/log.go
@@ -50,8 +50,8 @@
 // ReadReply contains the records after the requested offset.
 type ReadReply struct {
 	Records []Record `json:"records"`
-	// Oldest is the offset of the oldest retained record, or the next offset to be
-	// assigned when the stream is empty.
+	// Oldest is the offset of the oldest retained record. When the stream has no
+	// records, it is the offset that the next record will get.
 	Oldest uint64 `json:"oldest"`
 }
 
@@ -61,19 +61,19 @@
 	// error it is unknown whether the records were added.
 	Append(ctx context.Context, stream string, records [][]byte) (first uint64, err error)
 	// Read returns up to limit records after an offset. When there are none, it
-	// waits for one for up to wait.
+	// waits for one, but no longer than wait.
 	Read(ctx context.Context, stream string, after uint64, limit int, wait time.Duration) (ReadReply, error)
 }
 
 // Client is a Log that sends JSON over HTTP.
 type Client struct {
-	base   string
-	client *http.Client
+	baseURL string
+	client  *http.Client
 }
 
 // New returns a client for the log service at an address.
 func New(address netip.AddrPort, client *http.Client) *Client {
-	return &Client{base: "http://" + address.String(), client: client}
+	return &Client{baseURL: "http://" + address.String(), client: client}
 }
 
 // Append implements Log.
@@ -81,7 +81,7 @@
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	var reply AppendReply
-	err := jsonhttp.Post(ctx, c.client, c.base+"/v1/append", AppendRequest{Stream: stream, Records: records}, &reply)
+	err := jsonhttp.Post(ctx, c.client, c.baseURL+"/v1/append", AppendRequest{Stream: stream, Records: records}, &reply)
 	if err != nil {
 		return 0, fault.New("append", KindUnreachable, err)
 	}
@@ -93,7 +93,7 @@
 	ctx, cancel := context.WithTimeout(ctx, wait+CallTimeout)
 	defer cancel()
 	target := fmt.Sprintf("%s/v1/read?stream=%s&after=%d&limit=%d&wait_milliseconds=%d",
-		c.base, url.QueryEscape(stream), after, limit, wait.Milliseconds())
+		c.baseURL, url.QueryEscape(stream), after, limit, wait.Milliseconds())
 	var reply ReadReply
 	if err := jsonhttp.Get(ctx, c.client, target, &reply); err != nil {
 		return reply, fault.New("read", KindUnreachable, err)
--- a/internal/peer/store/store.go
+++ b/internal/peer/store/store.go
@@ -22,8 +22,9 @@
 	// KindFenced means that the same producer has already written with a higher
 	// epoch.
 	KindFenced Kind = "fenced"
-	// KindConflict means that the end of the topic violates the condition of the
-	// append, or that a sequence number of the producer is missing.
+	// KindConflict means that the topic does not meet the condition of the
+	// append, or that the store has not received the producer's preceding
+	// sequence number.
 	KindConflict Kind = "conflict"
 	// KindDropped means that the store has deleted records in the requested range.
 	KindDropped Kind = "dropped"
@@ -102,8 +103,8 @@
 // Snapshot contains the newest record of each key in a partition.
 type Snapshot struct {
 	Records []Record
-	// End is the offset from which to continue reading. Records may already include
-	// some records after it.
+	// End is the offset from which to continue reading. Records may already
+	// contain some of the records from this offset on.
 	End int64
 }
 
--- a/internal/peer/vmlist/vmlist.go
+++ b/internal/peer/vmlist/vmlist.go
@@ -59,24 +59,24 @@
 
 // Client is a Lister that reads JSON over HTTP.
 type Client struct {
-	base   string
-	client *http.Client
+	baseURL string
+	client  *http.Client
 
 	mutex sync.Mutex
-	// cache maps a failure domain to its last list, so that the platform need not
-	// send an unchanged list again.
-	cache map[string]cachedList
+	// cachedLists maps a failure domain to its last list, so that the platform
+	// need not send an unchanged list again.
+	cachedLists map[string]cachedList
 }
 
-// cachedList is a list with its entity tag.
+// cachedList is a list of VMs with the entity tag of the reply that contained it.
 type cachedList struct {
-	tag  string
-	list List
+	entityTag string
+	list      List
 }
 
 // New returns a client for the VM list at an address.
 func New(address netip.AddrPort, client *http.Client) *Client {
-	return &Client{base: "http://" + address.String(), client: client, cache: map[string]cachedList{}}
+	return &Client{baseURL: "http://" + address.String(), client: client, cachedLists: map[string]cachedList{}}
 }
 
 // List implements Lister.
@@ -84,18 +84,18 @@
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	c.mutex.Lock()
-	cached := c.cache[domain]
+	cached := c.cachedLists[domain]
 	c.mutex.Unlock()
 	var fresh List
-	tag, err := jsonhttp.GetIfChanged(ctx, c.client, c.base+"/v1/vms?domain="+domain, cached.tag, &fresh)
+	tag, err := jsonhttp.GetIfChanged(ctx, c.client, c.baseURL+"/v1/vms?domain="+domain, cached.entityTag, &fresh)
 	if err != nil {
 		return List{}, fault.New("list", KindUnreachable, err)
 	}
-	if tag != "" && tag == cached.tag {
+	if tag != "" && tag == cached.entityTag {
 		return cached.list, nil
 	}
 	c.mutex.Lock()
-	c.cache[domain] = cachedList{tag, fresh}
+	c.cachedLists[domain] = cachedList{tag, fresh}
 	c.mutex.Unlock()
 	return fresh, nil
 }
--- a/internal/peer/worker/protocol.go
+++ b/internal/peer/worker/protocol.go
@@ -79,8 +79,8 @@
 
 // Record is a worker's report on one attempt.
 type Record struct {
-	// Attempt never includes the payload. Only an AdoptReply fills its other
-	// fields; in other replies it holds just the ID.
+	// Attempt contains only the ID, except in an AdoptReply, where all fields but
+	// the payload are set.
 	Attempt Attempt `json:"attempt"`
 	Phase   Phase   `json:"phase"`
 	// Sequence numbers the phase changes on the worker in increasing order.
@@ -92,13 +92,14 @@
 // AdoptRequest makes the sender the owner of a worker.
 type AdoptRequest struct {
 	Token Token `json:"token"`
-	// Lease is how long attempts keep running without another call from the owner.
+	// Lease is how long the worker keeps running attempts unless the owner renews
+	// the lease.
 	Lease time.Duration `json:"lease"`
 }
 
-// AdoptReply is the result of an adoption. It is atomic: after an accepted adoption
-// the worker refuses lower tokens, and Records lists every attempt that is running
-// or ended recently.
+// AdoptReply is the reply to an AdoptRequest. An adoption is atomic: once the
+// worker has accepted it, the worker refuses lower tokens, and Records lists
+// every attempt that was running at that moment or had ended recently.
 type AdoptReply struct {
 	Accepted bool `json:"accepted"`
 	// Current is the highest token that the worker has seen.
@@ -106,7 +107,8 @@
 	Capacity resource.Vector `json:"capacity"`
 	Rack     string          `json:"rack"`
 	Records  []Record        `json:"records"`
-	Sequence uint64          `json:"sequence"`
+	// Sequence is the number of the worker's latest phase change.
+	Sequence uint64 `json:"sequence"`
 }
 
 // StartRequest starts one attempt. It is idempotent: a second request with the same
@@ -118,7 +120,8 @@
 
 // SyncRequest renews the lease, acknowledges records and waits for new ones.
 type SyncRequest struct {
-	Token Token         `json:"token"`
+	Token Token `json:"token"`
+	// Lease is the duration of the renewed lease; 0 does not renew the lease.
 	Lease time.Duration `json:"lease"`
 	// After acknowledges all records up to this sequence and requests later ones.
 	After uint64 `json:"after"`
@@ -128,8 +131,9 @@
 
 // SyncReply contains the records after SyncRequest.After.
 type SyncReply struct {
-	Records  []Record `json:"records,omitempty"`
-	Sequence uint64   `json:"sequence"`
+	Records []Record `json:"records,omitempty"`
+	// Sequence is the number of the worker's latest phase change.
+	Sequence uint64 `json:"sequence"`
 	// Used is the measured resource usage, which lags behind the records.
 	Used resource.Vector `json:"used,omitzero"`
 }
