--- a/cmd/almondpost-entry/main.go
+++ b/cmd/almondpost-entry/main.go
@@ -1,5 +1,5 @@
-// Command almondpost-entry runs an entry VM with the settings and interfaces of the
-// platform that package platform adapts.
+// Command almondpost-entry runs an entry VM with the settings and interfaces of
+// the platform, to which package platform adapts it.
 package main
 
 import (
--- a/internal/node/owner/calls.go
+++ b/internal/node/owner/calls.go
@@ -156,9 +156,9 @@
 	return a
 }
 
-// maxAnswerAge is the maximum age of a worker's last answer for Resolve. If the
-// answer is older, the owner syncs with the worker at once, so that the next
-// Resolve reports a recent answer.
+// maxAnswerAge is a limit for Resolve: if the last answer of a worker is older,
+// the owner syncs with the worker at once, so that the next Resolve reports a
+// recent answer.
 const maxAnswerAge = 300 * time.Millisecond
 
 // Resolve returns the statuses of attempts whose former owner is gone, and how
--- a/internal/node/owner/gang.go
+++ b/internal/node/owner/gang.go
@@ -18,9 +18,9 @@
 	unplaced []entry.Task
 }
 
-// maxGangLease is the longest time that capacity stays reserved for a gang
+// maxGangReservationLease is the longest time that capacity stays reserved for a gang
 // without a renewal.
-const maxGangLease = 5 * time.Second
+const maxGangReservationLease = 5 * time.Second
 
 // Reserve reserves capacity for as many tasks of a gang as fit, and renews the
 // reservations that the gang already has. If r.Collect is set, capacity that
@@ -36,7 +36,7 @@
 	if r.Epoch != o.epoch {
 		return entry.ReserveReply{}, entry.ErrEpochMismatch
 	}
-	until := now.Add(min(r.Lease, maxGangLease))
+	until := now.Add(min(r.Lease, maxGangReservationLease))
 	if r.Collect {
 		if o.collecting.id != r.Gang && now.Before(o.collecting.expiresAt) {
 			return entry.ReserveReply{Busy: true}, nil
--- a/internal/node/owner/owner.go
+++ b/internal/node/owner/owner.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// loop dispatches attempts and does the periodic work until the owner ends.
+// loop dispatches attempts and does the periodic work until the owner is stopped.
 func (o *Owner) loop() {
 	tick := time.NewTicker(o.timing.TickInterval)
 	defer tick.Stop()
@@ -240,8 +240,8 @@
 }
 
 // setStatus changes the status of an attempt that has not ended and wakes the
-// calls that wait for it. The payload is released at the end of the attempt.
-// The caller holds the lock.
+// calls that wait for it. When the attempt ends, its payload is released. The
+// caller holds the lock.
 func (o *Owner) setStatus(a *attempt, s entry.Status) {
 	if a.status.State.Ended() {
 		return
--- a/internal/node/owner/session.go
+++ b/internal/node/owner/session.go
@@ -27,8 +27,8 @@
 	// assigned is false once Assign no longer names the worker. The owner then
 	// keeps the worker until another owner adopts it.
 	assigned bool
-	// lastSequence is the highest sequence of the records received from the
-	// worker.
+	// lastSequence is the highest sequence number of the records received from
+	// the worker.
 	lastSequence uint64
 	// lastAnsweredCallSent is when the last call that the worker answered was
 	// sent.
@@ -277,8 +277,8 @@
 	}
 }
 
-// Drain stops the placement of attempts and refuses the waiting ones. Running
-// attempts stay on their workers until other owners adopt them.
+// Drain refuses the waiting attempts and places no further ones. Running attempts
+// stay on their workers until other owners adopt them.
 func (o *Owner) Drain() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/node/request/gang.go
+++ b/internal/node/request/gang.go
@@ -12,13 +12,15 @@
 )
 
 const (
-	// gangLease is how long capacity stays reserved without a renewal.
-	gangLease = 3 * time.Second
+	// gangReservationLease is how long the capacity of a gang stays reserved unless the
+	// reservation is renewed.
+	gangReservationLease = 3 * time.Second
 	// collectDelay is how long a gang tries to reserve all its capacity at once
 	// before it starts to collect capacity that becomes free.
 	collectDelay = 3 * time.Second
-	// maxCollectTime is the longest time that a gang collects without a break,
-	// so that a gang that does not fit lets others collect.
+	// maxCollectTime is how long one try collects capacity. After that the gang
+	// releases it, so that a gang that does not fit does not keep others from
+	// collecting.
 	maxCollectTime    = 10 * time.Second
 	collectRetryPause = 100 * time.Millisecond
 	// The pause between two tries to reserve a gang is random within these
@@ -167,7 +169,7 @@
 	ctx, cancel := context.WithTimeout(ctx, entry.CallTimeout)
 	defer cancel()
 	return r.peers.Reserve(ctx, o, entry.ReserveArgs{
-		Epoch: o.Epoch, Gang: w.ID, Tasks: tasks, Lease: gangLease, Collect: collect,
+		Epoch: o.Epoch, Gang: w.ID, Tasks: tasks, Lease: gangReservationLease, Collect: collect,
 	})
 }
 
--- a/internal/node/request/request.go
+++ b/internal/node/request/request.go
@@ -30,7 +30,8 @@
 	// DeadlineMilliseconds is the time from the submission to the deadline;
 	// zero means no deadline.
 	DeadlineMilliseconds int64 `json:"deadline_milliseconds"`
-	// Repeatable tasks may run more than once, for example after a preemption.
+	// Repeatable means that the task may run more than once, for example after a
+	// preemption.
 	Repeatable bool `json:"repeatable"`
 	// Key is an idempotency key in the form of a ULID. It is required for tasks
 	// that are not repeatable.
--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -26,9 +26,10 @@
 	FreeFraction float64
 	// Waiting is the number of attempts in its queues.
 	Waiting int
-	// Usable targets are alive and neither suspected of a failure nor leaving.
+	// Usable is true for a target that is alive, not suspected of a failure and
+	// not leaving.
 	Usable bool
-	// Reachable targets are alive; they may be leaving.
+	// Reachable is true for a target that is alive, even if it is leaving.
 	Reachable bool
 }
 
@@ -99,8 +100,9 @@
 	Spec     Spec
 	// Submitted is when the caller submitted the work.
 	Submitted time.Time
-	// Domain restricts the task to the owners of one failure domain, so that a new
-	// holder has to ask only these; empty means any.
+	// Domain restricts the task to the owners of one failure domain, so that a
+	// later holder has to ask only those owners about its attempts; empty means
+	// any domain.
 	Domain string
 	// FirstAttempt is the number of the first attempt; 0 means 1.
 	FirstAttempt int
@@ -110,8 +112,8 @@
 	// always. It is called before the task is offered to an owner and while an
 	// attempt waits.
 	Permit func() bool
-	// Abandoned is closed when another holder has taken the task over. A
-	// running attempt is not stopped.
+	// Abandoned is closed when another holder has taken the task over. This does
+	// not stop a running attempt.
 	Abandoned <-chan struct{}
 	// resumed is true once an attempt ran and was stopped or failed.
 	resumed bool
@@ -291,10 +293,10 @@
 	return false
 }
 
-// isFinalRefusal reports whether the task is not offered to other owners after
-// a refusal. A task that is too large for the workers of one owner may fit
-// those of another. A task that was shed from one queue is not put into the
-// next.
+// isFinalRefusal reports whether a refusal is final, so that the task is not
+// offered to other owners. A task that is too large for the workers of one owner
+// may fit those of another. A task that was shed from one queue is not put into
+// the next.
 func isFinalRefusal(reason string) bool {
 	if reason == string(allocator.KindTooLarge) {
 		return false
--- a/internal/node/request/runner_test.go
+++ b/internal/node/request/runner_test.go
@@ -45,7 +45,8 @@
 type fakeWorker struct {
 	network *fakeNetwork
 	name    string
-	// muted workers receive every call, but their replies are lost.
+	// muted is true while the worker receives every call but its replies are
+	// lost.
 	muted bool
 
 	mutex    sync.Mutex
@@ -65,9 +66,9 @@
 	runningWorkers map[string]int
 	// startCounts maps each task to the number of its starts.
 	startCounts map[string]int
-	// violations are the broken rules, each with the events of its task.
+	// violations describes the broken rules, each with the events of its task.
 	violations []string
-	// events are the events of each task, for the report of a failure.
+	// events maps each task to its events, which are printed with its violations.
 	events map[string][]string
 	began  time.Time
 }
@@ -81,7 +82,7 @@
 
 // recordEventLocked is recordEvent for a caller that holds the lock.
 func (h *runHistory) recordEventLocked(attempt, format string, args ...any) {
-	name := taskOf(attempt)
+	name := taskIDOf(attempt)
 	h.events[name] = append(h.events[name], fmt.Sprintf("%s %s: ", time.Since(h.began), attempt)+fmt.Sprintf(format, args...))
 }
 
@@ -98,7 +99,8 @@
 	// lossProbability is the probability that a call or a reply is lost.
 	lossProbability float64
 	history         *runHistory
-	// reliable networks lose nothing and delay calls only briefly.
+	// reliable is true for a network that loses nothing and delays calls only
+	// briefly.
 	reliable bool
 }
 
@@ -181,7 +183,7 @@
 // setPhase changes the phase of an attempt, counts it in the history and wakes
 // the syncs. The caller holds the lock of the worker.
 func (w *fakeWorker) setPhase(r *worker.Record, p worker.Phase, reason string) {
-	task := taskOf(r.Attempt.ID)
+	task := taskIDOf(r.Attempt.ID)
 	h := w.network.history
 	h.mutex.Lock()
 	h.recordEventLocked(r.Attempt.ID, "%s on %s (token %v) %s", p, w.name, w.token, reason)
@@ -205,8 +207,8 @@
 	w.changed = make(chan struct{})
 }
 
-// taskOf returns the ID of the task of an attempt.
-func taskOf(attempt string) string {
+// taskIDOf returns the ID of the task of an attempt.
+func taskIDOf(attempt string) string {
 	for i := range attempt {
 		if attempt[i] == '/' {
 			return attempt[:i]
@@ -227,8 +229,8 @@
 	}
 }
 
-// renewLease extends the lease from now and checks it again at its end. A lease
-// of zero changes nothing.
+// renewLease makes the lease end after the given time and then stops the running
+// attempts, unless it was renewed. A lease of zero changes nothing.
 func (w *fakeWorker) renewLease(lease time.Duration) {
 	if lease <= 0 {
 		return
@@ -296,7 +298,7 @@
 		defer w.mutex.Unlock()
 		w.stopIfLeaseExpired()
 		if r.Phase == worker.Running {
-			r.Answer = []byte(taskOf(r.Attempt.ID))
+			r.Answer = []byte(taskIDOf(r.Attempt.ID))
 			w.setPhase(r, worker.Finished, "")
 		}
 	})
@@ -363,7 +365,8 @@
 	owners       map[string]*owner.Owner
 	incarnations map[string]uint64
 	stopFuncs    map[string]context.CancelFunc
-	// unreachable owners run, but calls of holders do not reach them.
+	// unreachable contains the owners that run but do not receive the calls of
+	// holders.
 	unreachable     map[string]bool
 	lastIncarnation uint64
 }
--- a/internal/operate/measure/measure.go
+++ b/internal/operate/measure/measure.go
@@ -21,8 +21,8 @@
 // Key identifies a counter or a histogram.
 type Key struct {
 	Name string
-	// Label is a label such as the queue, the store topic or an error kind. It may be
-	// empty.
+	// Label distinguishes counters or histograms of the same name, for example by
+	// queue, store topic or error kind. It may be empty.
 	Label string
 }
 
--- a/internal/operate/report/report.go
+++ b/internal/operate/report/report.go
@@ -43,12 +43,13 @@
 	// AloneVMHours is what a separate pool for the plan would need for the same
 	// waiting times.
 	AloneVMHours float64 `json:"alone_vm_hours"`
-	// SharedCost and AloneCost are the prices of SharedVMHours and AloneVMHours.
+	// SharedCost and AloneCost are the costs of SharedVMHours and AloneVMHours at
+	// the plan's price per VM-hour.
 	SharedCost float64 `json:"shared_cost"`
 	AloneCost  float64 `json:"alone_cost"`
 	// Started counts the started tasks.
 	Started int64 `json:"started"`
-	// Waiting counts the started tasks by waiting time, for each class.
+	// Waiting maps each class to the counts of its started tasks by waiting time.
 	Waiting map[string]usage.Buckets `json:"waiting"`
 }
 
--- a/internal/peer/backend/backend.go
+++ b/internal/peer/backend/backend.go
@@ -83,7 +83,7 @@
 	// Run numbers the runs of the task; later runs have higher numbers.
 	Run     int64
 	Payload string
-	// Deadline is when the lease expires, as a reading of the worker's clock.
+	// Deadline is the time on the worker's clock at which the lease expires.
 	Deadline time.Duration
 	// Token is the leader's fencing token.
 	Token int64
@@ -118,7 +118,7 @@
 	// Acknowledged is the highest End.Number that the leader has stored. The
 	// worker reports only ended runs with a higher number.
 	Acknowledged int64
-	// Deadline is when the lease expires, as a reading of the worker's clock; 0
+	// Deadline is the time on the worker's clock at which the lease expires; 0
 	// leaves the lease unchanged.
 	Deadline time.Duration
 	// Wait is how long the worker may delay its answer until a run ends.
@@ -156,8 +156,8 @@
 
 // End describes a run that has ended.
 type End struct {
-	// Number numbers the ended runs in the current life of the worker, in the
-	// order in which they ended. It increases by one per run.
+	// Number is 1 higher for each run that ends in the current life of the
+	// worker.
 	Number     int64
 	Task       work.TaskID
 	Run        int64
@@ -168,7 +168,7 @@
 // Report is a worker's answer to a Hold.
 type Report struct {
 	Life Life
-	// Clock is the reading of the worker's clock.
+	// Clock is the time on the worker's clock when it sent the report.
 	Clock   time.Duration
 	Running []Run
 	// Ended lists the ended runs that have not been acknowledged.
@@ -180,7 +180,7 @@
 
 // Worker sends orders to one worker. Errors are of type *Error.
 type Worker interface {
-	// Start also returns the reading of the worker's clock, or 0 when it is
+	// Start also returns the time on the worker's clock, or 0 when that time is
 	// unknown.
 	Start(ctx context.Context, s Start) (clock time.Duration, err error)
 	Stop(ctx context.Context, s Stop) error
--- a/internal/peer/entry/client.go
+++ b/internal/peer/entry/client.go
@@ -51,15 +51,16 @@
 	probing bool
 }
 
-// NewClient returns a client that counts its traffic in counter. Calls to peers for which
-// blocked returns true fail.
+// NewClient returns a client that counts its traffic in counter. A call fails
+// when blocked returns true for its peer.
 func NewClient(counter *traffic.Counter, blocked func(a netip.AddrPort) bool) *Client {
 	return &Client{counter: counter, blocked: blocked, connections: map[netip.AddrPort]*peerConnection{}}
 }
 
-// acquire returns the open connection to a peer or dials a new one. It counts one
-// more call in flight on the connection, until releaseConnection is called.
-func (c *Client) acquire(a netip.AddrPort) (*peerConnection, error) {
+// acquireConnection returns the open connection to a peer or dials a new one. It
+// counts one more call in flight on the connection, until releaseConnection is
+// called.
+func (c *Client) acquireConnection(a netip.AddrPort) (*peerConnection, error) {
 	c.mutex.Lock()
 	if p := c.connections[a]; p != nil {
 		p.callsInFlight++
@@ -129,7 +130,7 @@
 	}
 }
 
-// releaseConnection ends a call that acquire counted as in flight.
+// releaseConnection ends a call that acquireConnection counted as in flight.
 func (c *Client) releaseConnection(p *peerConnection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -142,7 +143,7 @@
 	if c.blocked(a) {
 		return fault.Newf(method, KindNotSent, "fault injection blocks the peer")
 	}
-	p, err := c.acquire(a)
+	p, err := c.acquireConnection(a)
 	if err != nil {
 		return fault.New(method, KindNotSent, err)
 	}
--- a/internal/peer/worker/protocol.go
+++ b/internal/peer/worker/protocol.go
@@ -28,8 +28,8 @@
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Token is a fencing token. A worker rejects calls with a lower token than the
-// highest it has seen.
+// Token is a fencing token. A worker rejects calls whose token is lower than the
+// highest that it has seen.
 type Token struct {
 	// Epoch orders tokens; a later adoption has a higher epoch.
 	Epoch uint64 `json:"epoch"`
