--- a/internal/node/owner/calls.go
+++ b/internal/node/owner/calls.go
@@ -67,7 +67,7 @@
 	now := time.Now()
 	size := int64(len(t.Payload))
 	if o.payloadBytes+size > o.payloadLimit {
-		return nil, fault.Newf("admit", allocator.KindQueueFull, "payloads of attempts take %d bytes", o.payloadBytes)
+		return nil, fault.Newf("admit", allocator.KindQueueFull, "the payloads of attempts already take %d bytes, so this payload would exceed the limit", o.payloadBytes)
 	}
 	task := &allocator.Task{
 		Attempt: t.Attempt, Plan: t.Plan, Class: t.Class, Size: t.Size, Spread: t.Spread,
@@ -96,8 +96,7 @@
 const maxQueuedWait = entry.HolderLease / 2
 
 // waitForEnd returns the status of an attempt once the attempt has ended or the
-// wait time is over. While the attempt is queued it waits for maxQueuedWait at
-// most.
+// wait time is over. For a queued attempt it waits at most for maxQueuedWait.
 func (o *Owner) waitForEnd(a *attempt, wait time.Duration) entry.Status {
 	timer := time.NewTimer(min(wait, MaxCallWait))
 	defer timer.Stop()
--- a/internal/node/owner/gang.go
+++ b/internal/node/owner/gang.go
@@ -79,7 +79,7 @@
 }
 
 // collectForGang reserves free capacity for the tasks of the collecting gang.
-// When the lease of the gang has ended, the gang stops collecting.
+// When the lease of the gang has expired, the gang stops collecting.
 func (o *Owner) collectForGang(now time.Time) {
 	if now.After(o.collecting.expiresAt) {
 		o.collecting = collectingGang{}
--- a/internal/node/owner/maintenance.go
+++ b/internal/node/owner/maintenance.go
@@ -35,7 +35,7 @@
 // attempts during the pause, and a call that was delayed by the pause must not
 // start these. Waiting attempts end as not run. The caller holds the lock.
 func (o *Owner) detectPause(now time.Time) {
-	if now.Sub(o.lastTick) <= maxPause {
+	if now.Sub(o.lastTick) <= maxLoopPause {
 		return
 	}
 	o.log.Info("paused", "gap", now.Sub(o.lastTick).String())
@@ -48,10 +48,10 @@
 	}
 }
 
-// maxPause is the longest pause of the loop that does not start a new epoch. It
+// maxLoopPause is the longest pause of the loop that does not start a new epoch. It
 // is well below entry.HolderLease, after which a holder may have given up on
 // this owner.
-const maxPause = entry.HolderLease / 2
+const maxLoopPause = entry.HolderLease / 2
 
 // Epoch returns the current epoch of this owner. Calls that carry another epoch
 // are refused.
@@ -62,9 +62,9 @@
 	return o.epoch
 }
 
-// removeExpired drops waiting attempts that can no longer meet their deadline or
-// have waited too long, reservations that were not renewed, and ended attempts
-// and fenced tasks whose retention time is over.
+// removeExpired drops waiting attempts that can no longer meet their deadline,
+// urgent attempts that have waited too long, reservations that were not renewed,
+// and ended attempts and fenced tasks whose retention time is over.
 func (o *Owner) removeExpired() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/node/owner/owner_test.go
+++ b/internal/node/owner/owner_test.go
@@ -128,8 +128,8 @@
 	return o, cancel
 }
 
-// runArgs returns the arguments of a Run call that returns without waiting for
-// the end of the attempt.
+// runArgs returns the arguments of a Run call that does not wait until the
+// attempt ends.
 func runArgs(epoch uint64, attempt string) entry.RunArgs {
 	return entry.RunArgs{Epoch: epoch, Wait: time.Millisecond, Task: entry.Task{Attempt: attempt, Plan: "p", Class: plan.Urgent, Size: capacity}}
 }
--- a/internal/node/owner/session.go
+++ b/internal/node/owner/session.go
@@ -88,7 +88,7 @@
 func (o *Owner) runSession(s *session) {
 	var highest worker.Token
 	for {
-		if !o.continueOrRemove(s) {
+		if !o.keepOrRemoveSession(s) {
 			return
 		}
 		current, ok := o.adoptWorker(s, highest)
@@ -108,9 +108,9 @@
 	}
 }
 
-// continueOrRemove returns true when the worker is still to be adopted.
+// keepOrRemoveSession returns true when this owner should adopt the worker.
 // Otherwise it removes the session and returns false.
-func (o *Owner) continueOrRemove(s *session) bool {
+func (o *Owner) keepOrRemoveSession(s *session) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if s.assigned && !o.draining && o.ctx.Err() == nil {
--- a/internal/peer/store/store.go
+++ b/internal/peer/store/store.go
@@ -110,7 +110,7 @@
 
 // Store is the interface to the platform's store. Errors are of type *Error.
 type Store interface {
-	// Append returns the end offset of the topic after the append.
+	// Append appends records and returns the end offset of the topic after that.
 	Append(ctx context.Context, a Append) (int64, error)
 	// Read returns the records from r.From on. When there are none, it waits up to
 	// r.Wait for one; the deadline of ctx must allow for that wait.
