--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -52,8 +52,8 @@
 
 // Router chooses the owner that an attempt is offered to.
 type Router interface {
-	// Route returns the target to try next, or false when every usable target is
-	// in tried.
+	// Route returns the target to try next. It returns false when every usable
+	// target has been tried; tried contains the names of those.
 	Route(targets []Target, class plan.Class, tried map[string]bool) (Target, bool)
 }
 
--- a/internal/operate/deployment/deployment.go
+++ b/internal/operate/deployment/deployment.go
@@ -17,7 +17,7 @@
 // The kinds of Error.
 const (
 	KindUnreadable Kind = "unreadable"
-	// KindInvalid means that a file has malformed content or an invalid value.
+	// KindInvalid means that a file is malformed or contains an invalid value.
 	KindInvalid Kind = "invalid"
 )
 
--- a/internal/peer/link/client.go
+++ b/internal/peer/link/client.go
@@ -41,7 +41,7 @@
 	service     string
 	mutex       sync.Mutex
 	connections map[netip.AddrPort]*rpc.Client
-	// lastUnanswered is the time of the last unanswered call to each peer. A
+	// lastUnanswered maps each peer to the time of its last unanswered call. A
 	// successful call deletes the entry.
 	lastUnanswered map[netip.AddrPort]time.Time
 }
