--- a/internal/node/owner/gang.go
+++ b/internal/node/owner/gang.go
@@ -7,10 +7,10 @@
 	"github.com/almondpost/almondpost/internal/peer/entry"
 )
 
-// collectingGang is the gang that collects capacity at this owner: capacity
-// that becomes free is reserved for its tasks before any queue. At most one
-// gang collects at a time. The right to collect is a lease, so that a gang
-// whose holder is gone does not block others.
+// collectingGang is the gang that collects capacity at this owner: capacity that
+// becomes free is reserved for its tasks before any queued attempt can use it. At
+// most one gang collects at a time. The right to collect is a lease, so that a
+// gang whose holder is gone does not block others.
 type collectingGang struct {
 	id        string
 	expiresAt time.Time
@@ -18,15 +18,16 @@
 	unplaced []entry.Task
 }
 
-// maxGangLease is the longest time that capacity stays reserved for a gang
+// maxGangReservationLease is the longest time that capacity stays reserved for a gang
 // without a renewal.
-const maxGangLease = 5 * time.Second
+const maxGangReservationLease = 5 * time.Second
 
 // Reserve reserves capacity for as many tasks of a gang as fit, and renews the
 // reservations that the gang already has. If r.Collect is set, capacity that
-// becomes free later is reserved for the other tasks before any queue; the
-// reply says Busy when another gang collects. The only error is entry.ErrEpoch,
-// for a call that was meant for another epoch of this owner.
+// becomes free later is reserved for the other tasks before any queued attempt
+// can use it; if another gang is already collecting, Reserve does nothing and
+// returns Busy. The only error is entry.ErrEpochMismatch, for a call that carries
+// another epoch.
 func (o *Owner) Reserve(r entry.ReserveArgs) (entry.ReserveReply, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -35,7 +36,7 @@
 	if r.Epoch != o.epoch {
 		return entry.ReserveReply{}, entry.ErrEpochMismatch
 	}
-	until := now.Add(min(r.Lease, maxGangLease))
+	until := now.Add(min(r.Lease, maxGangReservationLease))
 	if r.Collect {
 		if o.collecting.id != r.Gang && now.Before(o.collecting.expiresAt) {
 			return entry.ReserveReply{Busy: true}, nil
@@ -78,7 +79,7 @@
 }
 
 // collectForGang reserves free capacity for the tasks of the collecting gang.
-// When the lease of the gang has ended, the gang stops collecting.
+// When the lease of the gang has expired, the gang stops collecting.
 func (o *Owner) collectForGang(now time.Time) {
 	if now.After(o.collecting.expiresAt) {
 		o.collecting = collectingGang{}
@@ -103,12 +104,12 @@
 	}
 	a.reservedUntil = time.Time{}
 	o.observer.Started(a.task, 0)
-	o.meter.CountStart(a.task.Customer, a.task.Plan, string(a.task.Class), 0)
+	o.usageMeter.CountStart(a.task.Customer, a.task.Plan, string(a.task.Class), 0)
 	go o.startOnWorker(s.peer, newStartRequest(s.token, a), a)
 }
 
-// expireReservations gives back capacity that was reserved for a gang and
-// neither renewed nor used in time.
+// expireReservations frees the capacity of reservations that were neither renewed
+// nor used in time, and ends their attempts as not run.
 func (o *Owner) expireReservations(now time.Time) {
 	for id, a := range o.attempts {
 		if !a.reservedUntil.IsZero() && now.After(a.reservedUntil) && !a.status.State.Ended() {
--- a/internal/node/request/request.go
+++ b/internal/node/request/request.go
@@ -30,7 +30,8 @@
 	// DeadlineMilliseconds is the time from the submission to the deadline;
 	// zero means no deadline.
 	DeadlineMilliseconds int64 `json:"deadline_milliseconds"`
-	// Repeatable tasks may run more than once, for example after a preemption.
+	// Repeatable means that the task may run more than once, for example after a
+	// preemption.
 	Repeatable bool `json:"repeatable"`
 	// Key is an idempotency key in the form of a ULID. It is required for tasks
 	// that are not repeatable.
@@ -99,8 +100,8 @@
 	ID     string `json:"id"`
 	State  State  `json:"state"`
 	Reason string `json:"reason,omitempty"`
-	// RetryAfterMilliseconds says when a task that was not run may be submitted
-	// again; zero means no hint.
+	// RetryAfterMilliseconds is how long the caller should wait before it
+	// resubmits a task that was not run; zero means no hint.
 	RetryAfterMilliseconds int64 `json:"retry_after_milliseconds,omitempty"`
 	// WaitedMilliseconds is how long the last attempt was queued before its
 	// start.
--- a/internal/peer/backend/backend.go
+++ b/internal/peer/backend/backend.go
@@ -34,7 +34,8 @@
 	KindNoRoom Kind = "no_room"
 	// KindTicket means that the order lacks a valid ticket.
 	KindTicket Kind = "ticket"
-	// KindOtherLife means that another process runs at the worker's address.
+	// KindOtherLife means that the process at the worker's address is not the one
+	// that the order is meant for.
 	KindOtherLife Kind = "other_life"
 	// KindUnhealthy means that the worker temporarily accepts no orders.
 	KindUnhealthy Kind = "unhealthy"
@@ -82,7 +83,7 @@
 	// Run numbers the runs of the task; later runs have higher numbers.
 	Run     int64
 	Payload string
-	// Deadline is when the lease expires, as a reading of the worker's clock.
+	// Deadline is the time on the worker's clock at which the lease expires.
 	Deadline time.Duration
 	// Token is the leader's fencing token.
 	Token int64
@@ -114,10 +115,10 @@
 // requests a Report. It is a long poll.
 type Hold struct {
 	Token int64
-	// Acknowledged is the highest End.Number that the leader has stored. The worker
-	// lists only later ends.
+	// Acknowledged is the highest End.Number that the leader has stored. The
+	// worker reports only ended runs with a higher number.
 	Acknowledged int64
-	// Deadline is when the lease expires, as a reading of the worker's clock; 0
+	// Deadline is the time on the worker's clock at which the lease expires; 0
 	// leaves the lease unchanged.
 	Deadline time.Duration
 	// Wait is how long the worker may delay its answer until a run ends.
@@ -155,8 +156,8 @@
 
 // End describes a run that has ended.
 type End struct {
-	// Number counts the ends in the current life of the worker; it increases by one
-	// with each end.
+	// Number is 1 higher for each run that ends in the current life of the
+	// worker.
 	Number     int64
 	Task       work.TaskID
 	Run        int64
@@ -167,19 +168,19 @@
 // Report is a worker's answer to a Hold.
 type Report struct {
 	Life Life
-	// Clock is the reading of the worker's clock.
+	// Clock is the time on the worker's clock when it sent the report.
 	Clock   time.Duration
 	Running []Run
-	// Ended lists the ends that have not been acknowledged.
+	// Ended lists the ended runs that have not been acknowledged.
 	Ended []End
-	// Truncated means that Ended may be incomplete. The worker lists further ends
-	// after these have been acknowledged.
+	// Truncated means that Ended may be incomplete. The worker reports the other
+	// ended runs once these have been acknowledged.
 	Truncated bool
 }
 
 // Worker sends orders to one worker. Errors are of type *Error.
 type Worker interface {
-	// Start also returns the reading of the worker's clock, or 0 when it is
+	// Start also returns the time on the worker's clock, or 0 when that time is
 	// unknown.
 	Start(ctx context.Context, s Start) (clock time.Duration, err error)
 	Stop(ctx context.Context, s Stop) error
--- a/internal/peer/store/store.go
+++ b/internal/peer/store/store.go
@@ -22,8 +22,9 @@
 	// KindFenced means that the same producer has already written with a higher
 	// epoch.
 	KindFenced Kind = "fenced"
-	// KindConflict means that the end of the topic violates the condition of the
-	// append, or that a sequence number of the producer is missing.
+	// KindConflict means that the topic does not meet the condition of the
+	// append, or that the store has not received the producer's preceding
+	// sequence number.
 	KindConflict Kind = "conflict"
 	// KindDropped means that the store has deleted records in the requested range.
 	KindDropped Kind = "dropped"
@@ -102,14 +103,14 @@
 // Snapshot contains the newest record of each key in a partition.
 type Snapshot struct {
 	Records []Record
-	// End is the offset from which to continue reading. Records may already include
-	// some records after it.
+	// End is the offset from which to continue reading. Records may already
+	// contain some of the records from this offset on.
 	End int64
 }
 
 // Store is the interface to the platform's store. Errors are of type *Error.
 type Store interface {
-	// Append returns the end offset of the topic after the append.
+	// Append appends records and returns the end offset of the topic after that.
 	Append(ctx context.Context, a Append) (int64, error)
 	// Read returns the records from r.From on. When there are none, it waits up to
 	// r.Wait for one; the deadline of ctx must allow for that wait.
