--- a/internal/state/job/spec.go
+++ b/internal/state/job/spec.go
@@ -14,11 +14,11 @@
 // string when the spec is valid.
 func (s Spec) Validate() string {
 	if len(s.Tasks) == 0 || len(s.Tasks) > MaxTasks {
-		return fmt.Sprintf("tasks: the job has %d tasks, must be between 1 and %d", len(s.Tasks), MaxTasks)
+		return fmt.Sprintf("tasks: %d of them, must be between 1 and %d", len(s.Tasks), MaxTasks)
 	}
 	for i, t := range s.Tasks {
 		if t.Key != "" {
-			return fmt.Sprintf("tasks[%d]: key is not allowed in a job, which is accepted only once", i)
+			return fmt.Sprintf("tasks[%d]: key is not allowed in a job; the job is accepted once", i)
 		}
 		if !t.Repeatable {
 			// The job record in the log replaces the idempotency key that a
@@ -29,7 +29,7 @@
 			return fmt.Sprintf("tasks[%d]: %s", i, reason)
 		}
 		if t.Plan != s.Tasks[0].Plan {
-			return fmt.Sprintf("tasks[%d]: plan %s differs from the plan of the first task", i, t.Plan)
+			return fmt.Sprintf("tasks[%d]: plan %s differs from that of the first task", i, t.Plan)
 		}
 	}
 	return ""
