--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -9,24 +9,25 @@
 	"github.com/almondpost/almondpost/internal/operate/invariant"
 )
 
-// Item is one entry of a Queue.
+// Item holds a value that waits in a Queue.
 type Item[T any] struct {
 	Value T
 	// Deadline is when RemoveExpired removes the item; zero means never.
 	Deadline time.Time
 	// EnqueuedAt is when the item began to wait. The caller sets it.
 	EnqueuedAt time.Time
-	// removed is set once the item has been removed. It may remain in
-	// Queue.items after that.
+	// removed is true once the item has been removed from the queue.
+	// Queue.items may still contain the item for a while.
 	removed bool
 }
 
 // Queue is a first-in first-out queue. Removal takes constant time because
-// Remove only marks an item; other methods skip marked items.
+// Remove only marks an item as removed; the other methods skip marked items.
 type Queue[T any] struct {
 	items []*Item[T]
-	// head is the index of the first item; the entries before it are nil.
-	head int
+	// headIndex is the index of the first entry in items that is in use; the
+	// entries before it are nil.
+	headIndex int
 	// length is the number of items that are not removed.
 	length int
 }
@@ -34,7 +35,7 @@
 // Len returns the number of items that are not removed.
 func (q *Queue[T]) Len() int { return q.length }
 
-// Push adds an item at the end.
+// Push adds an item at the end of the queue.
 func (q *Queue[T]) Push(i *Item[T]) {
 	q.items = append(q.items, i)
 	q.length++
@@ -42,16 +43,16 @@
 
 // Head returns the first item, or nil when the queue is empty.
 func (q *Queue[T]) Head() *Item[T] {
-	q.dropRemovedHead()
-	if q.head >= len(q.items) {
+	q.advanceHead()
+	if q.headIndex >= len(q.items) {
 		return nil
 	}
-	return q.items[q.head]
+	return q.items[q.headIndex]
 }
 
 // Tail returns the last item, or nil when the queue is empty.
 func (q *Queue[T]) Tail() *Item[T] {
-	for i := len(q.items) - 1; i >= q.head; i-- {
+	for i := len(q.items) - 1; i >= q.headIndex; i-- {
 		if !q.items[i].removed {
 			return q.items[i]
 		}
@@ -69,34 +70,35 @@
 	i.removed = true
 	q.length--
 	invariant.Check(q.length >= 0, "negative_queue", "length %d", q.length)
-	q.dropRemovedHead()
+	q.advanceHead()
 }
 
-// minCompactHead is the number of unused entries before head that must be
-// exceeded for items to be compacted. It prevents frequent copying of short
+// compactThreshold is the number of unused entries at the start of Queue.items
+// above which the slice may be compacted. It prevents frequent copying of short
 // queues.
-const minCompactHead = 1024
+const compactThreshold = 1024
 
-// dropRemovedHead moves head past removed items and frees the entries before
-// it.
-func (q *Queue[T]) dropRemovedHead() {
-	for q.head < len(q.items) && q.items[q.head].removed {
-		q.items[q.head] = nil
-		q.head++
+// advanceHead moves headIndex past removed items and clears their entries. It
+// compacts items when more than compactThreshold and more than half of its
+// entries are unused.
+func (q *Queue[T]) advanceHead() {
+	for q.headIndex < len(q.items) && q.items[q.headIndex].removed {
+		q.items[q.headIndex] = nil
+		q.headIndex++
 	}
-	if q.head > minCompactHead && q.head*2 > len(q.items) {
-		q.items = append(q.items[:0], q.items[q.head:]...)
-		q.head = 0
+	if q.headIndex > compactThreshold && q.headIndex*2 > len(q.items) {
+		q.items = append(q.items[:0], q.items[q.headIndex:]...)
+		q.headIndex = 0
 	}
-	if q.head == len(q.items) {
-		q.items, q.head = q.items[:0], 0
+	if q.headIndex == len(q.items) {
+		q.items, q.headIndex = q.items[:0], 0
 	}
 }
 
 // RemoveExpired removes every item whose deadline is not after now, and calls f
 // for each of them.
 func (q *Queue[T]) RemoveExpired(now time.Time, f func(i *Item[T])) {
-	for _, i := range q.items[q.head:] {
+	for _, i := range q.items[q.headIndex:] {
 		if i.removed || i.Deadline.IsZero() || i.Deadline.After(now) {
 			continue
 		}
@@ -104,5 +106,5 @@
 		q.length--
 		f(i)
 	}
-	q.dropRemovedHead()
+	q.advanceHead()
 }
--- a/internal/decide/allocator/allocator.go
+++ b/internal/decide/allocator/allocator.go
@@ -24,11 +24,11 @@
 const (
 	KindUnknownPlan     Kind = "unknown_plan"
 	KindClassNotAllowed Kind = "class_not_allowed"
-	// KindTooLarge means that the task would fit no worker even if it were
-	// empty.
+	// KindTooLarge means that the task would not fit any worker, not even an
+	// empty one.
 	KindTooLarge Kind = "fits_no_worker"
-	// KindPlanLimit means that the task is larger than its plan allows for one
-	// task.
+	// KindPlanLimit means that the task is larger than the largest task that
+	// its plan allows.
 	KindPlanLimit Kind = "above_plan_limit"
 	// KindQueueFull means that too many tasks of the plan and class, or of all
 	// plans together, are waiting.
@@ -41,11 +41,11 @@
 	// KindNoWorkers means that the entry VM has no workers, or none left that
 	// the task fits.
 	KindNoWorkers Kind = "no_workers"
-	// KindShed means that a waiting task was dropped in favour of a more urgent
-	// one.
+	// KindShed means that a waiting task was dropped from a full queue in
+	// favour of a more urgent one.
 	KindShed Kind = "shed"
-	// KindDeadlineOver means that the task waited too long, for its deadline or
-	// for Limits.UrgentWait.
+	// KindDeadlineOver means that a waiting task was dropped because it can no
+	// longer complete by its deadline or has waited for Limits.UrgentWait.
 	KindDeadlineOver Kind = "deadline_over"
 	// KindDraining means that the entry VM no longer accepts tasks.
 	KindDraining Kind = "draining"
@@ -54,33 +54,34 @@
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Task is one attempt to run a task. It waits for a worker or runs on one.
+// Task is one attempt to run a task.
 type Task struct {
 	// Attempt is the ID of the attempt, unique over all attempts.
 	Attempt string
 	Plan    string
 	Class   plan.Class
 	Size    resource.Vector
-	// Spread names a group of tasks that should run on different racks; it may
-	// be empty.
+	// Spread names a group of tasks that should run on different racks. It is
+	// empty for a task without a group.
 	Spread string
-	// Repeatable tasks may be preempted and run again later.
+	// Repeatable is true if the task may be preempted and run again later.
 	Repeatable bool
 	// RunTime is the declared run time of the task.
 	RunTime time.Duration
-	// Deadline is when the result is of no more use to the caller; zero means
-	// never.
+	// Deadline is the time after which the caller has no use for the result;
+	// zero means no deadline.
 	Deadline time.Time
-	// Resumed is set when an earlier attempt of the task ran and was stopped.
-	// Limits.UrgentWait does not apply then, because the caller would be told
-	// that the task was not run.
+	// Resumed is true if an earlier attempt of the task ran and was stopped.
+	// Limits.UrgentWait does not apply to such a task, because its caller would
+	// be told that the task was not run.
 	Resumed bool
-	// Payload is opaque to the allocator.
+	// Payload is returned with the task; the allocator does not read it.
 	Payload any
 }
 
-// Decision is a task to start on a worker. The capacity is already reserved.
-type Decision struct {
+// Assignment tells which task to start on which worker. The capacity is already
+// reserved.
+type Assignment struct {
 	Task   *Task
 	Worker string
 	// Waited is how long the task was queued.
@@ -98,17 +99,18 @@
 type Preemption struct {
 	Attempt string
 	Worker  string
-	// ForPlan is the plan of the waiting task. It may be the plan of the attempt.
+	// ForPlan is the plan of the waiting task. It may also be the plan of the
+	// preempted attempt.
 	ForPlan string
 }
 
 // Limits bounds the waiting queues of an allocator.
 type Limits struct {
-	// Waiting bounds the number of waiting tasks of all plans together.
+	// Waiting is the maximum number of waiting tasks of all plans together.
 	Waiting int
-	// UrgentWait bounds how long an urgent task waits. After that it is dropped
-	// as not run, since a late start is of little use to its caller. Zero means
-	// no bound.
+	// UrgentWait is the maximum time that an urgent task waits; zero means no
+	// limit. After that time the task is dropped and reported as not run, since
+	// a late start is of little use to its caller.
 	UrgentWait time.Duration
 }
 
@@ -119,47 +121,51 @@
 	policy placement.Policy
 	limits Limits
 	plans  *plan.Index
-	// queuesByPlan is keyed by plan name.
+	// queuesByPlan holds the queues of each plan, keyed by plan name.
 	queuesByPlan map[string]*planQueues
-	// activeQueues holds all queues with waiting tasks. It may hold empty ones
-	// until the next call of candidateHeap.
+	// activeQueues lists the queues of all plans with waiting tasks. Queues
+	// that have become empty stay in the list until the next call of
+	// candidateHeap.
 	activeQueues []*planQueues
 	// heapBuffer is reused by candidateHeap to avoid allocations.
 	heapBuffer []candidate
-	// waitingItems is keyed by attempt.
-	waitingItems map[string]*admission.Item[*Task]
-	// preemptionsInFlight counts, by waiting plan, the preempted attempts that
-	// have not ended yet.
-	preemptionsInFlight map[string]int
-	// preemptedFor maps preempted attempts to the waiting plan.
-	preemptedFor map[string]string
-	// draining allocators refuse new tasks.
+	// waitingByAttempt holds the queue items of all waiting tasks, keyed by
+	// attempt.
+	waitingByAttempt map[string]*admission.Item[*Task]
+	// pendingPreemptionsByPlan counts the preempted attempts that have not
+	// ended yet, by the plan that gets their capacity.
+	pendingPreemptionsByPlan map[string]int
+	// preemptorPlanByAttempt maps each preempted attempt that has not ended yet
+	// to the plan that gets its capacity.
+	preemptorPlanByAttempt map[string]string
+	// draining is true after a call of Drain; new tasks are refused then.
 	draining bool
 }
 
-// planQueues holds the waiting tasks of one plan. Its arrays are indexed by the
-// rank of the class.
+// planQueues holds the waiting tasks of one plan in a queue per class. Its
+// arrays are indexed by the rank of the class.
 type planQueues struct {
-	name        string
-	account     *share.Account
-	entitlement plan.Entitlement
-	byClass     [len(plan.Classes)]admission.Queue[*Task]
-	// blockedHead is the last head of a class that could not start, because it
-	// fitted no worker or the plan was at its limit. blockedSince is the value
-	// of Ledger.FreedCount at that time.
-	blockedHead  [len(plan.Classes)]*admission.Item[*Task]
-	blockedSince [len(plan.Classes)]uint64
-	// atLimit is set while the plan's limit keeps the head of a class from
-	// starting.
+	name         string
+	account      *share.Account
+	entitlement  plan.Entitlement
+	queueByClass [len(plan.Classes)]admission.Queue[*Task]
+	// blockedHead holds the last head of each queue that could not start,
+	// because it fitted no worker or the plan was at its limit.
+	// blockedAtFreedCount holds the value of Ledger.FreedCount at the latest
+	// check that the head fits no worker.
+	blockedHead         [len(plan.Classes)]*admission.Item[*Task]
+	blockedAtFreedCount [len(plan.Classes)]uint64
+	// atLimit is true for a class while the plan's limit keeps the head of its
+	// queue from starting.
 	atLimit [len(plan.Classes)]bool
-	// active is set while the queues are in Allocator.activeQueues.
+	// active is true while Allocator.activeQueues contains these queues.
 	active bool
 }
 
-func (p *planQueues) len() int {
+func (p *planQueues) waitingCount() int {
 	n := 0
-	for i := range p.byClass {
-		n += p.byClass[i].Len()
+	for i := range p.queueByClass {
+		n += p.queueByClass[i].Len()
 	}
 	return n
 }
@@ -169,8 +175,8 @@
 	empty, _ := plan.NewIndex(plan.Lists{})
 	return &Allocator{
 		ledger: ledger.New(), shares: share.New(), policy: policy, limits: limits, plans: empty,
-		queuesByPlan: map[string]*planQueues{}, waitingItems: map[string]*admission.Item[*Task]{},
-		preemptionsInFlight: map[string]int{}, preemptedFor: map[string]string{},
+		queuesByPlan: map[string]*planQueues{}, waitingByAttempt: map[string]*admission.Item[*Task]{},
+		pendingPreemptionsByPlan: map[string]int{}, preemptorPlanByAttempt: map[string]string{},
 	}
 }
 
@@ -181,7 +187,7 @@
 func (a *Allocator) Shares() *share.Accounts { return a.shares }
 
 // Waiting returns the number of waiting tasks.
-func (a *Allocator) Waiting() int { return len(a.waitingItems) }
+func (a *Allocator) Waiting() int { return len(a.waitingByAttempt) }
 
 // SetPlans replaces the plans and their limits. Waiting and running tasks are
 // kept.
@@ -206,8 +212,8 @@
 }
 
 // AddWorker adds a worker with the attempts that already run on it. It removes
-// these attempts from the waiting queues. It returns an error when a worker of
-// that name is known.
+// these attempts from the waiting queues. It returns an error if a worker of
+// that name was added before.
 func (a *Allocator) AddWorker(name, rack string, capacity resource.Vector, running []RunningAttempt) error {
 	if err := a.ledger.AddWorker(name, rack, capacity); err != nil {
 		return err
@@ -222,7 +228,7 @@
 			a.shares.Charge(r.Plan, r.Size)
 		}
 	}
-	a.shares.SetTotal(a.ledger.Total())
+	a.shares.SetPoolCapacity(a.ledger.TotalCapacity())
 	return nil
 }
 
@@ -236,16 +242,16 @@
 		a.endPreemption(r.Attempt)
 		attempts = append(attempts, r.Attempt)
 	}
-	a.shares.SetTotal(a.ledger.Total())
+	a.shares.SetPoolCapacity(a.ledger.TotalCapacity())
 	return attempts
 }
 
-// DropUnplaceable drops and returns the waiting tasks that would fit no worker even
-// if it were empty. This happens when the only workers that they fit are
-// removed.
+// DropUnplaceable drops and returns the waiting tasks that would not fit any
+// worker, not even an empty one. This happens after the removal of all workers
+// that were large enough for them.
 func (a *Allocator) DropUnplaceable() []Refusal {
 	var out []Refusal
-	for _, i := range a.waitingItems {
+	for _, i := range a.waitingByAttempt {
 		if !a.ledger.FitsAnyWorker(i.Value.Size) {
 			out = append(out, Refusal{Task: i.Value, Reason: KindNoWorkers})
 		}
@@ -266,7 +272,7 @@
 func (a *Allocator) Drain() []Refusal {
 	a.draining = true
 	var out []Refusal
-	for _, i := range a.waitingItems {
+	for _, i := range a.waitingByAttempt {
 		out = append(out, Refusal{Task: i.Value, Reason: KindDraining})
 	}
 	for _, r := range out {
@@ -276,17 +282,17 @@
 }
 
 // Enqueue adds a task to the queue of its plan and class, or returns an error
-// with the reason for refusing it. When Limits.Waiting tasks are waiting
-// already, a less urgent one is dropped and returned; if there is none, the new
-// task is refused.
+// with the reason for refusing it. When Limits.Waiting tasks are already
+// waiting, a less urgent task is dropped and returned as shed; if there is
+// none, the new task is refused.
 func (a *Allocator) Enqueue(now time.Time, t *Task) (shed *Refusal, err error) {
 	q, err := a.admit(now, t)
 	if err != nil {
 		return nil, err
 	}
-	if len(a.waitingItems) >= a.limits.Waiting {
-		if shed = a.shed(t.Class.Rank()); shed == nil {
-			return nil, fault.Newf("enqueue", KindQueueFull, "%d tasks are waiting", len(a.waitingItems))
+	if len(a.waitingByAttempt) >= a.limits.Waiting {
+		if shed = a.shedLessUrgent(t.Class.Rank()); shed == nil {
+			return nil, fault.Newf("enqueue", KindQueueFull, "%d tasks are waiting", len(a.waitingByAttempt))
 		}
 	}
 	i := &admission.Item[*Task]{Value: t, EnqueuedAt: now}
@@ -296,8 +302,8 @@
 	if limit := now.Add(a.limits.UrgentWait); a.limits.UrgentWait > 0 && t.Class == plan.Urgent && !t.Resumed && (i.Deadline.IsZero() || limit.Before(i.Deadline)) {
 		i.Deadline = limit
 	}
-	a.waitingItems[t.Attempt] = i
-	q.byClass[t.Class.Rank()].Push(i)
+	a.waitingByAttempt[t.Attempt] = i
+	q.queueByClass[t.Class.Rank()].Push(i)
 	if !q.active {
 		q.active = true
 		a.activeQueues = append(a.activeQueues, q)
@@ -317,14 +323,14 @@
 		return refuse(KindDraining, "this entry VM is draining")
 	case !ok:
 		return refuse(KindUnknownPlan, "plan %q is not in the configuration", t.Plan)
-	case t.Class.Rank() < 0 || !e.Allows(t.Class):
+	case t.Class.Rank() < 0 || !e.AllowsClass(t.Class):
 		return refuse(KindClassNotAllowed, "plan %s does not allow class %q", t.Plan, t.Class)
-	case a.waitingItems[t.Attempt] != nil || a.ledger.Reservation(t.Attempt) != nil:
+	case a.waitingByAttempt[t.Attempt] != nil || a.ledger.Reservation(t.Attempt) != nil:
 		return refuse(KindDuplicate, "attempt %s is already waiting or running", t.Attempt)
 	case a.ledger.Len() == 0:
 		return refuse(KindNoWorkers, "this entry VM has no workers")
 	case !a.ledger.FitsAnyWorker(t.Size):
-		return refuse(KindTooLarge, "size %v fits no worker, largest capacity of each resource: %v", t.Size, a.ledger.Largest())
+		return refuse(KindTooLarge, "size %v fits no worker, largest capacity of each resource: %v", t.Size, a.ledger.MaxCapacity())
 	case !e.MaxTask.IsZero() && !t.Size.Fits(e.MaxTask):
 		return refuse(KindPlanLimit, "size %v exceeds the limit for one task of the plan, %v", t.Size, e.MaxTask)
 	case !t.Deadline.IsZero() && now.Add(t.RunTime).After(t.Deadline):
@@ -335,25 +341,26 @@
 		q = &planQueues{name: t.Plan, account: a.shares.Account(t.Plan), entitlement: e}
 		a.queuesByPlan[t.Plan] = q
 	}
-	if n := q.byClass[t.Class.Rank()].Len(); n >= e.QueueLimit {
+	if n := q.queueByClass[t.Class.Rank()].Len(); n >= e.QueueLimit {
 		return refuse(KindQueueFull, "plan %s already has %d waiting tasks of the class", t.Plan, n)
 	}
 	return q, nil
 }
 
-// shed drops and returns a waiting task that is less urgent than rank, or
-// returns nil when there is none. It chooses the least urgent class, the plan
-// with the most waiting tasks of that class, and the newest of these tasks.
-func (a *Allocator) shed(rank int) *Refusal {
+// shedLessUrgent drops and returns a waiting task of a less urgent class than
+// the one with this rank, or returns nil when there is none. It takes the
+// newest task of the least urgent class, from the plan with the most waiting
+// tasks of that class.
+func (a *Allocator) shedLessUrgent(rank int) *Refusal {
 	for c := len(plan.Classes) - 1; c > rank; c-- {
 		var longest *planQueues
 		for _, q := range a.activeQueues {
-			if q.byClass[c].Len() > 0 && (longest == nil || q.byClass[c].Len() > longest.byClass[c].Len()) {
+			if q.queueByClass[c].Len() > 0 && (longest == nil || q.queueByClass[c].Len() > longest.queueByClass[c].Len()) {
 				longest = q
 			}
 		}
 		if longest != nil {
-			t := longest.byClass[c].Tail().Value
+			t := longest.queueByClass[c].Tail().Value
 			a.dropWaiting(t.Attempt)
 			return &Refusal{Task: t, Reason: KindShed}
 		}
@@ -364,12 +371,12 @@
 // dropWaiting removes an attempt from its queue and returns its task, or nil
 // when the attempt is not waiting.
 func (a *Allocator) dropWaiting(attempt string) *Task {
-	i := a.waitingItems[attempt]
+	i := a.waitingByAttempt[attempt]
 	if i == nil {
 		return nil
 	}
-	delete(a.waitingItems, attempt)
-	a.queuesByPlan[i.Value.Plan].byClass[i.Value.Class.Rank()].Remove(i)
+	delete(a.waitingByAttempt, attempt)
+	a.queuesByPlan[i.Value.Plan].queueByClass[i.Value.Class.Rank()].Remove(i)
 	return i.Value
 }
 
@@ -378,16 +385,16 @@
 func (a *Allocator) Cancel(attempt string) *Task { return a.dropWaiting(attempt) }
 
 // IsWaiting reports whether an attempt is in a waiting queue.
-func (a *Allocator) IsWaiting(attempt string) bool { return a.waitingItems[attempt] != nil }
+func (a *Allocator) IsWaiting(attempt string) bool { return a.waitingByAttempt[attempt] != nil }
 
 // Expire drops and returns the waiting tasks that can no longer complete by
 // their deadline, and the urgent ones that have waited for Limits.UrgentWait.
 func (a *Allocator) Expire(now time.Time) []Refusal {
 	var out []Refusal
 	for _, q := range a.activeQueues {
-		for c := range q.byClass {
-			q.byClass[c].RemoveExpired(now, func(i *admission.Item[*Task]) {
-				delete(a.waitingItems, i.Value.Attempt)
+		for c := range q.queueByClass {
+			q.queueByClass[c].RemoveExpired(now, func(i *admission.Item[*Task]) {
+				delete(a.waitingByAttempt, i.Value.Attempt)
 				out = append(out, Refusal{Task: i.Value, Reason: KindDeadlineOver})
 			})
 		}
--- a/internal/decide/allocator/allocator_test.go
+++ b/internal/decide/allocator/allocator_test.go
@@ -24,13 +24,13 @@
 	unitSize  = resource.Vector{Milliprocessors: 1000, MemoryMebibytes: 1024, Slots: 1, Connections: 1}
 )
 
-func entitlement(name string, promised float64) plan.Entitlement {
+func newEntitlement(name string, promised float64) plan.Entitlement {
 	return plan.Entitlement{Plan: name, PromisedShare: promised, LimitShare: 1, QueueLimit: 1000, Classes: plan.Classes[:]}
 }
 
-// planIndex returns a configuration in which each plan belongs to a customer of
-// its own.
-func planIndex(t testing.TB, entitlements ...plan.Entitlement) *plan.Index {
+// newPlanIndex returns an index of the entitlements in which each plan belongs
+// to a customer of its own.
+func newPlanIndex(t testing.TB, entitlements ...plan.Entitlement) *plan.Index {
 	t.Helper()
 	var l plan.Lists
 	for _, e := range entitlements {
@@ -44,11 +44,12 @@
 	return x
 }
 
-// newAllocator returns an allocator with empty workers, four to a rack.
+// newAllocator returns an allocator with this number of empty workers, four per
+// rack.
 func newAllocator(t testing.TB, workers int, entitlements ...plan.Entitlement) *allocator.Allocator {
 	t.Helper()
 	a := allocator.New(placement.Balanced{}, allocator.Limits{Waiting: 10_000})
-	a.SetPlans(planIndex(t, entitlements...))
+	a.SetPlans(newPlanIndex(t, entitlements...))
 	for i := range workers {
 		if err := a.AddWorker(fmt.Sprintf("w%d", i), fmt.Sprintf("r%d", i/4), capacity, nil); err != nil {
 			t.Fatal(err)
@@ -70,9 +71,10 @@
 	}
 }
 
-// startAll starts waiting tasks until no more fit.
-func startAll(a *allocator.Allocator, now time.Time) []allocator.Decision {
-	var out []allocator.Decision
+// startAll calls Next until no waiting task can start, and returns the
+// assignments.
+func startAll(a *allocator.Allocator, now time.Time) []allocator.Assignment {
+	var out []allocator.Assignment
 	for {
 		d, ok := a.Next(now)
 		if !ok {
@@ -82,8 +84,8 @@
 	}
 }
 
-func TestEnqueueRefusesWithAReason(t *testing.T) {
-	limited := entitlement("limited", 0.5)
+func TestEnqueueReturnsReasonForRefusal(t *testing.T) {
+	limited := newEntitlement("limited", 0.5)
 	limited.MaxTask = resource.Vector{Milliprocessors: 500, MemoryMebibytes: 512, Slots: 1, Connections: 1}
 	limited.Classes = []plan.Class{plan.Normal}
 	limited.QueueLimit = 1
@@ -121,7 +123,7 @@
 
 func TestPromiseIsTakenBackFromABorrower(t *testing.T) {
 	is := is.New(t)
-	a := newAllocator(t, 2, entitlement("lender", 0.5), entitlement("borrower", 0.25))
+	a := newAllocator(t, 2, newEntitlement("lender", 0.5), newEntitlement("borrower", 0.25))
 	for i := range 40 {
 		enqueue(t, a, startTime, task(fmt.Sprintf("b%d", i), "borrower", plan.Overnight))
 	}
@@ -142,7 +144,7 @@
 
 func TestUrgentFloodLeavesThePromisesOfOthers(t *testing.T) {
 	is := is.New(t)
-	a := newAllocator(t, 4, entitlement("calm", 0.25), entitlement("flood", 0.25))
+	a := newAllocator(t, 4, newEntitlement("calm", 0.25), newEntitlement("flood", 0.25))
 	for i := range 500 {
 		enqueue(t, a, startTime, task(fmt.Sprintf("f%d", i), "flood", plan.Urgent))
 	}
@@ -161,7 +163,7 @@
 
 func TestUrgentTaskPreemptsOvernightTaskOfTheSamePlan(t *testing.T) {
 	is := is.New(t)
-	a := newAllocator(t, 1, entitlement("only", 1))
+	a := newAllocator(t, 1, newEntitlement("only", 1))
 	for i := range 20 {
 		enqueue(t, a, startTime, task(fmt.Sprintf("o%d", i), "only", plan.Overnight))
 	}
@@ -180,7 +182,7 @@
 func TestSheddingDropsTheLeastUrgentTask(t *testing.T) {
 	is := is.New(t)
 	a := allocator.New(placement.Balanced{}, allocator.Limits{Waiting: 2})
-	a.SetPlans(planIndex(t, entitlement("p", 1)))
+	a.SetPlans(newPlanIndex(t, newEntitlement("p", 1)))
 	is.NoErr(a.AddWorker("w", "r", capacity, nil))
 	enqueue(t, a, startTime, task("n", "p", plan.Normal), task("o", "p", plan.Overnight))
 	shed, err := a.Enqueue(startTime, task("u", "p", plan.Urgent))
@@ -192,7 +194,7 @@
 
 func TestLeavingWorkerGetsNoWork(t *testing.T) {
 	is := is.New(t)
-	a := newAllocator(t, 1, entitlement("p", 1))
+	a := newAllocator(t, 1, newEntitlement("p", 1))
 	a.SetAccepting("w0", false)
 	enqueue(t, a, startTime, task("a", "p", plan.Urgent))
 	is.Equal(len(startAll(a, startTime)), 0)
@@ -201,11 +203,11 @@
 }
 
 // TestRandomHistory runs random operations and compares the allocator with a
-// simple model of the waiting and the running attempts. Violated invariants
-// panic.
+// simple model of the waiting and the running attempts. Invariants that the
+// allocator checks itself panic when they are violated.
 func TestRandomHistory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		a := newAllocator(t, 4, entitlement("a", 0.5), entitlement("b", 0.3), entitlement("c", 0.1))
+		a := newAllocator(t, 4, newEntitlement("a", 0.5), newEntitlement("b", 0.3), newEntitlement("c", 0.1))
 		running := map[string]string{}
 		waiting := map[string]bool{}
 		names := []string{"a", "b", "c"}
@@ -275,8 +277,8 @@
 	})
 }
 
-// smallestKey returns the smallest key of a map, so that a run with the same
-// seed always chooses the same one.
+// smallestKey returns the smallest key of a map. Unlike the first key of an
+// iteration, it is the same in each run with the same seed.
 func smallestKey(m map[string]string) (string, bool) {
 	if len(m) == 0 {
 		return "", false
@@ -292,7 +294,7 @@
 
 func TestWaitingTasksAreDroppedWithTheLastWorkerTheyFit(t *testing.T) {
 	is := is.New(t)
-	a := newAllocator(t, 1, entitlement("p", 1))
+	a := newAllocator(t, 1, newEntitlement("p", 1))
 	accelerated := capacity
 	accelerated.Accelerators = 1
 	is.NoErr(a.AddWorker("gpu", "r", accelerated, nil))
@@ -309,9 +311,9 @@
 
 func TestPlanAtItsLimitResumesWhenItsOwnTaskEnds(t *testing.T) {
 	is := is.New(t)
-	limited := entitlement("limited", 0.25)
+	limited := newEntitlement("limited", 0.25)
 	limited.LimitShare = 0.25
-	a := newAllocator(t, 2, limited, entitlement("other", 0.5))
+	a := newAllocator(t, 2, limited, newEntitlement("other", 0.5))
 	small := task("small", "limited", plan.Normal)
 	small.Size = resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 1, Slots: 1}
 	filler := task("filler", "other", plan.Normal)
--- a/internal/decide/allocator/bench_test.go
+++ b/internal/decide/allocator/bench_test.go
@@ -13,9 +13,9 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// BenchmarkDecision measures one call of Next on nearly full workers, each
-// after one release and one admission. The largest case is the documented
-// capacity: 950 workers, 16,000 running tasks and 350 plans.
+// BenchmarkDecision measures the time of a call of Next on nearly full workers.
+// Before each call, one attempt ends and one task is enqueued. The largest case
+// is the documented capacity: 950 workers, 16,000 running tasks and 350 plans.
 func BenchmarkDecision(b *testing.B) {
 	for _, workers := range []int{50, 250, 950} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) { benchmarkDecision(b, workers) })
@@ -23,17 +23,17 @@
 }
 
 func benchmarkDecision(b *testing.B, workers int) {
-	const plans = 350
+	const planCount = 350
 	targetRunning := workers * 16000 / 950
 	random := rand.New(rand.NewPCG(1, 2))
 	var entitlements []plan.Entitlement
-	for i := range plans {
-		e := entitlement(fmt.Sprintf("p%d", i), 1.0/plans)
+	for i := range planCount {
+		e := newEntitlement(fmt.Sprintf("p%d", i), 1.0/planCount)
 		e.QueueLimit = 1_000_000
 		entitlements = append(entitlements, e)
 	}
 	a := allocator.New(placement.Balanced{}, allocator.Limits{Waiting: 1 << 30})
-	a.SetPlans(planIndex(b, entitlements...))
+	a.SetPlans(newPlanIndex(b, entitlements...))
 	workerCapacity := resource.Vector{Milliprocessors: 64000, MemoryMebibytes: 262144, Slots: 24, Connections: 64}
 	for i := range workers {
 		if err := a.AddWorker(fmt.Sprintf("w%d", i), fmt.Sprintf("r%d", i/5), workerCapacity, nil); err != nil {
@@ -43,7 +43,7 @@
 	lastAttempt := 0
 	newTask := func() *allocator.Task {
 		lastAttempt++
-		k := task(fmt.Sprint(lastAttempt), fmt.Sprintf("p%d", random.IntN(plans)), plan.Classes[random.IntN(3)])
+		k := task(fmt.Sprint(lastAttempt), fmt.Sprintf("p%d", random.IntN(planCount)), plan.Classes[random.IntN(3)])
 		k.Size = resource.Vector{Milliprocessors: 500 + random.Int64N(5000), MemoryMebibytes: 500 + random.Int64N(20000), Slots: 1, Connections: 1}
 		return k
 	}
--- a/internal/decide/allocator/next.go
+++ b/internal/decide/allocator/next.go
@@ -9,19 +9,21 @@
 	"github.com/almondpost/almondpost/internal/state/plan"
 )
 
-// priority is the order in which plans get capacity: plans below their promised
-// share first, then the more urgent class. Of plans that borrow, the one whose
-// customer has the smaller weighted share comes first; then the plan with the
-// smaller weighted share.
+// priority decides which plan gets capacity first. Plans below their promised
+// share come before plans that borrow; then the more urgent class comes first.
+// If both are equal, plans that borrow are compared by the weighted share of
+// their customer; last comes the weighted share of the plan. The smaller share
+// comes first.
 type priority struct {
-	// borrowing is set when the plan uses its promised share or more.
+	// borrowing is true when the plan uses its promised share or more.
 	borrowing bool
-	// classRank is the rank of the class whose head competes for capacity.
+	// classRank is the rank of the class whose first waiting task competes for
+	// capacity.
 	classRank int
-	// customerShare and planShare are weighted shares, as in package share.
-	// customerShare is only set for plans that borrow.
-	customerShare float64
-	planShare     float64
+	// customerWeightedShare and planWeightedShare are defined in package share.
+	// customerWeightedShare is only set for plans that borrow.
+	customerWeightedShare float64
+	planWeightedShare     float64
 }
 
 // precedes reports whether p comes before o.
@@ -31,19 +33,19 @@
 		return !p.borrowing
 	case p.classRank != o.classRank:
 		return p.classRank < o.classRank
-	case p.customerShare != o.customerShare && p.borrowing:
-		return p.customerShare < o.customerShare
+	case p.customerWeightedShare != o.customerWeightedShare && p.borrowing:
+		return p.customerWeightedShare < o.customerWeightedShare
 	}
-	return p.planShare < o.planShare
+	return p.planWeightedShare < o.planWeightedShare
 }
 
-// candidate is a plan with a queue whose head may fit a worker.
+// candidate is a plan with a waiting task that may fit a worker.
 type candidate struct {
 	priority priority
 	queues   *planQueues
 }
 
-// candidates is a binary heap; the candidate that comes first is at index 0.
+// candidates is a binary heap with the first candidate by priority at index 0.
 type candidates []candidate
 
 // siftDown moves the candidate at index i down until none of its children comes
@@ -66,14 +68,14 @@
 
 // Next chooses the waiting task that starts next, reserves capacity for it and
 // removes it from its queue. It returns false when no waiting task can start.
-func (a *Allocator) Next(now time.Time) (Decision, bool) {
+func (a *Allocator) Next(now time.Time) (Assignment, bool) {
 	heap := a.candidateHeap()
 	for len(heap) > 0 {
 		c := heap[0]
 		if d, ok := a.placeHead(now, c.queues, c.priority.classRank); ok {
 			return d, true
 		}
-		if rank := a.placeableRank(c.queues, c.priority.classRank+1); rank >= 0 {
+		if rank := a.firstPlaceableRank(c.queues, c.priority.classRank+1); rank >= 0 {
 			heap[0].priority.classRank = rank
 		} else {
 			heap[0] = heap[len(heap)-1]
@@ -81,20 +83,20 @@
 		}
 		heap.siftDown(0)
 	}
-	return Decision{}, false
+	return Assignment{}, false
 }
 
-// candidateHeap returns a heap of the plans with a head that may fit a worker.
-// It also removes plans without waiting tasks from activeQueues.
+// candidateHeap returns a heap of the plans with a queue head that may fit a
+// worker. It also removes plans without waiting tasks from activeQueues.
 func (a *Allocator) candidateHeap() candidates {
 	heap := candidates(a.heapBuffer[:0])
 	for i := 0; i < len(a.activeQueues); i++ {
 		q := a.activeQueues[i]
-		if rank := a.placeableRank(q, 0); rank >= 0 {
+		if rank := a.firstPlaceableRank(q, 0); rank >= 0 {
 			heap = append(heap, candidate{priorityOf(q, rank), q})
 			continue
 		}
-		if q.len() > 0 {
+		if q.waitingCount() > 0 {
 			continue
 		}
 		q.active = false
@@ -110,68 +112,69 @@
 	return heap
 }
 
-// priorityOf returns the priority of a plan for the head of the class of this
-// rank.
+// priorityOf returns the priority of a plan that competes with the first
+// waiting task of the class with this rank.
 func priorityOf(q *planQueues, rank int) priority {
-	p := priority{classRank: rank, planShare: q.account.WeightedShare()}
-	if p.borrowing = p.planShare >= 1; p.borrowing {
-		p.customerShare = q.account.CustomerWeightedShare()
+	p := priority{classRank: rank, planWeightedShare: q.account.WeightedShare()}
+	if p.borrowing = p.planWeightedShare >= 1; p.borrowing {
+		p.customerWeightedShare = q.account.CustomerWeightedShare()
 	}
 	return p
 }
 
-// placeableRank returns the rank of the most urgent class, starting at rank
-// from, whose head may fit a worker. It returns -1 when there is none. It skips
-// heads that fitted no worker until enough capacity has been freed.
-func (a *Allocator) placeableRank(q *planQueues, from int) int {
-	for c := from; c < len(q.byClass); c++ {
-		head := q.byClass[c].Head()
+// firstPlaceableRank returns the rank of the most urgent class, starting at
+// rank from, whose queue head may fit a worker. It returns -1 when there is
+// none. It skips a head that fitted no worker before until enough capacity for
+// it has been freed.
+func (a *Allocator) firstPlaceableRank(q *planQueues, from int) int {
+	for c := from; c < len(q.queueByClass); c++ {
+		head := q.queueByClass[c].Head()
 		if head == nil {
 			continue
 		}
 		if q.blockedHead[c] != head || q.atLimit[c] && q.account.Permits(head.Value.Size) {
 			return c
 		}
-		if q.blockedSince[c] == a.ledger.FreedCount() {
+		if q.blockedAtFreedCount[c] == a.ledger.FreedCount() {
 			continue
 		}
-		if a.ledger.FitsFreed(q.blockedSince[c], head.Value.Size) {
+		if a.ledger.FitsFreedWorker(q.blockedAtFreedCount[c], head.Value.Size) {
 			return c
 		}
-		q.blockedSince[c] = a.ledger.FreedCount()
+		q.blockedAtFreedCount[c] = a.ledger.FreedCount()
 	}
 	return -1
 }
 
-// placeHead reserves capacity for the head of a class and removes it from its
-// queue. It marks the class as blocked and returns false when no worker fits or
-// the plan is at its limit.
-func (a *Allocator) placeHead(now time.Time, q *planQueues, rank int) (Decision, bool) {
-	head := q.byClass[rank].Head()
+// placeHead reserves capacity for the head of a class's queue and removes it
+// from the queue. When no worker fits or the plan is at its limit, it records
+// the head as blocked and returns false.
+func (a *Allocator) placeHead(now time.Time, q *planQueues, rank int) (Assignment, bool) {
+	head := q.queueByClass[rank].Head()
 	t := head.Value
 	w := a.chooseWorker(q, rank, head)
 	if w == nil {
-		q.blockedHead[rank], q.blockedSince[rank] = head, a.ledger.FreedCount()
-		return Decision{}, false
+		q.blockedHead[rank], q.blockedAtFreedCount[rank] = head, a.ledger.FreedCount()
+		return Assignment{}, false
 	}
 	err := a.ledger.Reserve(w.Name, ledger.Reservation{
-		Attempt: t.Attempt, Size: t.Size, Plan: t.Plan, ClassRank: rank, Spread: t.Spread, Preemptible: t.Repeatable,
+		Attempt: t.Attempt, Size: t.Size, Plan: t.Plan, ClassRank: rank, SpreadGroup: t.Spread, Preemptible: t.Repeatable,
 	})
 	invariant.Check(err == nil, "reservation_refused", "reserve capacity for attempt %s: %v", t.Attempt, err)
 	if err != nil {
-		q.blockedHead[rank], q.blockedSince[rank] = head, a.ledger.FreedCount()
-		return Decision{}, false
+		q.blockedHead[rank], q.blockedAtFreedCount[rank] = head, a.ledger.FreedCount()
+		return Assignment{}, false
 	}
 	a.shares.Charge(t.Plan, t.Size)
-	q.byClass[rank].Remove(head)
-	delete(a.waitingItems, t.Attempt)
-	return Decision{Task: t, Worker: w.Name, Waited: now.Sub(head.EnqueuedAt)}, true
+	q.queueByClass[rank].Remove(head)
+	delete(a.waitingByAttempt, t.Attempt)
+	return Assignment{Task: t, Worker: w.Name, Waited: now.Sub(head.EnqueuedAt)}, true
 }
 
-// chooseWorker returns a worker for the head of a class, or nil when none fits
-// or the plan is at its limit. If the head fitted no worker before, only
-// workers with capacity freed since then are searched, provided that the ledger
-// remembers all of them.
+// chooseWorker returns a worker for the head of a class's queue, or nil when
+// the head fits no worker or the plan is at its limit. If the head fitted no
+// worker before, it searches only workers with capacity freed since then,
+// provided that the ledger remembers all of them.
 func (a *Allocator) chooseWorker(q *planQueues, rank int, head *admission.Item[*Task]) *ledger.Worker {
 	t := head.Value
 	wasAtLimit := q.atLimit[rank]
@@ -179,7 +182,7 @@
 		return nil
 	}
 	if q.blockedHead[rank] == head && !wasAtLimit {
-		w, complete := a.policy.ChooseFreed(a.ledger, q.blockedSince[rank], t.Size, t.Spread)
+		w, complete := a.policy.ChooseFreed(a.ledger, q.blockedAtFreedCount[rank], t.Size, t.Spread)
 		if complete {
 			return w
 		}
@@ -187,8 +190,8 @@
 	return a.policy.Choose(a.ledger, t.Size, t.Spread)
 }
 
-// Advertisement is the load of an entry VM, from which other entry VMs choose
-// where to send tasks.
+// Advertisement is the load that an entry VM reports to the other entry VMs.
+// They use it to choose where to send tasks.
 type Advertisement struct {
 	// FreeFraction is the free fraction, from 0 to 1, of the most used resource
 	// of the pool.
@@ -208,24 +211,24 @@
 	return n
 }
 
-// Advertise returns the current load.
+// Advertise returns the current load of this entry VM.
 func (a *Allocator) Advertise() Advertisement {
 	out := Advertisement{Workers: a.ledger.Len()}
 	if out.Workers > 0 {
-		out.FreeFraction = max(0, 1-a.ledger.Used().DominantFraction(a.ledger.Total()))
+		out.FreeFraction = max(0, 1-a.ledger.TotalUsed().DominantFraction(a.ledger.TotalCapacity()))
 	}
 	for _, q := range a.activeQueues {
-		for c := range q.byClass {
-			out.Waiting[c] += q.byClass[c].Len()
+		for c := range q.queueByClass {
+			out.Waiting[c] += q.queueByClass[c].Len()
 		}
 	}
 	return out
 }
 
-// ReserveNow reserves capacity for a task immediately, without queueing it. Gangs
-// need this to reserve capacity for each member before any of them starts. ReserveNow
-// returns false when no worker fits, the plan is at its limit, the attempt
-// already has a reservation, or the allocator is draining.
+// ReserveNow reserves capacity for a task immediately, without queueing it. A
+// gang needs this to reserve capacity for all of its tasks before any of them
+// starts. ReserveNow returns false when no worker fits, the plan is at its
+// limit, the attempt already has a reservation, or the allocator is draining.
 func (a *Allocator) ReserveNow(t *Task) (worker string, ok bool) {
 	account := a.shares.Account(t.Plan)
 	if a.draining || !account.Permits(t.Size) || a.ledger.Reservation(t.Attempt) != nil {
@@ -236,7 +239,7 @@
 		return "", false
 	}
 	err := a.ledger.Reserve(w.Name, ledger.Reservation{
-		Attempt: t.Attempt, Size: t.Size, Plan: t.Plan, ClassRank: t.Class.Rank(), Spread: t.Spread,
+		Attempt: t.Attempt, Size: t.Size, Plan: t.Plan, ClassRank: t.Class.Rank(), SpreadGroup: t.Spread,
 	})
 	if err != nil {
 		return "", false
--- a/internal/decide/allocator/reclaim.go
+++ b/internal/decide/allocator/reclaim.go
@@ -9,19 +9,20 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// maxPreemptionsPerPlan bounds the preempted attempts that one waiting plan
-// waits for at a time.
+// maxPreemptionsPerPlan is the maximum number of preempted attempts, not yet
+// ended, whose capacity one plan waits for.
 const maxPreemptionsPerPlan = 16
 
-// Reclaim returns the preemptions that free capacity for queue heads that could
-// not start. A plan below its promised share takes capacity from plans above
-// theirs. Urgent tasks also take it from less urgent tasks, of their own plan
-// or of plans above their promised share that have a larger weighted share.
+// Reclaim chooses running attempts to preempt, which frees capacity for queue
+// heads that could not start. A plan below its promised share takes capacity
+// from plans above their promised share. Urgent tasks also take capacity from
+// less urgent tasks, either of their own plan or of a plan that is above its
+// promised share and has a larger weighted share.
 func (a *Allocator) Reclaim() []Preemption {
 	var out []Preemption
 	for _, q := range a.activeQueues {
-		for c := range q.byClass {
-			head := q.byClass[c].Head()
+		for c := range q.queueByClass {
+			head := q.queueByClass[c].Head()
 			if head == nil || q.blockedHead[c] != head {
 				continue
 			}
@@ -32,56 +33,56 @@
 }
 
 // preemptForHead returns the preemptions that free capacity for the head of a
-// class, and marks the attempts as preempted.
+// class's queue, and marks the attempts as preempted.
 func (a *Allocator) preemptForHead(q *planQueues, rank int, head *admission.Item[*Task]) []Preemption {
-	if a.preemptionsInFlight[q.name] >= min(maxPreemptionsPerPlan, q.byClass[rank].Len()) {
+	if a.pendingPreemptionsByPlan[q.name] >= min(maxPreemptionsPerPlan, q.queueByClass[rank].Len()) {
 		return nil
 	}
 	var out []Preemption
 	for _, r := range a.chooseVictims(q, rank, head.Value.Size) {
 		r.Preempting = true
-		a.preemptionsInFlight[q.name]++
-		a.preemptedFor[r.Attempt] = q.name
+		a.pendingPreemptionsByPlan[q.name]++
+		a.preemptorPlanByAttempt[r.Attempt] = q.name
 		out = append(out, Preemption{Attempt: r.Attempt, Worker: r.Worker.Name, ForPlan: q.name})
 	}
 	return out
 }
 
 // chooseVictims returns the reservations, all on one worker, to preempt for a
-// task of this size. Of the workers where this is possible, it chooses the one
-// that isCheaper prefers. It returns nil when there is none.
+// task of this size, or nil when no worker has enough of them. It chooses the
+// worker where preemption is cheapest according to isCheaperToPreempt.
 func (a *Allocator) chooseVictims(q *planQueues, rank int, size resource.Vector) []*ledger.Reservation {
 	var best []*ledger.Reservation
 	withinLimit := q.account.Permits(size)
 	if !withinLimit && rank != plan.Urgent.Rank() {
 		return nil
 	}
-	a.ledger.Workers(func(w *ledger.Worker) {
+	a.ledger.EachWorker(func(w *ledger.Worker) {
 		if !w.Accepting || !size.Fits(w.Capacity) {
 			return
 		}
 		onWorker := a.victimsOnWorker(w, q, rank, size, withinLimit)
-		if onWorker != nil && (best == nil || isCheaper(onWorker, best)) {
+		if onWorker != nil && (best == nil || isCheaperToPreempt(onWorker, best)) {
 			best = onWorker
 		}
 	})
 	return best
 }
 
-// isCheaper reports whether preempting a is expected to lose less work than
-// preempting b: a has fewer reservations or, if there are equally many, its
-// first one is newer.
-func isCheaper(a, b []*ledger.Reservation) bool {
+// isCheaperToPreempt reports whether preempting a is expected to lose less work
+// than preempting b: a has fewer reservations or, if both have equally many,
+// the first reservation of a is newer.
+func isCheaperToPreempt(a, b []*ledger.Reservation) bool {
 	if len(a) != len(b) {
 		return len(a) < len(b)
 	}
-	return a[0].Order > b[0].Order
+	return a[0].Sequence > b[0].Sequence
 }
 
 // victimsOnWorker returns the reservations on a worker to preempt for a task of
-// this size: the least urgent and newest first, until the task fits. It returns
-// nil when the task would still not fit after all permitted preemptions. A plan
-// at its limit may only preempt its own attempts.
+// this size. It adds the least urgent and newest ones first and stops when the
+// task fits. It returns nil if the task would not fit even after all permitted
+// preemptions. A plan at its limit may only preempt its own attempts.
 func (a *Allocator) victimsOnWorker(w *ledger.Worker, q *planQueues, rank int, size resource.Vector, withinLimit bool) []*ledger.Reservation {
 	var preemptible []*ledger.Reservation
 	free := w.Free()
@@ -97,7 +98,7 @@
 		if preemptible[i].ClassRank != preemptible[j].ClassRank {
 			return preemptible[i].ClassRank > preemptible[j].ClassRank
 		}
-		return preemptible[i].Order > preemptible[j].Order
+		return preemptible[i].Sequence > preemptible[j].Sequence
 	})
 	for i, r := range preemptible {
 		free = free.Add(r.Size)
@@ -129,7 +130,7 @@
 		return false
 	}
 	if q.account.WeightedShare() < 1 {
-		return victim.Used.Sub(r.Size).DominantFraction(a.ledger.Total()) >= victim.Promised-shareTolerance || r.ClassRank > rank
+		return victim.Used.Sub(r.Size).DominantFraction(a.ledger.TotalCapacity()) >= victim.PromisedShare-shareTolerance || r.ClassRank > rank
 	}
 	return rank == plan.Urgent.Rank() && r.ClassRank > rank && victim.WeightedShare() > q.account.WeightedShare()
 }
@@ -137,15 +138,15 @@
 // shareTolerance absorbs rounding errors in the comparison of shares.
 const shareTolerance = 1e-9
 
-// endPreemption updates preemptionsInFlight when an attempt has ended. It does
-// nothing if the attempt was not preempted.
+// endPreemption removes an attempt that has ended from the pending preemptions.
+// It does nothing if the attempt was not preempted.
 func (a *Allocator) endPreemption(attempt string) {
-	name, ok := a.preemptedFor[attempt]
+	name, ok := a.preemptorPlanByAttempt[attempt]
 	if !ok {
 		return
 	}
-	delete(a.preemptedFor, attempt)
-	if a.preemptionsInFlight[name]--; a.preemptionsInFlight[name] <= 0 {
-		delete(a.preemptionsInFlight, name)
+	delete(a.preemptorPlanByAttempt, attempt)
+	if a.pendingPreemptionsByPlan[name]--; a.pendingPreemptionsByPlan[name] <= 0 {
+		delete(a.pendingPreemptionsByPlan, name)
 	}
 }
--- a/internal/decide/ejection/ejection.go
+++ b/internal/decide/ejection/ejection.go
@@ -1,7 +1,7 @@
-// Package ejection stops giving tasks to a worker on which tasks fail that
-// succeed on other workers. Each worker has a circuit breaker, which allows one
-// task as a probe after a backoff. The package does no I/O and is not safe for
-// concurrent use.
+// Package ejection detects workers on which tasks fail that succeed on other
+// workers, and ejects them: they get no more tasks. Each worker has a circuit
+// breaker, which allows one task as a probe after a backoff. The package does
+// no I/O and is not safe for concurrent use.
 package ejection
 
 import "time"
@@ -17,9 +17,9 @@
 	// maxBackoff.
 	initialBackoff = 5 * time.Second
 	maxBackoff     = 2 * time.Minute
-	// healthySuccessRate is the success rate of a kind of task on the other
-	// workers above which a failure counts against the worker. At or below it
-	// the task itself is assumed to be faulty.
+	// healthySuccessRate is the success rate that a kind of task must exceed on
+	// the other workers for its failure to count against a worker. At or below
+	// it, the task itself is assumed to be faulty.
 	healthySuccessRate = 0.5
 	// smoothingFactor is the weight of the newest outcome in the moving average
 	// of a success rate.
@@ -31,12 +31,12 @@
 
 // The states of a worker.
 const (
-	// Closed workers get tasks.
+	// Closed means that the worker gets tasks.
 	Closed State = iota
-	// Open workers are ejected and get no tasks.
+	// Open means that the worker is ejected and gets no tasks.
 	Open
-	// HalfOpen workers get one task as a probe; its outcome closes or reopens
-	// the circuit breaker.
+	// HalfOpen means that the worker gets one task as a probe, whose outcome
+	// closes or reopens the circuit breaker.
 	HalfOpen
 )
 
@@ -46,8 +46,9 @@
 	openUntil           time.Time
 	backoff             time.Duration
 	probeInFlight       bool
-	// successByKind holds the success rate of each kind of task on this worker.
-	successByKind map[string]*successRate
+	// successRateByKind holds the success rate on this worker of each kind of
+	// task.
+	successRateByKind map[string]*successRate
 }
 
 // successRate is an exponential moving average of outcomes, from 0 to 1.
@@ -80,7 +81,7 @@
 // Add adds a worker. A worker that is known already keeps its state.
 func (t *Tracker) Add(name string) {
 	if t.workers[name] == nil {
-		t.workers[name] = &worker{backoff: initialBackoff, successByKind: map[string]*successRate{}}
+		t.workers[name] = &worker{backoff: initialBackoff, successRateByKind: map[string]*successRate{}}
 	}
 }
 
@@ -94,10 +95,10 @@
 	if w == nil {
 		return
 	}
-	k := w.successByKind[kind]
+	k := w.successRateByKind[kind]
 	if k == nil {
 		k = &successRate{}
-		w.successByKind[kind] = k
+		w.successRateByKind[kind] = k
 	}
 	k.observe(ok)
 	w.probeInFlight = false
@@ -127,7 +128,7 @@
 func (t *Tracker) succeedsElsewhere(name, kind string) bool {
 	sum, n := 0.0, 0
 	for other, w := range t.workers {
-		if k := w.successByKind[kind]; other != name && k != nil {
+		if k := w.successRateByKind[kind]; other != name && k != nil {
 			sum += k.average
 			n++
 		}
@@ -135,9 +136,9 @@
 	return n > 0 && sum/float64(n) > healthySuccessRate
 }
 
-// mayEject reports whether one more worker may be ejected. maxEjectedFraction
-// does not prevent the ejection of one worker, but the only worker is never
-// ejected.
+// mayEject reports whether one more worker may be ejected. The first worker may
+// be ejected even if it is more than maxEjectedFraction of the workers, but
+// never if it is the only worker.
 func (t *Tracker) mayEject() bool {
 	ejected := 1
 	for _, w := range t.workers {
--- a/internal/decide/ejection/ejection_test.go
+++ b/internal/decide/ejection/ejection_test.go
@@ -12,9 +12,9 @@
 
 var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// healthyFleet returns a tracker of n workers on which a task of kind "sort"
-// has succeeded.
-func healthyFleet(n int) *ejection.Tracker {
+// newHealthyTracker returns a tracker of n workers. Each of them has completed
+// a task of kind "sort" successfully.
+func newHealthyTracker(n int) *ejection.Tracker {
 	t := ejection.New()
 	for i := range n {
 		t.Add(fmt.Sprintf("w%d", i))
@@ -31,7 +31,7 @@
 
 func TestFailingWorkerIsEjectedAndProbed(t *testing.T) {
 	is := is.New(t)
-	f := healthyFleet(5)
+	f := newHealthyTracker(5)
 	recordFailures(f, "w0", 4)
 	is.True(!f.Allows(startTime, "w0"))
 	later := startTime.Add(5 * time.Second)
@@ -44,7 +44,7 @@
 
 func TestFailedProbeDoublesTheBackoff(t *testing.T) {
 	is := is.New(t)
-	f := healthyFleet(5)
+	f := newHealthyTracker(5)
 	recordFailures(f, "w0", 4)
 	probe := startTime.Add(5 * time.Second)
 	is.True(f.Allows(probe, "w0"))
@@ -72,7 +72,7 @@
 
 func TestEjectedFractionIsBounded(t *testing.T) {
 	is := is.New(t)
-	f := healthyFleet(6)
+	f := newHealthyTracker(6)
 	for i := range 3 {
 		recordFailures(f, fmt.Sprintf("w%d", i), 10)
 	}
--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/ledger/ledger.go
@@ -39,8 +39,9 @@
 	// one worker.
 	Reservations map[string]*Reservation
 
-	// group, bucket and position locate the worker in Ledger.index.
-	group, bucket, position int
+	// indexGroup, indexBucket and indexPosition locate the worker in
+	// Ledger.index.
+	indexGroup, indexBucket, indexPosition int
 }
 
 // Free returns the capacity that is not reserved.
@@ -55,29 +56,31 @@
 	// ClassRank is the rank of the class of the attempt; lower ranks are more
 	// urgent.
 	ClassRank int
-	// Spread names a group of attempts that should run on different racks; it
-	// may be empty.
-	Spread string
-	// Preemptible attempts may be stopped to free capacity for another task.
+	// SpreadGroup names a group of attempts that should run on different racks.
+	// It is empty for an attempt without a group.
+	SpreadGroup string
+	// Preemptible is true if the attempt may be stopped to free capacity for
+	// another task.
 	Preemptible bool
-	// Preempting is set once the attempt has been chosen for preemption.
+	// Preempting is true once the attempt has been chosen for preemption.
 	Preempting bool
-	// Order is higher for newer reservations. The ledger sets it.
-	Order uint64
+	// Sequence is a number that the ledger sets. It is higher for newer
+	// reservations.
+	Sequence uint64
 }
 
 const (
-	// bucketCount is the number of ranges into which the index divides workers
-	// by their free fraction.
-	bucketCount = 17
-	// The index separates workers without accelerators from those with
-	// accelerators.
-	groupCount       = 2
+	// indexBucketCount is the number of buckets into which the index divides
+	// workers by their free fraction.
+	indexBucketCount = 17
+	// The index keeps workers without accelerators in generalGroup and those
+	// with accelerators in acceleratorGroup.
+	indexGroupCount  = 2
 	generalGroup     = 0
 	acceleratorGroup = 1
-	// freedRingSize is the number of recent increases of free capacity that are
-	// remembered.
-	freedRingSize = 64
+	// freedWorkerRingSize is the number of recent increases of free capacity
+	// that the ledger remembers.
+	freedWorkerRingSize = 64
 )
 
 // Ledger tracks the workers and their reservations.
@@ -85,27 +88,28 @@
 	workers      map[string]*Worker
 	reservations map[string]*Reservation
 	// index lists the workers by accelerator group and free fraction.
-	index [groupCount][bucketCount][]indexEntry
+	index [indexGroupCount][indexBucketCount][]indexEntry
 	// workersByCapacity counts the workers of each capacity.
 	workersByCapacity map[resource.Vector]int
 	// spreadCounts counts the attempts of each spread group on each rack.
 	spreadCounts map[spreadKey]int
-	// total and used are sums over all workers; largest is the maximum of each
-	// resource.
-	total, used resource.Vector
-	largest     resource.Vector
-	lastOrder   uint64
-	// freedCount counts the increases of free capacity. freedRing holds the
-	// workers of the latest increases; number n is at index n % freedRingSize.
-	freedCount uint64
-	freedRing  [freedRingSize]*Worker
-	// missRing holds the latest searches that found no worker. missCount counts
-	// all such searches.
-	missRing  [missRingSize]miss
-	missCount int
-	// freeReservations holds released reservations for reuse, to avoid
-	// allocations.
-	freeReservations []*Reservation
+	// totalCapacity and totalUsed are sums over all workers. maxCapacity is,
+	// for each resource, the largest capacity of any worker.
+	totalCapacity, totalUsed resource.Vector
+	maxCapacity              resource.Vector
+	lastSequence             uint64
+	// freedCount counts how many times the free capacity of a worker has
+	// increased. freedWorkerRing holds the workers of the latest increases; the
+	// worker of increase n is at index n % freedWorkerRingSize.
+	freedCount      uint64
+	freedWorkerRing [freedWorkerRingSize]*Worker
+	// failedSearchRing holds the latest searches that found no worker.
+	// failedSearchCount counts all such searches.
+	failedSearchRing  [failedSearchRingSize]failedSearch
+	failedSearchCount int
+	// recycledReservations holds released Reservation values for reuse, to
+	// avoid allocations.
+	recycledReservations []*Reservation
 }
 
 type spreadKey struct{ group, rack string }
@@ -115,18 +119,18 @@
 	return &Ledger{workers: map[string]*Worker{}, reservations: map[string]*Reservation{}, spreadCounts: map[spreadKey]int{}, workersByCapacity: map[resource.Vector]int{}}
 }
 
-// Total returns the sum of the capacities of all workers.
-func (l *Ledger) Total() resource.Vector { return l.total }
+// TotalCapacity returns the sum of the capacities of all workers.
+func (l *Ledger) TotalCapacity() resource.Vector { return l.totalCapacity }
 
-// Used returns the sum of the reservations on all workers.
-func (l *Ledger) Used() resource.Vector { return l.used }
+// TotalUsed returns the sum of the reservations on all workers.
+func (l *Ledger) TotalUsed() resource.Vector { return l.totalUsed }
 
-// Largest returns, for each resource, the largest capacity of any worker. The
-// amounts may come from different workers.
-func (l *Ledger) Largest() resource.Vector { return l.largest }
+// MaxCapacity returns, for each resource, the largest capacity of any worker.
+// The amounts may come from different workers.
+func (l *Ledger) MaxCapacity() resource.Vector { return l.maxCapacity }
 
-// FitsAnyWorker reports whether a size would fit at least one worker if it were
-// empty.
+// FitsAnyWorker reports whether a size would fit at least one worker if all
+// workers were empty.
 func (l *Ledger) FitsAnyWorker(size resource.Vector) bool {
 	for shape := range l.workersByCapacity {
 		if size.Fits(shape) {
@@ -139,17 +143,17 @@
 // Len returns the number of workers.
 func (l *Ledger) Len() int { return len(l.workers) }
 
-// Worker returns a worker by name, or nil.
+// Worker returns the worker of this name, or nil if there is none.
 func (l *Ledger) Worker(name string) *Worker { return l.workers[name] }
 
-// Workers calls f for every worker in no fixed order.
-func (l *Ledger) Workers(f func(w *Worker)) {
+// EachWorker calls f for every worker in no fixed order.
+func (l *Ledger) EachWorker(f func(w *Worker)) {
 	for _, w := range l.workers {
 		f(w)
 	}
 }
 
-// Reservation returns the reservation of an attempt, or nil.
+// Reservation returns the reservation of an attempt, or nil if there is none.
 func (l *Ledger) Reservation(attempt string) *Reservation { return l.reservations[attempt] }
 
 // AddWorker adds a worker without reservations. It returns an error when a
@@ -160,15 +164,15 @@
 	}
 	w := &Worker{Name: name, Rack: rack, Capacity: capacity, Accepting: true, Reservations: map[string]*Reservation{}}
 	if capacity.Accelerators > 0 {
-		w.group = acceleratorGroup
+		w.indexGroup = acceleratorGroup
 	}
 	l.workers[name] = w
-	l.total = l.total.Add(capacity)
-	l.largest = l.largest.Max(capacity)
+	l.totalCapacity = l.totalCapacity.Add(capacity)
+	l.maxCapacity = l.maxCapacity.Max(capacity)
 	l.workersByCapacity[capacity]++
-	w.bucket = bucketOf(w)
+	w.indexBucket = indexBucketOf(w)
 	l.insertIntoIndex(w)
-	l.recordFreed(w)
+	l.recordFreedCapacity(w)
 	return nil
 }
 
@@ -190,14 +194,14 @@
 	if l.workersByCapacity[w.Capacity]--; l.workersByCapacity[w.Capacity] == 0 {
 		delete(l.workersByCapacity, w.Capacity)
 	}
-	l.total = l.total.Sub(w.Capacity)
-	l.largest = resource.Vector{}
+	l.totalCapacity = l.totalCapacity.Sub(w.Capacity)
+	l.maxCapacity = resource.Vector{}
 	for _, o := range l.workers {
-		l.largest = l.largest.Max(o.Capacity)
+		l.maxCapacity = l.maxCapacity.Max(o.Capacity)
 	}
-	for i, g := range l.freedRing {
+	for i, g := range l.freedWorkerRing {
 		if g == w {
-			l.freedRing[i] = nil
+			l.freedWorkerRing[i] = nil
 		}
 	}
 	return reservations
@@ -212,7 +216,7 @@
 	w.Accepting = accepting
 	l.updateIndex(w)
 	if accepting {
-		l.recordFreed(w)
+		l.recordFreedCapacity(w)
 	}
 }
 
@@ -251,26 +255,26 @@
 }
 
 func (l *Ledger) addReservation(w *Worker, r Reservation) {
-	l.lastOrder++
-	r.Order, r.Worker = l.lastOrder, w
+	l.lastSequence++
+	r.Sequence, r.Worker = l.lastSequence, w
 	stored := l.newReservation()
 	*stored = r
 	l.reservations[r.Attempt] = stored
 	w.Reservations[r.Attempt] = stored
 	w.Used = w.Used.Add(r.Size)
-	l.used = l.used.Add(r.Size)
-	if r.Spread != "" {
-		l.spreadCounts[spreadKey{r.Spread, w.Rack}]++
+	l.totalUsed = l.totalUsed.Add(r.Size)
+	if r.SpreadGroup != "" {
+		l.spreadCounts[spreadKey{r.SpreadGroup, w.Rack}]++
 	}
 	l.updateIndex(w)
 }
 
-// newReservation returns an empty reservation. It reuses a released one if
+// newReservation returns an empty Reservation value, which is a recycled one if
 // possible.
 func (l *Ledger) newReservation() *Reservation {
-	if n := len(l.freeReservations); n > 0 {
-		r := l.freeReservations[n-1]
-		l.freeReservations = l.freeReservations[:n-1]
+	if n := len(l.recycledReservations); n > 0 {
+		r := l.recycledReservations[n-1]
+		l.recycledReservations = l.recycledReservations[:n-1]
 		return r
 	}
 	return &Reservation{}
@@ -287,29 +291,29 @@
 	delete(l.reservations, attempt)
 	delete(w.Reservations, attempt)
 	w.Used = w.Used.Sub(r.Size)
-	l.used = l.used.Sub(r.Size)
-	if r.Spread != "" {
-		key := spreadKey{r.Spread, w.Rack}
+	l.totalUsed = l.totalUsed.Sub(r.Size)
+	if r.SpreadGroup != "" {
+		key := spreadKey{r.SpreadGroup, w.Rack}
 		if l.spreadCounts[key]--; l.spreadCounts[key] <= 0 {
 			delete(l.spreadCounts, key)
 		}
 	}
 	invariant.Check(!w.Used.IsNegative(), "negative_use", "worker %s: used %v", w.Name, w.Used)
 	l.updateIndex(w)
-	l.recordFreed(w)
+	l.recordFreedCapacity(w)
 	released := *r
 	*r = Reservation{}
-	l.freeReservations = append(l.freeReservations, r)
+	l.recycledReservations = append(l.recycledReservations, r)
 	return released, true
 }
 
 // FreedCount returns how many times the free capacity of a worker has
-// increased: because the worker was added, accepted tasks again, or lost a
-// reservation.
+// increased: because the worker was added, started to accept tasks again, or
+// lost a reservation.
 func (l *Ledger) FreedCount() uint64 { return l.freedCount }
 
-func (l *Ledger) recordFreed(w *Worker) {
-	l.freedRing[l.freedCount%freedRingSize] = w
+func (l *Ledger) recordFreedCapacity(w *Worker) {
+	l.freedWorkerRing[l.freedCount%freedWorkerRingSize] = w
 	l.freedCount++
 }
 
--- a/internal/decide/ledger/search.go
+++ b/internal/decide/ledger/search.go
@@ -2,21 +2,23 @@
 
 import "github.com/almondpost/almondpost/internal/state/resource"
 
-// maxCandidates bounds how many fitting workers one search scores.
-const maxCandidates = 24
+// maxScoredWorkers is the maximum number of fitting workers that one search
+// scores.
+const maxScoredWorkers = 24
 
-// Scorer rates a worker that has enough free capacity. The lowest score is
-// best.
+// Scorer rates a worker that has enough free capacity. The worker with the
+// lowest score is chosen.
 type Scorer interface{ Score(w *Worker) float64 }
 
-// bucketOf returns the bucket of a worker by its smallest free fraction, so
-// that a search can begin with the fullest workers.
-func bucketOf(w *Worker) int {
-	return int(smallestFreeFraction(w.Free(), w.Capacity) * (bucketCount - 1))
+// indexBucketOf returns the index bucket of a worker. Buckets are ordered by
+// the smallest free fraction of their workers, so that a search can begin with
+// the fullest workers.
+func indexBucketOf(w *Worker) int {
+	return int(smallestFreeFraction(w.Free(), w.Capacity) * (indexBucketCount - 1))
 }
 
 // smallestFreeFraction returns the smallest free fraction of processors, memory
-// and slots, from 0 to 1. It ignores resources of which the capacity is 0.
+// and slots, from 0 to 1. It ignores resources with a capacity of 0.
 func smallestFreeFraction(free, capacity resource.Vector) float64 {
 	smallest := 1.0
 	if capacity.Milliprocessors > 0 {
@@ -31,8 +33,8 @@
 	return max(0, smallest)
 }
 
-// indexEntry is a worker in the index. It holds a copy of the free capacity
-// next to the worker, so that a search reads memory sequentially.
+// indexEntry is a worker in the index. It holds a copy of the worker's free
+// capacity, so that a search reads memory sequentially.
 type indexEntry struct {
 	// free is noCapacity while the worker is not accepting tasks.
 	free   resource.Vector
@@ -50,40 +52,40 @@
 }
 
 func (l *Ledger) insertIntoIndex(w *Worker) {
-	list := &l.index[w.group][w.bucket]
-	w.position = len(*list)
+	list := &l.index[w.indexGroup][w.indexBucket]
+	w.indexPosition = len(*list)
 	*list = append(*list, indexEntryOf(w))
 }
 
 func (l *Ledger) removeFromIndex(w *Worker) {
-	list := &l.index[w.group][w.bucket]
+	list := &l.index[w.indexGroup][w.indexBucket]
 	last := len(*list) - 1
 	moved := (*list)[last]
-	(*list)[w.position] = moved
-	moved.worker.position = w.position
+	(*list)[w.indexPosition] = moved
+	moved.worker.indexPosition = w.indexPosition
 	*list = (*list)[:last]
 }
 
 // updateIndex updates the index entry of a worker after its free capacity or
 // Accepting has changed.
 func (l *Ledger) updateIndex(w *Worker) {
-	b := bucketOf(w)
-	if b == w.bucket {
-		l.index[w.group][b][w.position] = indexEntryOf(w)
+	b := indexBucketOf(w)
+	if b == w.indexBucket {
+		l.index[w.indexGroup][b][w.indexPosition] = indexEntryOf(w)
 		return
 	}
 	l.removeFromIndex(w)
-	w.bucket = b
+	w.indexBucket = b
 	l.insertIntoIndex(w)
 }
 
-// Find returns the worker with the lowest score among the first maxCandidates
-// with enough free capacity for a size, searching the fullest workers first. It
-// returns nil when the size fits no worker. Workers with accelerators are used
-// for a size without accelerators only if no other worker has enough free
-// capacity.
+// Find returns a worker with enough free capacity for a size, or nil when there
+// is none. It searches the fullest workers first and returns the one with the
+// lowest score among the first maxScoredWorkers that fit. Workers with
+// accelerators are used for a size without accelerators only if no other worker
+// has enough free capacity.
 func Find[S Scorer](l *Ledger, size resource.Vector, scorer S) *Worker {
-	if l.isKnownMiss(size) {
+	if l.isKnownNotToFit(size) {
 		return nil
 	}
 	var w *Worker
@@ -94,41 +96,44 @@
 		w = findInGroup(l, acceleratorGroup, size, scorer)
 	}
 	if w == nil {
-		l.missRing[l.missCount%missRingSize] = miss{size, l.freedCount}
-		l.missCount++
+		l.failedSearchRing[l.failedSearchCount%failedSearchRingSize] = failedSearch{size, l.freedCount}
+		l.failedSearchCount++
 	}
 	return w
 }
 
-// miss records that a size fitted no worker when FreedCount returned the value
-// since.
-type miss struct {
-	size  resource.Vector
-	since uint64
+// failedSearch records a size that fitted no worker, and the value of
+// FreedCount at that time.
+type failedSearch struct {
+	size       resource.Vector
+	freedCount uint64
 }
 
-// missRingSize is the number of recent misses that are remembered.
-const missRingSize = 8
-
-// isKnownMiss reports whether a size cannot fit because a size at most as large
-// fitted no worker before, and not enough capacity has been freed since. When
-// all workers are full, this avoids a search for each waiting plan.
-func (l *Ledger) isKnownMiss(size resource.Vector) bool {
-	for i := range min(missRingSize, l.missCount) {
-		m := &l.missRing[i]
-		if m.size.Fits(size) && !l.FitsFreed(m.since, size) {
+// failedSearchRingSize is the number of recent failed searches that the ledger
+// remembers.
+const failedSearchRingSize = 8
+
+// isKnownNotToFit reports whether a size is known to fit no worker: a search
+// failed for a size that is at most as large, and no capacity has been freed
+// since into which this size fits. When all workers are full, this avoids a
+// search for each waiting plan.
+func (l *Ledger) isKnownNotToFit(size resource.Vector) bool {
+	for i := range min(failedSearchRingSize, l.failedSearchCount) {
+		m := &l.failedSearchRing[i]
+		if m.size.Fits(size) && !l.FitsFreedWorker(m.freedCount, size) {
 			return true
 		}
 	}
 	return false
 }
 
-// findInGroup is Find for the workers of one accelerator group.
+// findInGroup searches like Find, but only the workers in one group of the
+// index.
 func findInGroup[S Scorer](l *Ledger, group int, size resource.Vector, scorer S) *Worker {
 	var best *Worker
 	bestScore := 0.0
 	candidates := 0
-	for b := range bucketCount {
+	for b := range indexBucketCount {
 		entries := l.index[group][b]
 		for i := range entries {
 			if !size.Fits(entries[i].free) {
@@ -138,7 +143,7 @@
 			if s := scorer.Score(w); best == nil || s < bestScore {
 				best, bestScore = w, s
 			}
-			if candidates++; candidates >= maxCandidates {
+			if candidates++; candidates >= maxScoredWorkers {
 				return best
 			}
 		}
@@ -146,16 +151,17 @@
 	return best
 }
 
-// FindFreed is Find restricted to workers whose free capacity has increased
-// since FreedCount returned the value since. It returns complete = false, and
-// Find is needed, when not all of these increases are remembered.
+// FindFreed searches like Find, but only workers whose free capacity has
+// increased since FreedCount returned the value since. If the ledger does not
+// remember all of these increases, it returns complete = false, and the caller
+// must use Find.
 func FindFreed[S Scorer](l *Ledger, since uint64, size resource.Vector, scorer S) (best *Worker, complete bool) {
-	if l.freedCount-since > freedRingSize {
+	if l.freedCount-since > freedWorkerRingSize {
 		return nil, false
 	}
 	bestScore := 0.0
 	for i := since; i < l.freedCount; i++ {
-		w := l.freedRing[i%freedRingSize]
+		w := l.freedWorkerRing[i%freedWorkerRingSize]
 		if w == nil || !w.Accepting || !size.Fits(w.Free()) {
 			continue
 		}
@@ -166,15 +172,15 @@
 	return best, true
 }
 
-// FitsFreed reports whether a size fits a worker whose free capacity has
-// increased since FreedCount returned the value since. It returns true when not
-// all of these increases are remembered.
-func (l *Ledger) FitsFreed(since uint64, size resource.Vector) bool {
-	if l.freedCount-since > freedRingSize {
+// FitsFreedWorker reports whether a size fits a worker whose free capacity has
+// increased since FreedCount returned the value since. It returns true if the
+// ledger does not remember all of these increases.
+func (l *Ledger) FitsFreedWorker(since uint64, size resource.Vector) bool {
+	if l.freedCount-since > freedWorkerRingSize {
 		return true
 	}
 	for i := since; i < l.freedCount; i++ {
-		if w := l.freedRing[i%freedRingSize]; w != nil && w.Accepting && size.Fits(w.Free()) {
+		if w := l.freedWorkerRing[i%freedWorkerRingSize]; w != nil && w.Accepting && size.Fits(w.Free()) {
 			return true
 		}
 	}
--- a/internal/decide/placement/packing_test.go
+++ b/internal/decide/placement/packing_test.go
@@ -13,8 +13,8 @@
 )
 
 var (
-	cpuWorker         = resource.Vector{Milliprocessors: 64000, MemoryMebibytes: 262144, Slots: 8, Connections: 64}
-	acceleratorWorker = resource.Vector{Milliprocessors: 128000, MemoryMebibytes: 262144, Accelerators: 8, Slots: 8, Connections: 64}
+	cpuWorkerCapacity         = resource.Vector{Milliprocessors: 64000, MemoryMebibytes: 262144, Slots: 8, Connections: 64}
+	acceleratorWorkerCapacity = resource.Vector{Milliprocessors: 128000, MemoryMebibytes: 262144, Accelerators: 8, Slots: 8, Connections: 64}
 )
 
 // taskMix is a set of task sizes that are drawn with equal probability.
@@ -23,7 +23,7 @@
 	sizes []resource.Vector
 }
 
-var mixes = []taskMix{
+var taskMixes = []taskMix{
 	{"balanced", []resource.Vector{
 		{Milliprocessors: 8000, MemoryMebibytes: 32768, Slots: 1, Connections: 1},
 		{Milliprocessors: 4000, MemoryMebibytes: 65536, Slots: 1, Connections: 1},
@@ -49,9 +49,9 @@
 	l := ledger.New()
 	var names []string
 	for i := range 48 {
-		name, capacity := fmt.Sprintf("snag-%02d", i), cpuWorker
+		name, capacity := fmt.Sprintf("snag-%02d", i), cpuWorkerCapacity
 		if i >= 35 {
-			name, capacity = fmt.Sprintf("photo-%02d", i), acceleratorWorker
+			name, capacity = fmt.Sprintf("photo-%02d", i), acceleratorWorkerCapacity
 		}
 		_ = l.AddWorker(name, fmt.Sprintf("rack-%d", i/5), capacity)
 		names = append(names, name)
@@ -99,21 +99,21 @@
 	return float64(sum) / float64(steps-steps/2)
 }
 
-// BenchmarkPacking reports how many tasks each policy keeps running, relative
-// to fractionalBound.
+// BenchmarkPacking reports the mean number of tasks that each policy keeps
+// running, as a fraction of fractionalBound.
 func BenchmarkPacking(b *testing.B) {
-	for _, m := range mixes {
+	for _, m := range taskMixes {
 		for _, name := range []string{"balanced", "first_fit", "best_fit", "random_two"} {
 			b.Run(m.name+"/"+name, func(b *testing.B) {
 				sum, n := 0.0, 0
 				for b.Loop() {
 					l, names := newFleet()
 					policies := map[string]placement.Policy{
-						"balanced": placement.Balanced{}, "first_fit": placement.FirstFit{Order: names},
-						"best_fit":   placement.BestFit{Order: names},
-						"random_two": placement.RandomTwo{Order: names, Random: rand.New(rand.NewPCG(uint64(n), 7))},
+						"balanced": placement.Balanced{}, "first_fit": placement.FirstFit{WorkerNames: names},
+						"best_fit":   placement.BestFit{WorkerNames: names},
+						"random_two": placement.RandomTwo{WorkerNames: names, Random: rand.New(rand.NewPCG(uint64(n), 7))},
 					}
-					sum += meanRunningWhenFull(policies[name], l, m, uint64(n+1), 4000) / fractionalBound(l.Total(), m)
+					sum += meanRunningWhenFull(policies[name], l, m, uint64(n+1), 4000) / fractionalBound(l.TotalCapacity(), m)
 					n++
 				}
 				b.ReportMetric(sum/float64(n), "of-bound")
@@ -128,12 +128,12 @@
 }
 
 func TestPoliciesNeverExceedCapacity(t *testing.T) {
-	for _, m := range mixes {
+	for _, m := range taskMixes {
 		_, names := newFleet()
-		for _, p := range []placement.Policy{placement.Balanced{}, placement.BestFit{Order: names}, placement.FirstFit{Order: names}} {
+		for _, p := range []placement.Policy{placement.Balanced{}, placement.BestFit{WorkerNames: names}, placement.FirstFit{WorkerNames: names}} {
 			l, _ := newFleet()
 			meanRunningWhenFull(p, l, m, 1, 1000)
-			l.Workers(func(w *ledger.Worker) {
+			l.EachWorker(func(w *ledger.Worker) {
 				if !w.Used.Fits(w.Capacity) {
 					t.Errorf("%s: worker %s uses %v of %v", m.name, w.Name, w.Used, w.Capacity)
 				}
@@ -148,7 +148,7 @@
 	racks := map[string]int{}
 	for i := range 5 {
 		w := placement.Balanced{}.Choose(l, size, "service")
-		_ = l.Reserve(w.Name, ledger.Reservation{Attempt: fmt.Sprint(i), Size: size, Spread: "service"})
+		_ = l.Reserve(w.Name, ledger.Reservation{Attempt: fmt.Sprint(i), Size: size, SpreadGroup: "service"})
 		racks[w.Rack]++
 	}
 	if len(racks) < 4 {
--- a/internal/decide/placement/policy.go
+++ b/internal/decide/placement/policy.go
@@ -8,52 +8,54 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// Policy chooses a worker for a size, or returns nil when it finds none with
-// enough free capacity. spread names a group of attempts that should run on
-// different racks; it may be empty.
+// Policy chooses the worker on which a task of a given size runs. Choose
+// returns nil when it finds no worker with enough free capacity. The parameter
+// spreadGroup names a group of attempts that should run on different racks; it
+// may be empty.
 type Policy interface {
-	Choose(l *ledger.Ledger, size resource.Vector, spread string) *ledger.Worker
-	// ChooseFreed is Choose restricted to workers whose free capacity has
-	// increased since Ledger.FreedCount returned the value since. It returns
-	// complete = false when the policy cannot do this and Choose is needed.
-	ChooseFreed(l *ledger.Ledger, since uint64, size resource.Vector, spread string) (w *ledger.Worker, complete bool)
+	Choose(l *ledger.Ledger, size resource.Vector, spreadGroup string) *ledger.Worker
+	// ChooseFreed chooses like Choose, but only among workers whose free
+	// capacity has increased since Ledger.FreedCount returned the value since.
+	// If the policy cannot do this, it returns complete = false, and the caller
+	// must use Choose.
+	ChooseFreed(l *ledger.Ledger, since uint64, size resource.Vector, spreadGroup string) (w *ledger.Worker, complete bool)
 }
 
 // spreadPenalty is added to the score of a worker for each attempt of the
-// spread group on its rack. It is larger than any difference in packing, which
-// is at most 1.
+// spread group on its rack. It outweighs the rest of the score, which is at
+// most 1.
 const spreadPenalty = 4.0
 
-// Balanced chooses the worker on which the largest free fraction of any
-// resource is smallest after placement. This fills up workers that are nearly
+// Balanced chooses the worker whose largest free fraction, over all resources,
+// is smallest once the task is placed. This fills up workers that are nearly
 // full and avoids free capacity that no task can use because another resource
 // has run out. Attempts of one spread group are placed on different racks if
 // possible.
 type Balanced struct{}
 
 // Choose implements Policy.
-func (Balanced) Choose(l *ledger.Ledger, size resource.Vector, spread string) *ledger.Worker {
-	return ledger.Find(l, size, balancedScorer{l, size, spread})
+func (Balanced) Choose(l *ledger.Ledger, size resource.Vector, spreadGroup string) *ledger.Worker {
+	return ledger.Find(l, size, balancedScorer{l, size, spreadGroup})
 }
 
 // ChooseFreed implements Policy.
-func (Balanced) ChooseFreed(l *ledger.Ledger, since uint64, size resource.Vector, spread string) (*ledger.Worker, bool) {
-	return ledger.FindFreed(l, since, size, balancedScorer{l, size, spread})
+func (Balanced) ChooseFreed(l *ledger.Ledger, since uint64, size resource.Vector, spreadGroup string) (*ledger.Worker, bool) {
+	return ledger.FindFreed(l, since, size, balancedScorer{l, size, spreadGroup})
 }
 
 type balancedScorer struct {
-	ledger *ledger.Ledger
-	size   resource.Vector
-	spread string
+	ledger      *ledger.Ledger
+	size        resource.Vector
+	spreadGroup string
 }
 
 // Score implements ledger.Scorer.
 func (b balancedScorer) Score(w *ledger.Worker) float64 {
-	return largestFreeFraction(w.Free().Sub(b.size), w.Capacity) + spreadPenalty*float64(b.ledger.SpreadCount(b.spread, w.Rack))
+	return largestFreeFraction(w.Free().Sub(b.size), w.Capacity) + spreadPenalty*float64(b.ledger.SpreadCount(b.spreadGroup, w.Rack))
 }
 
 // largestFreeFraction returns the largest free fraction of processors, memory,
-// slots and accelerators. It ignores resources of which the capacity is 0.
+// slots and accelerators. It ignores resources with a capacity of 0.
 func largestFreeFraction(free, capacity resource.Vector) float64 {
 	largest := 0.0
 	consider := func(free, capacity int64) {
@@ -68,16 +70,16 @@
 	return largest
 }
 
-// FirstFit chooses the first worker in Order with enough free capacity. It is a
-// baseline for benchmarks.
+// FirstFit chooses the first worker in WorkerNames with enough free capacity.
+// It is a baseline for benchmarks.
 type FirstFit struct {
-	// Order lists the worker names in the order in which they are tried.
-	Order []string
+	// WorkerNames lists the worker names in the order in which they are tried.
+	WorkerNames []string
 }
 
 // Choose implements Policy.
 func (f FirstFit) Choose(l *ledger.Ledger, size resource.Vector, _ string) *ledger.Worker {
-	for _, name := range f.Order {
+	for _, name := range f.WorkerNames {
 		if w := l.Worker(name); w != nil && w.Accepting && size.Fits(w.Free()) {
 			return w
 		}
@@ -90,19 +92,20 @@
 	return nil, false
 }
 
-// BestFit chooses, of all workers, the one with the smallest free fraction of
-// its dominant resource after placement. It is a baseline for benchmarks.
+// BestFit chooses, of all workers, the one whose largest free fraction, over
+// all resources, is smallest once the task is placed. It is a baseline for
+// benchmarks.
 type BestFit struct {
-	// Order lists the worker names. Of equally good workers, the first is
-	// chosen.
-	Order []string
+	// WorkerNames lists the worker names. If several workers are equally good,
+	// the first in the list is chosen.
+	WorkerNames []string
 }
 
 // Choose implements Policy.
 func (b BestFit) Choose(l *ledger.Ledger, size resource.Vector, _ string) *ledger.Worker {
 	var best *ledger.Worker
 	bestRemaining := 0.0
-	for _, name := range b.Order {
+	for _, name := range b.WorkerNames {
 		w := l.Worker(name)
 		if w == nil || !w.Accepting || !size.Fits(w.Free()) {
 			continue
@@ -119,19 +122,19 @@
 	return nil, false
 }
 
-// RandomTwo draws two workers at random and chooses the emptier of those with
+// RandomTwo draws two workers at random and chooses the less used of those with
 // enough free capacity. It is a baseline for benchmarks.
 type RandomTwo struct {
-	// Order lists the worker names.
-	Order  []string
-	Random *rand.Rand
+	// WorkerNames lists the worker names.
+	WorkerNames []string
+	Random      *rand.Rand
 }
 
 // Choose implements Policy.
 func (r RandomTwo) Choose(l *ledger.Ledger, size resource.Vector, _ string) *ledger.Worker {
 	var best *ledger.Worker
 	for range 2 {
-		w := l.Worker(r.Order[r.Random.IntN(len(r.Order))])
+		w := l.Worker(r.WorkerNames[r.Random.IntN(len(r.WorkerNames))])
 		if w == nil || !w.Accepting || !size.Fits(w.Free()) {
 			continue
 		}
--- a/internal/decide/retry/budget.go
+++ b/internal/decide/retry/budget.go
@@ -1,5 +1,5 @@
 // Package retry limits retries to a fraction of first attempts, so that retries
-// cannot multiply an overload.
+// cannot amplify an overload.
 package retry
 
 import "sync"
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -16,36 +16,39 @@
 type Account struct {
 	Plan     string
 	Customer string
-	// Promised is the fraction of the pool that the plan is promised, above 0.
-	Promised float64
-	// Limit is the largest fraction of the pool that the plan may use.
-	Limit float64
-	// Used is the sum of the sizes of all tasks with a reservation. It is never
-	// negative.
+	// PromisedShare is the fraction of the pool that the plan is promised. It
+	// is above 0.
+	PromisedShare float64
+	// LimitShare is the largest fraction of the pool that the plan may use.
+	LimitShare float64
+	// Used is the sum of the sizes of all tasks of the plan that have a
+	// reservation. It is never negative.
 	Used resource.Vector
-	// total is the capacity of the pool.
-	total          *resource.Vector
+	// poolCapacity is the total capacity of the workers in the pool.
+	poolCapacity   *resource.Vector
 	customerTotals *customerTotals
-	// weightedShare is updated on every change, since it is read far more often
-	// than it changes.
+	// weightedShare is cached because it is read far more often than it
+	// changes.
 	weightedShare float64
 }
 
-// customerTotals sums the accounts of the plans of one customer.
+// customerTotals holds sums over all plans of one customer, and their weighted
+// share.
 type customerTotals struct {
-	promised      float64
+	promisedShare float64
 	used          resource.Vector
 	weightedShare float64
 }
 
 // updateShares recomputes the weighted shares of the plan and its customer.
 func (a *Account) updateShares() {
-	a.weightedShare = a.Used.DominantFraction(*a.total) / a.Promised
-	a.customerTotals.weightedShare = a.customerTotals.used.DominantFraction(*a.total) / a.customerTotals.promised
+	a.weightedShare = a.Used.DominantFraction(*a.poolCapacity) / a.PromisedShare
+	a.customerTotals.weightedShare = a.customerTotals.used.DominantFraction(*a.poolCapacity) / a.customerTotals.promisedShare
 }
 
-// WeightedShare returns the weighted share of the plan. Below 1 the plan uses less than
-// it was promised, above 1 it borrows capacity.
+// WeightedShare returns the weighted share of the plan. If it is below 1, the
+// plan uses less than it was promised; if it is above 1, the plan borrows
+// capacity.
 func (a *Account) WeightedShare() float64 { return a.weightedShare }
 
 // CustomerWeightedShare returns the weighted share of the customer: the dominant share
@@ -55,7 +58,7 @@
 // Permits reports whether the plan stays within its limit when it starts one
 // more task of this size. A plan that uses nothing may always start one.
 func (a *Account) Permits(size resource.Vector) bool {
-	return a.Used.IsZero() || a.Used.Add(size).DominantFraction(*a.total) <= a.Limit+limitTolerance
+	return a.Used.IsZero() || a.Used.Add(size).DominantFraction(*a.poolCapacity) <= a.LimitShare+limitTolerance
 }
 
 // limitTolerance absorbs rounding errors in the comparison of shares.
@@ -63,12 +66,12 @@
 
 // Accounts holds the accounts of all plans that use one pool.
 type Accounts struct {
-	total     resource.Vector
-	plans     map[string]*Account
-	customers map[string]*customerTotals
+	poolCapacity resource.Vector
+	plans        map[string]*Account
+	customers    map[string]*customerTotals
 }
 
-// New returns the accounts of a pool without capacity.
+// New returns an empty set of accounts for a pool without capacity.
 func New() *Accounts {
 	return &Accounts{plans: map[string]*Account{}, customers: map[string]*customerTotals{}}
 }
@@ -84,15 +87,15 @@
 func (s *Accounts) SetPlans(plans *plan.Index) {
 	s.customers = map[string]*customerTotals{}
 	for _, a := range s.plans {
-		a.Promised, a.Limit = unlistedPlanShare, unlistedPlanShare
+		a.PromisedShare, a.LimitShare = unlistedPlanShare, unlistedPlanShare
 	}
 	plans.EachEntitlement(func(customerName string, e plan.Entitlement) {
 		a := s.plans[e.Plan]
 		if a == nil {
-			a = &Account{Plan: e.Plan, total: &s.total}
+			a = &Account{Plan: e.Plan, poolCapacity: &s.poolCapacity}
 			s.plans[e.Plan] = a
 		}
-		a.Customer, a.Promised, a.Limit = customerName, e.PromisedShare, e.LimitShare
+		a.Customer, a.PromisedShare, a.LimitShare = customerName, e.PromisedShare, e.LimitShare
 	})
 	for _, a := range s.plans {
 		s.addToCustomer(a)
@@ -113,14 +116,14 @@
 		totals = &customerTotals{}
 		s.customers[a.Customer] = totals
 	}
-	totals.promised += a.Promised
+	totals.promisedShare += a.PromisedShare
 	totals.used = totals.used.Add(a.Used)
 	a.customerTotals = totals
 }
 
-// SetTotal sets the capacity of the pool.
-func (s *Accounts) SetTotal(total resource.Vector) {
-	s.total = total
+// SetPoolCapacity sets the total capacity of the workers in the pool.
+func (s *Accounts) SetPoolCapacity(total resource.Vector) {
+	s.poolCapacity = total
 	s.updateAllShares()
 }
 
@@ -129,7 +132,7 @@
 func (s *Accounts) Account(name string) *Account {
 	a := s.plans[name]
 	if a == nil {
-		a = &Account{Plan: name, Promised: unlistedPlanShare, Limit: unlistedPlanShare, total: &s.total}
+		a = &Account{Plan: name, PromisedShare: unlistedPlanShare, LimitShare: unlistedPlanShare, poolCapacity: &s.poolCapacity}
 		s.plans[name] = a
 		s.addToCustomer(a)
 	}
@@ -144,8 +147,8 @@
 	a.updateShares()
 }
 
-// Refund subtracts the size of a task from the use of its plan, to which Charge
-// added it.
+// Refund subtracts the size of a task, which Charge added before, from the use
+// of its plan.
 func (s *Accounts) Refund(name string, size resource.Vector) {
 	a := s.Account(name)
 	a.Used = a.Used.Sub(size)
--- a/internal/state/claim/claim.go
+++ b/internal/state/claim/claim.go
@@ -27,11 +27,11 @@
 	KindUnavailable Kind = "log_unavailable"
 	// KindMalformed means that the key is not a ULID.
 	KindMalformed Kind = "key_malformed"
-	// KindExpired means that the key is above its maximum age, so that an earlier
-	// claim of it may be forgotten already.
+	// KindExpired means that the key is older than MaxKeyAge, so that earlier
+	// claims of it may no longer be known.
 	KindExpired Kind = "key_expired"
 	// KindFuture means that the key's timestamp is ahead of the clock by more than
-	// MaxAhead.
+	// MaxClockSkew.
 	KindFuture Kind = "key_in_future"
 )
 
@@ -39,37 +39,40 @@
 type Error = fault.Error[Kind]
 
 const (
-	// MaxKeyAge is the maximum age of a key. It must be well below the retention of
-	// the log, so that the log still has every earlier claim of a valid key.
+	// MaxKeyAge is the maximum age of a key. It must be well below the retention
+	// period of the log, so that the log still has every earlier claim of a valid
+	// key.
 	MaxKeyAge = 12 * time.Hour
-	// MaxAhead is the maximum time by which a key's timestamp may be ahead of the
-	// clock.
-	MaxAhead = 5 * time.Minute
-	// Streams is the number of log streams over which keys are distributed by hash.
-	Streams           = 4
+	// MaxClockSkew is the maximum time by which a key's timestamp may be ahead of
+	// the clock.
+	MaxClockSkew = 5 * time.Minute
+	// StreamCount is the number of log streams over which keys are distributed by
+	// hash.
+	StreamCount       = 4
 	maxRecordsPerRead = 512
-	// pruneEvery is the number of records read from a stream before its expired keys
-	// are pruned again.
-	pruneEvery = 4096
+	// recordsPerPrune is the number of records that are read from a stream between
+	// two removals of its expired keys.
+	recordsPerPrune = 4096
 )
 
-// action is the type of a record.
-type action string
+// recordAction is the type of a record.
+type recordAction string
 
 const (
-	claimed  action = "claimed"
-	released action = "released"
-	settled  action = "settled"
+	actionClaimed  recordAction = "claimed"
+	actionReleased recordAction = "released"
+	actionSettled  recordAction = "settled"
 )
 
-// record is the content of one record of a claim stream.
-type record struct {
-	Action action `json:"action"`
-	// Key is a scopedKey.
+// claimRecord is the content of one record in a claim stream.
+type claimRecord struct {
+	Action recordAction `json:"action"`
+	// Key is the claimed key, prefixed with its plan by scopedKey.
 	Key string `json:"key"`
 	// ID is the ID of the request that claims, releases or settles the key.
 	ID string `json:"id"`
-	// Outcome is the outcome of the request, in a record that settles the key.
+	// Outcome is the outcome of the request. It is set only in a record that
+	// settles the key.
 	Outcome json.RawMessage `json:"outcome,omitempty"`
 }
 
@@ -94,18 +97,20 @@
 	appender Appender
 	log      logservice.Log
 	now      func() time.Time
-	streams  [Streams]stream
+	streams  [StreamCount]claimStream
 }
 
-// stream holds the claims of one log stream, as far as it was read.
-type stream struct {
+// claimStream holds the claims of one log stream, up to the last record that was
+// read.
+type claimStream struct {
 	name       string
 	mutex      sync.Mutex
 	readOffset uint64
 	// keys holds the claims by scoped key.
 	keys map[string]*keyClaim
-	// readSincePrune is the number of records read since the last pruning.
-	readSincePrune int
+	// recordsSincePrune is the number of records read since expired keys were last
+	// removed.
+	recordsSincePrune int
 }
 
 // keyClaim is the current claim of a key: the request that holds it, and the
@@ -115,8 +120,8 @@
 	outcome json.RawMessage
 }
 
-// New returns a Book that has not read the log yet. It appends with a, reads from
-// log and compares the timestamps of keys to the clock now.
+// New returns a registry that has not read the log yet. It appends records with a,
+// reads them from log, and gets the current time from now.
 func New(a Appender, log logservice.Log, now func() time.Time) *Registry {
 	b := &Registry{appender: a, log: log, now: now}
 	for i := range b.streams {
@@ -137,30 +142,30 @@
 	if age > MaxKeyAge {
 		return fault.Newf("claim", KindExpired, "key is %s old, the maximum age is %s", age.Round(time.Second), MaxKeyAge)
 	}
-	if age < -MaxAhead {
+	if age < -MaxClockSkew {
 		return fault.Newf("claim", KindFuture, "key is %s ahead of the clock", (-age).Round(time.Second))
 	}
 	return nil
 }
 
 // streamOf returns the stream that contains the claims of a scoped key.
-func (b *Registry) streamOf(key string) *stream {
-	return &b.streams[xxhash.Sum64String(key)%Streams]
+func (b *Registry) streamOf(key string) *claimStream {
+	return &b.streams[xxhash.Sum64String(key)%StreamCount]
 }
 
 // scopedKey prefixes a key with its plan, since keys are unique only within a plan.
 func scopedKey(plan, key string) string { return plan + "/" + key }
 
-// Claim claims a key of a plan for a request and returns who holds the key. After
-// an error the work must not start. After one of KindUnavailable the claim may be
-// in the log, so the caller must call Release.
+// Claim claims a key of a plan for a request and returns who holds the key. If it
+// returns an error, the work must not start. If the error is of KindUnavailable,
+// the claim may be in the log, so the caller must also call Release.
 func (b *Registry) Claim(ctx context.Context, plan, key, requestID string) (Result, error) {
 	if err := b.CheckKey(key); err != nil {
 		return Result{}, err
 	}
 	scoped := scopedKey(plan, key)
 	s := b.streamOf(scoped)
-	offset, err := b.append(ctx, s, record{Action: claimed, Key: scoped, ID: requestID})
+	offset, err := b.append(ctx, s, claimRecord{Action: actionClaimed, Key: scoped, ID: requestID})
 	if err != nil {
 		return Result{}, err
 	}
@@ -184,19 +189,19 @@
 // request can claim it.
 func (b *Registry) Release(ctx context.Context, plan, key, requestID string) error {
 	scoped := scopedKey(plan, key)
-	_, err := b.append(ctx, b.streamOf(scoped), record{Action: released, Key: scoped, ID: requestID})
+	_, err := b.append(ctx, b.streamOf(scoped), claimRecord{Action: actionReleased, Key: scoped, ID: requestID})
 	return err
 }
 
 // Settle records the outcome of the request that holds a key.
 func (b *Registry) Settle(ctx context.Context, plan, key, requestID string, outcome json.RawMessage) error {
 	scoped := scopedKey(plan, key)
-	_, err := b.append(ctx, b.streamOf(scoped), record{Action: settled, Key: scoped, ID: requestID, Outcome: outcome})
+	_, err := b.append(ctx, b.streamOf(scoped), claimRecord{Action: actionSettled, Key: scoped, ID: requestID, Outcome: outcome})
 	return err
 }
 
 // append appends a record to a stream and returns its offset.
-func (b *Registry) append(ctx context.Context, s *stream, r record) (uint64, error) {
+func (b *Registry) append(ctx context.Context, s *claimStream, r claimRecord) (uint64, error) {
 	data, err := json.Marshal(r)
 	if err != nil {
 		return 0, fault.New("append", KindMalformed, err)
@@ -209,7 +214,7 @@
 }
 
 // catchUp reads a stream until it has applied the record at an offset.
-func (b *Registry) catchUp(ctx context.Context, s *stream, until uint64) error {
+func (b *Registry) catchUp(ctx context.Context, s *claimStream, until uint64) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for s.readOffset < until {
@@ -230,31 +235,31 @@
 
 // apply updates the claims with a record. The first claim of a key holds it until
 // the same request releases it. Records that cannot be decoded are skipped.
-func (s *stream) apply(r logservice.Record) {
+func (s *claimStream) apply(r logservice.Record) {
 	s.readOffset = r.Offset
-	s.readSincePrune++
-	var decoded record
+	s.recordsSincePrune++
+	var decoded claimRecord
 	if json.Unmarshal(r.Data, &decoded) != nil {
 		return
 	}
 	current := s.keys[decoded.Key]
 	switch {
-	case decoded.Action == claimed && current == nil:
+	case decoded.Action == actionClaimed && current == nil:
 		s.keys[decoded.Key] = &keyClaim{holder: decoded.ID}
-	case decoded.Action == released && current != nil && current.holder == decoded.ID:
+	case decoded.Action == actionReleased && current != nil && current.holder == decoded.ID:
 		delete(s.keys, decoded.Key)
-	case decoded.Action == settled && current != nil && current.holder == decoded.ID:
+	case decoded.Action == actionSettled && current != nil && current.holder == decoded.ID:
 		current.outcome = decoded.Outcome
 	}
 }
 
-// prune forgets expired keys, whose claims CheckKey refuses. It does so only after
-// pruneEvery records were read from the stream.
-func (b *Registry) prune(s *stream) {
-	if s.readSincePrune < pruneEvery {
+// prune removes expired keys, which CheckKey refuses anyway. It does nothing until
+// recordsPerPrune records have been read from the stream since it last did so.
+func (b *Registry) prune(s *claimStream) {
+	if s.recordsSincePrune < recordsPerPrune {
 		return
 	}
-	s.readSincePrune = 0
+	s.recordsSincePrune = 0
 	for scoped := range s.keys {
 		key := scoped[len(scoped)-ulid.EncodedSize:]
 		if fault.KindOf[Kind](b.CheckKey(key)) == KindExpired {
--- a/internal/state/claim/claim_test.go
+++ b/internal/state/claim/claim_test.go
@@ -21,8 +21,8 @@
 
 var baseTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// keyAt returns a new idempotency key whose timestamp is t.
-func keyAt(t time.Time) string {
+// newKeyAt returns a new idempotency key whose timestamp is t.
+func newKeyAt(t time.Time) string {
 	return ulid.MustNew(ulid.Timestamp(t), ulid.DefaultEntropy()).String()
 }
 
@@ -65,16 +65,16 @@
 	return claim.New(l, fakeLogClient{l}, now)
 }
 
-func TestKeysOutOfTheWindowAreRefused(t *testing.T) {
+func TestKeysOutsideTheAgeLimitsAreRefused(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		key      string
 		expected claim.Kind
 	}{
 		{"not a ULID", "letter-1", claim.KindMalformed},
-		{"older than the window", keyAt(baseTime.Add(-claim.MaxKeyAge - time.Second)), claim.KindExpired},
-		{"ahead of the clock", keyAt(baseTime.Add(claim.MaxAhead + time.Second)), claim.KindFuture},
-		{"within the window", keyAt(baseTime.Add(-time.Hour)), ""},
+		{"older than the window", newKeyAt(baseTime.Add(-claim.MaxKeyAge - time.Second)), claim.KindExpired},
+		{"ahead of the clock", newKeyAt(baseTime.Add(claim.MaxClockSkew + time.Second)), claim.KindFuture},
+		{"within the window", newKeyAt(baseTime.Add(-time.Hour)), ""},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -95,7 +95,7 @@
 	l := &fakeLog{streams: map[string][]logservice.Record{}}
 	now := func() time.Time { return baseTime }
 	first, second := newRegistry(l, now), newRegistry(l, now)
-	key := keyAt(baseTime)
+	key := newKeyAt(baseTime)
 	l.failAfterAppend = true
 	_, err := first.Claim(ctx, "p", key, "r1")
 	is.Equal(fault.KindOf[claim.Kind](err), claim.KindUnavailable)
@@ -118,7 +118,7 @@
 		l := &fakeLog{streams: map[string][]logservice.Record{}}
 		now := func() time.Time { return baseTime }
 		entryVMs := []*claim.Registry{newRegistry(l, now), newRegistry(l, now), newRegistry(l, now)}
-		keys := []string{keyAt(baseTime), keyAt(baseTime.Add(time.Second))}
+		keys := []string{newKeyAt(baseTime), newKeyAt(baseTime.Add(time.Second))}
 		holders := map[string]string{}
 		settled := map[string]bool{}
 		for i := range rapid.IntRange(1, 60).Draw(rt, "steps") {
--- a/internal/state/configuration/codec.go
+++ b/internal/state/configuration/codec.go
@@ -10,13 +10,13 @@
 	"github.com/almondpost/almondpost/internal/state/plan"
 )
 
-// maxRecordBytes is the maximum size of a record after decompression.
-const maxRecordBytes = 16 << 20
+// maxDecompressedBytes is the maximum size of a record after decompression.
+const maxDecompressedBytes = 16 << 20
 
 // gzipMagic is the prefix of gzip data, by which compressed records are recognised.
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// Encode returns a record as gzip-compressed JSON. Compression pays off, since
+// Encode returns a record as gzip-compressed JSON. Compression is worthwhile, since
 // every entry VM reads every record and the lists contain many repeated words.
 func Encode(r Record) ([]byte, error) {
 	data, err := json.Marshal(r)
@@ -45,18 +45,18 @@
 }
 
 // decompress returns the decompressed data, or an error of KindInvalid if it is
-// larger than maxRecordBytes.
+// larger than maxDecompressedBytes.
 func decompress(data []byte) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
 		return nil, err
 	}
-	plain, err := io.ReadAll(io.LimitReader(reader, maxRecordBytes+1))
+	plain, err := io.ReadAll(io.LimitReader(reader, maxDecompressedBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(plain) > maxRecordBytes {
-		return nil, fault.Newf("decompress", KindInvalid, "the decompressed record is larger than %d bytes", maxRecordBytes)
+	if len(plain) > maxDecompressedBytes {
+		return nil, fault.Newf("decompress", KindInvalid, "the decompressed record is larger than %d bytes", maxDecompressedBytes)
 	}
 	return plain, nil
 }
--- a/internal/state/configuration/follow.go
+++ b/internal/state/configuration/follow.go
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// Load returns a new store with all records that the log retains.
+// Load returns a new store to which all records in the log have been applied.
 func Load(ctx context.Context, log logservice.Log) (*Store, error) {
 	s := New(func(Version) {})
 	return s, readAll(ctx, log, s)
@@ -63,21 +63,22 @@
 	}
 }
 
-// maxAppendAttempts is the maximum number of appends of one publication. An append
+// maxAppendAttempts is the maximum number of appends for one publication. An append
 // that fails is repeated, since its outcome is unknown.
 const maxAppendAttempts = 5
 
-// Publish appends new lists that replace the version at offset basedOn, and returns
-// the accepted version. After a failed append it reads the log to find out whether
-// the record is there. Repeated appends are idempotent, since they carry the same
-// ID. The error is of KindInvalid for invalid lists, of KindConflict when another
-// change was accepted first, and of KindUnknown when the outcome is unknown.
-func Publish(ctx context.Context, log logservice.Log, basedOn uint64, operator string, lists plan.Lists) (Version, error) {
+// Publish appends new lists that replace the version at offset baseOffset, and
+// returns the accepted version. After a failed append it reads the log to find out
+// whether the record is there. Repeated appends are idempotent, since they carry
+// the same ID. The error is of KindInvalid for invalid lists, of KindConflict when
+// another change was accepted first, and of KindUnknown when the outcome is
+// unknown.
+func Publish(ctx context.Context, log logservice.Log, baseOffset uint64, operator string, lists plan.Lists) (Version, error) {
 	if _, err := plan.NewIndex(lists); err != nil {
 		return Version{}, fault.New("publish", KindInvalid, err)
 	}
 	id := ulid.Make().String()
-	data, err := Encode(Record{ID: id, BasedOn: basedOn, Operator: operator, Lists: lists})
+	data, err := Encode(Record{ID: id, BaseOffset: baseOffset, Operator: operator, Lists: lists})
 	if err != nil {
 		return Version{}, fault.New("publish", KindInvalid, err)
 	}
@@ -102,11 +103,11 @@
 		return Version{}, fault.New("publish", KindUnknown, err)
 	}
 	v := s.Current()
-	return v, fault.Newf("publish", KindConflict, "based on offset %d, but %s published offset %d first", basedOn, v.Operator, v.Offset)
+	return v, fault.Newf("publish", KindConflict, "based on offset %d, but %s published offset %d first", baseOffset, v.Operator, v.Offset)
 }
 
-// findPublished reads the whole log and returns the accepted version whose record
-// has an ID, and whether it was found.
+// findPublished reads the whole log. It returns the accepted version whose record
+// has this ID, and whether there is one.
 func findPublished(ctx context.Context, log logservice.Log, id string) (Version, bool) {
 	var found Version
 	s := New(func(v Version) {
--- a/internal/state/configuration/store.go
+++ b/internal/state/configuration/store.go
@@ -38,19 +38,20 @@
 type Record struct {
 	// ID identifies one publication. Repeated appends of it carry the same ID.
 	ID string `json:"id"`
-	// BasedOn is the offset of the version that the operator edited, or 0 for the
-	// first configuration.
-	BasedOn uint64 `json:"based_on"`
+	// BaseOffset is the offset of the version that the operator edited, or 0 for
+	// the first configuration.
+	BaseOffset uint64 `json:"based_on"`
 	// Operator is the name of the publisher. It is shown to an operator whose
 	// change conflicts with this one.
 	Operator string `json:"operator"`
-	// SnapshotOf is the offset of the accepted version that a snapshot repeats, or
-	// 0 for a change. Snapshots keep a version available after the log has dropped
-	// the original record.
-	SnapshotOf uint64 `json:"snapshot_of,omitempty"`
-	// AsOf is the offset up to which the writer of a snapshot had read the log.
-	AsOf  uint64     `json:"as_of,omitempty"`
-	Lists plan.Lists `json:"lists"`
+	// SnapshotOfOffset is the offset of the accepted version that a snapshot
+	// repeats, or 0 for a change. Snapshots keep a version available after the log
+	// has dropped the original record.
+	SnapshotOfOffset uint64 `json:"snapshot_of,omitempty"`
+	// AsOfOffset is the offset up to which the writer of a snapshot had read the
+	// log.
+	AsOfOffset uint64     `json:"as_of,omitempty"`
+	Lists      plan.Lists `json:"lists"`
 }
 
 // Version is an accepted version of the configuration.
@@ -70,7 +71,7 @@
 type Decision struct {
 	Accepted bool
 	// Redundant is true for a record that contains no new change: a repeated
-	// append, a snapshot, or a record that the current version already covers.
+	// append, a snapshot, or a record that is not newer than the current version.
 	Redundant bool
 	// Reason states why the record was not accepted.
 	Reason string
@@ -79,40 +80,42 @@
 // Store holds the newest accepted version that a process knows. It is safe for
 // concurrent use.
 type Store struct {
-	mutex   sync.Mutex
-	version Version
+	mutex          sync.Mutex
+	currentVersion Version
 	// readOffset is the offset of the last record that was read.
 	readOffset uint64
-	// baseKnown is true while version is the newest accepted one up to readOffset,
-	// so that the next record can be evaluated. It becomes false when the log has
-	// dropped records that the store has not read. Records are then kept in pending
-	// until a snapshot or a peer supplies the version that they are based on.
-	baseKnown bool
-	pending   []logservice.Record
-	// contiguousFrom is the lowest offset from which all records up to readOffset
-	// were read without a gap, or 0 before the first record.
-	contiguousFrom uint64
-	// snapshotSeen is true if a record with the current version was read since the
-	// last call of SnapshotDue.
-	snapshotSeen bool
-	onAccept     func(Version)
+	// baseVersionKnown is true while currentVersion is the newest version accepted
+	// up to readOffset, so that the next record can be evaluated. It becomes false
+	// when the log has dropped records that the store has not read. Records are
+	// then kept in pendingRecords until a snapshot or a peer supplies the version
+	// that they are based on.
+	baseVersionKnown bool
+	pendingRecords   []logservice.Record
+	// contiguousFromOffset is the lowest offset from which all records up to
+	// readOffset were read without a gap, or 0 before the first record.
+	contiguousFromOffset uint64
+	// currentVersionSeen is true if a record with the current version was read
+	// since the last call of SnapshotDue.
+	currentVersionSeen bool
+	onAccept           func(Version)
 }
 
-// maxPending is the maximum number of pending records; the oldest are dropped.
-const maxPending = 4096
+// maxPendingRecords is the maximum number of pending records. When it is exceeded,
+// the oldest are dropped.
+const maxPendingRecords = 4096
 
 // New returns a store with empty lists. It calls onAccept with each newly accepted
 // version, in the order of their offsets. onAccept must not call the store.
 func New(onAccept func(Version)) *Store {
 	empty, _ := plan.NewIndex(plan.Lists{})
-	return &Store{version: Version{Index: empty}, onAccept: onAccept}
+	return &Store{currentVersion: Version{Index: empty}, onAccept: onAccept}
 }
 
 // Current returns the newest accepted version.
 func (s *Store) Current() Version {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.version
+	return s.currentVersion
 }
 
 // ReadOffset returns the offset of the last record that was read.
@@ -133,7 +136,7 @@
 	if r.ID != "" && r.ID == base.ID {
 		return r, nil, Decision{Redundant: true, Reason: "already accepted"}
 	}
-	if r.BasedOn != base.Offset {
+	if r.BaseOffset != base.Offset {
 		return r, nil, Decision{Reason: "based on another version than the current one"}
 	}
 	index, err := plan.NewIndex(r.Lists)
@@ -152,39 +155,39 @@
 		return Decision{Redundant: true, Reason: "already read"}
 	}
 	if r.Offset > s.readOffset+1 || r.Offset == 1 {
-		s.contiguousFrom, s.pending = r.Offset, nil
-		s.baseKnown = s.hasReadAllAfter(s.version.Offset)
+		s.contiguousFromOffset, s.pendingRecords = r.Offset, nil
+		s.baseVersionKnown = s.hasReadAllAfter(s.currentVersion.Offset)
 	}
 	s.readOffset = r.Offset
 	if snapshot, index, ok := decodeSnapshot(r.Data); ok {
 		s.applySnapshot(snapshot, index)
 		return Decision{Redundant: true, Reason: "snapshot"}
 	}
-	if !s.baseKnown {
-		s.pending = append(s.pending, r)
-		if len(s.pending) > maxPending {
-			s.pending = s.pending[1:]
+	if !s.baseVersionKnown {
+		s.pendingRecords = append(s.pendingRecords, r)
+		if len(s.pendingRecords) > maxPendingRecords {
+			s.pendingRecords = s.pendingRecords[1:]
 		}
 		return Decision{Reason: "the preceding version is not known yet"}
 	}
 	return s.applyChange(r)
 }
 
-// hasReadAllAfter reports whether all records from an offset, exclusive, to
-// readOffset were read without a gap.
+// hasReadAllAfter reports whether all records after an offset, up to readOffset,
+// were read without a gap.
 func (s *Store) hasReadAllAfter(offset uint64) bool {
-	return s.contiguousFrom > 0 && offset+1 >= s.contiguousFrom
+	return s.contiguousFromOffset > 0 && offset+1 >= s.contiguousFromOffset
 }
 
-// applyChange evaluates a change whose base version is known and accepts the new
-// version if the evaluation does.
+// applyChange evaluates a change and, if it is accepted, makes it the current
+// version. The version that the change is based on must be known.
 func (s *Store) applyChange(r logservice.Record) Decision {
-	if r.Offset <= s.version.Offset {
+	if r.Offset <= s.currentVersion.Offset {
 		return Decision{Redundant: true, Reason: "not newer than the current version"}
 	}
-	record, index, decision := Evaluate(s.version, r.Data)
+	record, index, decision := Evaluate(s.currentVersion, r.Data)
 	if decision.Accepted {
-		s.snapshotSeen = true
+		s.currentVersionSeen = true
 		s.accept(Version{Offset: r.Offset, ID: record.ID, Operator: record.Operator, Lists: record.Lists, Index: index})
 	}
 	return decision
@@ -193,55 +196,57 @@
 // decodeSnapshot decodes a record and reports whether it is a valid snapshot.
 func decodeSnapshot(data []byte) (Record, *plan.Index, bool) {
 	r, err := decode(data)
-	if err != nil || r.SnapshotOf == 0 {
+	if err != nil || r.SnapshotOfOffset == 0 {
 		return r, nil, false
 	}
 	index, err := plan.NewIndex(r.Lists)
 	return r, index, err == nil
 }
 
-// applySnapshot uses a snapshot as the base version of the pending records if that
-// is not known. The snapshot must cover every record that the store missed: its
-// writer had read the log up to AsOf, so the store must have read all later records.
+// applySnapshot uses a snapshot as the base version of the pending records if their
+// base version is not known. The snapshot must cover every record that the store
+// missed: its writer had read the log up to AsOfOffset, so the store must have read
+// all later records.
 func (s *Store) applySnapshot(r Record, index *plan.Index) {
-	if r.SnapshotOf == s.version.Offset {
-		s.snapshotSeen = true
+	if r.SnapshotOfOffset == s.currentVersion.Offset {
+		s.currentVersionSeen = true
 	}
-	if s.baseKnown || !s.hasReadAllAfter(r.AsOf) {
+	if s.baseVersionKnown || !s.hasReadAllAfter(r.AsOfOffset) {
 		return
 	}
-	if r.SnapshotOf > s.version.Offset {
-		s.accept(Version{Offset: r.SnapshotOf, Operator: r.Operator, Lists: r.Lists, Index: index})
+	if r.SnapshotOfOffset > s.currentVersion.Offset {
+		s.accept(Version{Offset: r.SnapshotOfOffset, Operator: r.Operator, Lists: r.Lists, Index: index})
 	}
 	s.applyPending()
 }
 
 // applyPending applies the changes that were kept until their base version was known.
 func (s *Store) applyPending() {
-	s.baseKnown = true
-	pending := s.pending
-	s.pending = nil
+	s.baseVersionKnown = true
+	pending := s.pendingRecords
+	s.pendingRecords = nil
 	for _, r := range pending {
 		s.applyChange(r)
 	}
 }
 
-// SnapshotDue returns a snapshot record of the current version and whether it is
-// due, which is the case if no record with that version was read since the last
-// call. Processes that call it periodically thus rarely append the same snapshot.
+// SnapshotDue returns a snapshot record of the current version and whether it
+// should be appended. It should be if no record with that version was read since
+// the last call, so that processes that call SnapshotDue periodically rarely append
+// the same snapshot twice.
 func (s *Store) SnapshotDue(operator string) ([]byte, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.snapshotSeen || !s.baseKnown || s.version.Offset == 0 {
-		s.snapshotSeen = false
+	if s.currentVersionSeen || !s.baseVersionKnown || s.currentVersion.Offset == 0 {
+		s.currentVersionSeen = false
 		return nil, false
 	}
-	data, err := Encode(Record{Operator: operator, SnapshotOf: s.version.Offset, AsOf: max(s.readOffset, s.version.Offset), Lists: s.version.Lists})
+	data, err := Encode(Record{Operator: operator, SnapshotOfOffset: s.currentVersion.Offset, AsOfOffset: max(s.readOffset, s.currentVersion.Offset), Lists: s.currentVersion.Lists})
 	return data, err == nil
 }
 
-// Learn replaces the current version by an accepted version from a peer if that is
-// newer. It returns an error of KindInvalid for invalid lists.
+// Learn replaces the current version by an accepted version from a peer if the
+// peer's version is newer. It returns an error of KindInvalid for invalid lists.
 func (s *Store) Learn(offset uint64, lists plan.Lists) error {
 	index, err := plan.NewIndex(lists)
 	if err != nil {
@@ -249,11 +254,11 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if offset <= s.version.Offset {
+	if offset <= s.currentVersion.Offset {
 		return nil
 	}
 	s.accept(Version{Offset: offset, Lists: lists, Index: index})
-	if !s.baseKnown && s.hasReadAllAfter(offset) {
+	if !s.baseVersionKnown && s.hasReadAllAfter(offset) {
 		s.applyPending()
 	}
 	return nil
@@ -261,7 +266,7 @@
 
 // accept makes v the current version and calls onAccept.
 func (s *Store) accept(v Version) {
-	invariant.Check(v.Offset > s.version.Offset, "configuration_reverted", "the new offset is %d, the current one %d", v.Offset, s.version.Offset)
-	s.version = v
+	invariant.Check(v.Offset > s.currentVersion.Offset, "configuration_reverted", "the new offset is %d, the current one %d", v.Offset, s.currentVersion.Offset)
+	s.currentVersion = v
 	s.onAccept(v)
 }
--- a/internal/state/configuration/store_test.go
+++ b/internal/state/configuration/store_test.go
@@ -57,7 +57,7 @@
 	return logservice.ReadReply{Records: l.records[begin:end], Oldest: uint64(l.droppedCount + 1)}, nil
 }
 
-// newLists returns valid lists with one plan of a price.
+// newLists returns valid lists that contain one plan with this price.
 func newLists(price float64) plan.Lists {
 	return plan.Lists{
 		Customers: plan.Customers{Customers: []plan.Customer{{Name: "c", Plans: []string{"p"}}}},
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestFirstInLogOrderWins(t *testing.T) {
+func TestFirstChangeInLogOrderIsAccepted(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	l := &fakeLog{}
@@ -138,7 +138,7 @@
 				if rapid.Bool().Draw(rt, "newest") {
 					basedOn = reference.store.Current().Offset
 				}
-				data, _ := configuration.Encode(configuration.Record{ID: fmt.Sprint(price), BasedOn: basedOn, Operator: "o", Lists: newLists(price)})
+				data, _ := configuration.Encode(configuration.Record{ID: fmt.Sprint(price), BaseOffset: basedOn, Operator: "o", Lists: newLists(price)})
 				_, _ = l.Append(ctx, configuration.Stream, [][]byte{data})
 				if rapid.Bool().Draw(rt, "repeated") {
 					_, _ = l.Append(ctx, configuration.Stream, [][]byte{data})
@@ -159,8 +159,10 @@
 					catchUp(rt, l, reference)
 				}
 			case 7:
-				// The log drops records only after a snapshot of the current version
-				// was appended. The first call clears the flag that delays it.
+				// The log drops records only after a snapshot of the current
+				// version was appended. The first call of SnapshotDue may find that
+				// the version was read recently; the second then returns a
+				// snapshot.
 				reference.store.SnapshotDue("t")
 				if data, due := reference.store.SnapshotDue("t"); due {
 					_, _ = l.Append(ctx, configuration.Stream, [][]byte{data})
--- a/internal/state/job/spec.go
+++ b/internal/state/job/spec.go
@@ -21,8 +21,9 @@
 			return fmt.Sprintf("tasks[%d]: key is not allowed in a job; the job is accepted once", i)
 		}
 		if !t.Repeatable {
-			// The job record in the log replaces the idempotency key that a
-			// non-repeatable request needs otherwise.
+			// A non-repeatable request needs an idempotency key. In a job, the
+			// job's record in the log replaces it, so a placeholder passes the
+			// check.
 			t.Key = "-"
 		}
 		if reason := t.Validate(); reason != "" {
@@ -42,10 +43,12 @@
 	// Reason states why the job was not accepted.
 	Reason                 string `json:"reason,omitempty"`
 	RetryAfterMilliseconds int64  `json:"retry_after_milliseconds,omitempty"`
-	// Tasks and Ended are the numbers of all tasks and of ended tasks.
+	// Tasks is the number of tasks of the job, and Ended is how many of them have
+	// ended.
 	Tasks int `json:"tasks"`
 	Ended int `json:"ended"`
-	// Outcomes has one element per task; unfinished tasks are pending.
+	// Outcomes has one element per task, whose state is pending until the task has
+	// ended.
 	Outcomes []request.Outcome `json:"outcomes,omitempty"`
 }
 
--- a/internal/state/job/table.go
+++ b/internal/state/job/table.go
@@ -59,8 +59,8 @@
 	Cancelled Action = "cancelled"
 	// TakenOver assigns all unfinished jobs of one holder to another.
 	TakenOver Action = "taken_over"
-	// Snapshot holds the whole state of an unfinished job. It is appended from
-	// time to time, since the log drops records after its retention.
+	// Snapshot holds the whole state of an unfinished job. It is appended from time
+	// to time, since the log drops records after its retention period.
 	Snapshot Action = "repeated"
 )
 
@@ -74,16 +74,17 @@
 	// Task is the index of the task that starts or has ended.
 	Task    int              `json:"task,omitempty"`
 	Outcome *request.Outcome `json:"outcome,omitempty"`
-	// From is the holder whose jobs a takeover reassigns to By.
+	// From is the former holder, whose jobs a takeover reassigns to By.
 	From *Holder `json:"from,omitempty"`
 	// At is the start time of a task, by the clock of the writer.
 	At time.Time `json:"at,omitzero"`
-	// Generation, Outcomes and Started are the state of a job in a snapshot. AsOf
-	// is the offset up to which the writer of the snapshot had read the stream.
+	// Generation, Outcomes and StartTimes are the state of a job in a snapshot.
+	// AsOfOffset is the offset up to which the writer of the snapshot had read the
+	// stream.
 	Generation int                `json:"generation,omitempty"`
 	Outcomes   []*request.Outcome `json:"outcomes,omitempty"`
-	Started    []time.Time        `json:"started,omitempty"`
-	AsOf       uint64             `json:"as_of,omitempty"`
+	StartTimes []time.Time        `json:"started,omitempty"`
+	AsOfOffset uint64             `json:"as_of,omitempty"`
 }
 
 // Encode returns the record as JSON.
@@ -98,23 +99,23 @@
 	ID     string
 	Spec   Spec
 	Holder Holder
-	// Generation is 1 for the first holder and rises with each takeover. It
-	// fences the attempts of former holders: those of an older generation must
-	// not start any more.
+	// Generation is 1 for the first holder and rises with each takeover. Attempts
+	// of an older generation must not start any more, so a former holder can no
+	// longer run the job.
 	Generation int
 	// Outcomes has one element per task, which is nil until the task has ended.
-	// Only the first end of a task counts.
+	// Only the first outcome that is recorded for a task counts.
 	Outcomes []*request.Outcome
-	// Started has one element per task: the earliest time at which a
-	// non-repeatable task may have started, by the clock of its holder. It is
-	// zero before, and always for repeatable tasks.
+	// Started has one element per task: the earliest time at which a non-repeatable
+	// task may have started, by the clock of its holder. The element is zero before
+	// that, and always zero for a repeatable task.
 	Started []time.Time
 	// PendingTasks is the number of tasks that have not ended.
 	PendingTasks int
 	Cancelled    bool
-	// EndedAt is the offset of the record that ended the last task, or 0 while
+	// EndedOffset is the offset of the record that ended the last task, or 0 while
 	// the job is unfinished.
-	EndedAt uint64
+	EndedOffset uint64
 }
 
 // TaskID returns the ID of the task at an index of the job.
@@ -127,8 +128,8 @@
 	appliedOffset uint64
 	// takeoverOffset is the offset of the newest takeover record.
 	takeoverOffset uint64
-	// endedIDs lists the IDs of ended jobs, oldest first, for pruning.
-	endedIDs []string
+	// endedJobIDs lists the IDs of ended jobs, oldest first, for pruning.
+	endedJobIDs []string
 }
 
 // maxEndedJobs is the number of ended jobs that a table keeps; older ones are
@@ -211,28 +212,28 @@
 	j.Spec.Tasks[r.Task].Payload = nil
 	j.PendingTasks--
 	if j.PendingTasks == 0 {
-		j.EndedAt = offset
-		t.endedIDs = append(t.endedIDs, j.ID)
+		j.EndedOffset = offset
+		t.endedJobIDs = append(t.endedJobIDs, j.ID)
 		t.prune()
 	}
 }
 
 // prune forgets the oldest ended jobs above maxEndedJobs.
 func (t *Table) prune() {
-	for len(t.endedIDs) > maxEndedJobs {
-		delete(t.jobs, t.endedIDs[0])
-		t.endedIDs = t.endedIDs[1:]
+	for len(t.endedJobIDs) > maxEndedJobs {
+		delete(t.jobs, t.endedJobIDs[0])
+		t.endedJobIDs = t.endedJobIDs[1:]
 	}
 }
 
-// applySnapshot adds an unfinished job whose first record the log has dropped. A
-// snapshot that misses a takeover, since its writer had not read that far, may
-// name the wrong holder: it is ignored, and a later snapshot adds the job.
+// applySnapshot adds an unfinished job whose first record the log has dropped. It
+// ignores a snapshot whose writer had not yet read the newest takeover, since the
+// snapshot may name a former holder; a later snapshot adds the job.
 func (t *Table) applySnapshot(r Record) {
-	if t.jobs[r.Job] != nil || r.Spec == nil || len(r.Outcomes) != len(r.Spec.Tasks) || len(r.Started) != len(r.Spec.Tasks) || t.takeoverOffset > r.AsOf {
+	if t.jobs[r.Job] != nil || r.Spec == nil || len(r.Outcomes) != len(r.Spec.Tasks) || len(r.StartTimes) != len(r.Spec.Tasks) || t.takeoverOffset > r.AsOfOffset {
 		return
 	}
-	j := &Job{ID: r.Job, Spec: *r.Spec, Holder: r.By, Generation: r.Generation, Outcomes: r.Outcomes, Started: r.Started}
+	j := &Job{ID: r.Job, Spec: *r.Spec, Holder: r.By, Generation: r.Generation, Outcomes: r.Outcomes, Started: r.StartTimes}
 	for _, o := range r.Outcomes {
 		if o == nil {
 			j.PendingTasks++
@@ -251,7 +252,7 @@
 		outcomes := append([]*request.Outcome(nil), j.Outcomes...)
 		out = append(out, Record{
 			Action: Snapshot, By: h, Job: j.ID, Spec: &spec, Generation: j.Generation,
-			Outcomes: outcomes, Started: append([]time.Time(nil), j.Started...), AsOf: t.appliedOffset,
+			Outcomes: outcomes, StartTimes: append([]time.Time(nil), j.Started...), AsOfOffset: t.appliedOffset,
 		})
 	}
 	return out
--- a/internal/state/job/table_test.go
+++ b/internal/state/job/table_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 300) }
 
-// newSpec returns a job spec with a number of tasks.
+// newSpec returns a job spec with taskCount tasks.
 func newSpec(taskCount int) *job.Spec {
 	s := &job.Spec{}
 	for range taskCount {
@@ -27,8 +27,8 @@
 	return s
 }
 
-// newHolder returns the process n. Some of the processes share an entry VM's name
-// and differ only in their incarnation.
+// newHolder returns the holder with incarnation n. Some holders have the same name
+// and differ only in their incarnation, like successive processes of one entry VM.
 func newHolder(n int) job.Holder {
 	return job.Holder{Name: fmt.Sprintf("e%d", n%3), Incarnation: uint64(n)}
 }
@@ -145,8 +145,8 @@
 	is.Equal(fromSnapshot.Job("j").Holder, a)
 	is.Equal(fromSnapshot.Job("j").PendingTasks, 1)
 
-	// The writer had not read the takeover, so the snapshot names the former
-	// holder and is ignored.
+	// The writer of the snapshot had not read the takeover, so the snapshot names
+	// the former holder and is ignored.
 	withTakeover := job.New()
 	apply(withTakeover, 3, job.Record{Action: job.TakenOver, By: b, From: &a})
 	apply(withTakeover, 4, snapshots[0])
@@ -174,5 +174,5 @@
 		is.NoErr(table.Apply(logservice.Record{Offset: uint64(i + 1), Data: r.Encode()}))
 	}
 	is.Equal(table.Job("j").Started, []time.Time{{}, baseTime, {}})
-	is.Equal(table.Snapshots(b)[0].Started, []time.Time{{}, baseTime, {}})
+	is.Equal(table.Snapshots(b)[0].StartTimes, []time.Time{{}, baseTime, {}})
 }
--- a/internal/state/membership/view.go
+++ b/internal/state/membership/view.go
@@ -1,8 +1,8 @@
 // Package membership builds an entry VM's view of the other entry VMs from their
 // heartbeats, and assigns workers to entry VMs by rendezvous hashing. A silent
-// member is suspected before it is removed, so that a short pause doesn't move
-// its workers. The views of two VMs may differ for a while: they only keep the
-// assignments stable, and safety never depends on them.
+// member is suspected before it is removed, so that a short pause doesn't move its
+// workers. The views of two VMs may differ for a while. This is harmless: the views
+// serve to keep the assignments stable, and safety never depends on them.
 package membership
 
 import (
@@ -18,16 +18,16 @@
 
 // The states of a member.
 const (
-	// Alive members have sent a heartbeat recently.
+	// Alive means that the member has sent a heartbeat recently.
 	Alive State = "alive"
-	// Suspect members have been silent for longer than Timing.SuspectAfter. They
-	// keep their workers but get no new work.
+	// Suspect means that the member has been silent for longer than
+	// Timing.SuspectAfter. It keeps its workers but gets no new work.
 	Suspect State = "suspect"
-	// Removed members have been silent for longer than Timing.RemoveAfter. Their
-	// workers are assigned to other members.
+	// Removed means that the member has been silent for longer than
+	// Timing.RemoveAfter. Its workers are assigned to other members.
 	Removed State = "removed"
-	// Leaving members are shutting down. They hand over their workers and get no
-	// new work.
+	// Leaving means that the member is shutting down. It hands over its workers and
+	// gets no new work.
 	Leaving State = "leaving"
 )
 
@@ -48,8 +48,8 @@
 	Name string `json:"n"`
 	// Incarnation is the start time of the process, so it rises with each restart.
 	Incarnation uint64 `json:"i"`
-	// Epoch rises when the member starts or was paused for too long. The member
-	// refuses calls that carry another epoch.
+	// Epoch rises when the member starts and after it was paused for too long. The
+	// member refuses calls that carry another epoch.
 	Epoch uint64 `json:"e"`
 	// Domain is the failure domain. Domain and Address are empty in brief
 	// heartbeats, which go to members that already know both.
@@ -82,8 +82,8 @@
 // Timing sets how long a member may be silent before its state changes. All
 // durations count from its last heartbeat.
 type Timing struct {
-	// SuspectAfter and RemoveAfter are the silence after which a member becomes
-	// Suspect and Removed.
+	// SuspectAfter is the silence after which a member becomes Suspect, and
+	// RemoveAfter that after which it becomes Removed.
 	SuspectAfter, RemoveAfter time.Duration
 	// ForgetAfter is the silence after which the view drops a member.
 	ForgetAfter time.Duration
@@ -178,8 +178,8 @@
 	return out
 }
 
-// Owners returns the sorted names of the members of this VM's failure domain that
-// may own workers: alive and suspect peers, and this VM unless it is leaving.
+// Owners returns the sorted names of the members that may own workers in this VM's
+// failure domain: alive and suspect peers, and this VM unless it is leaving.
 func (v *View) Owners() []string {
 	var out []string
 	if !v.self.Leaving {
@@ -195,8 +195,9 @@
 }
 
 // Rendezvous assigns a key to one of the candidates by rendezvous hashing: it
-// returns the candidate whose hash with the key is highest, or the empty string
-// if there are no candidates. Removing a candidate reassigns only its own keys.
+// returns the candidate for which the hash of key and candidate is highest, or the
+// empty string if there are no candidates. Removing a candidate reassigns only its
+// own keys.
 func Rendezvous(key string, candidates []string) string {
 	best, bestHash := "", uint64(0)
 	for _, c := range candidates {
--- a/internal/state/membership/view_test.go
+++ b/internal/state/membership/view_test.go
@@ -17,7 +17,7 @@
 	address  = netip.MustParseAddrPort("127.0.0.1:1")
 )
 
-func heartbeat(name string, incarnation uint64) membership.Heartbeat {
+func newHeartbeat(name string, incarnation uint64) membership.Heartbeat {
 	return membership.Heartbeat{Name: name, Incarnation: incarnation, Domain: "d", Address: address}
 }
 
@@ -35,8 +35,8 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			is := is.New(t)
-			v := membership.New(heartbeat("self", 1), timing)
-			v.Observe(baseTime, heartbeat("other", 1))
+			v := membership.New(newHeartbeat("self", 1), timing)
+			v.Observe(baseTime, newHeartbeat("other", 1))
 			v.Tick(baseTime.Add(s.silence))
 			m, _ := v.Member("other")
 			is.Equal(m.State, s.state)
@@ -47,28 +47,28 @@
 
 func TestOlderIncarnationIsIgnored(t *testing.T) {
 	is := is.New(t)
-	v := membership.New(heartbeat("self", 1), timing)
-	v.Observe(baseTime, heartbeat("other", 2))
-	is.True(!v.Observe(baseTime.Add(time.Second), heartbeat("other", 1)))
+	v := membership.New(newHeartbeat("self", 1), timing)
+	v.Observe(baseTime, newHeartbeat("other", 2))
+	is.True(!v.Observe(baseTime.Add(time.Second), newHeartbeat("other", 1)))
 	m, _ := v.Member("other")
 	is.Equal(m.Incarnation, uint64(2))
 }
 
 func TestBriefHeartbeatKeepsDomainAndAddress(t *testing.T) {
 	is := is.New(t)
-	v := membership.New(heartbeat("self", 1), timing)
-	is.True(!v.Observe(baseTime, heartbeat("other", 1).Brief()))
-	v.Observe(baseTime, heartbeat("other", 1))
-	v.Observe(baseTime.Add(time.Second), heartbeat("other", 1).Brief())
+	v := membership.New(newHeartbeat("self", 1), timing)
+	is.True(!v.Observe(baseTime, newHeartbeat("other", 1).Brief()))
+	v.Observe(baseTime, newHeartbeat("other", 1))
+	v.Observe(baseTime.Add(time.Second), newHeartbeat("other", 1).Brief())
 	m, _ := v.Member("other")
 	is.Equal(m.Domain, "d")
 	is.Equal(m.Address, address)
 }
 
-func TestLeavingMembersOwnNothing(t *testing.T) {
+func TestLeavingMembersOwnNoWorkers(t *testing.T) {
 	is := is.New(t)
-	v := membership.New(heartbeat("self", 1), timing)
-	h := heartbeat("other", 1)
+	v := membership.New(newHeartbeat("self", 1), timing)
+	h := newHeartbeat("other", 1)
 	h.Leaving = true
 	v.Observe(baseTime, h)
 	is.Equal(v.Owners(), []string{"self"})
--- a/internal/state/plan/lists.go
+++ b/internal/state/plan/lists.go
@@ -72,7 +72,7 @@
 	Plans []Entitlement `json:"plans"`
 }
 
-// Entitlement states what one plan may use.
+// Entitlement states how much of the pool one plan may use, and for which tasks.
 type Entitlement struct {
 	// Plan names a plan of the first list. Every plan has exactly one
 	// entitlement.
@@ -97,7 +97,7 @@
 	Price float64 `json:"price"`
 }
 
-// Lists is a complete configuration: both lists.
+// Lists is a complete configuration, which consists of both lists.
 type Lists struct {
 	Customers    Customers    `json:"customers"`
 	Entitlements Entitlements `json:"entitlements"`
@@ -109,8 +109,9 @@
 	MaxPlans = 4096
 	// MaxQueueLimit is the largest allowed Entitlement.QueueLimit.
 	MaxQueueLimit = 1_000_000
-	// shareTolerance allows for rounding errors in the sum of promised shares.
-	shareTolerance = 1e-9
+	// promisedSumTolerance allows for rounding errors when the sum of the promised
+	// shares is compared to 1.
+	promisedSumTolerance = 1e-9
 )
 
 // namePattern matches valid names of customers and plans.
@@ -190,7 +191,7 @@
 			return err
 		}
 		promisedSum += p.PromisedShare
-		if promisedSum > 1+shareTolerance {
+		if promisedSum > 1+promisedSumTolerance {
 			return invalid(field("promised_share"), p.PromisedShare, "brings the sum of promises above 1")
 		}
 	}
@@ -202,30 +203,30 @@
 	return nil
 }
 
-// validate checks the values of one entitlement. The function field returns the
-// path of a field for the error.
-func (p Entitlement) validate(field func(string) string) error {
+// validate checks the values of one entitlement. It calls fieldPath with the name
+// of a field to get the path that the error shows.
+func (p Entitlement) validate(fieldPath func(string) string) error {
 	if !(p.PromisedShare > 0 && p.PromisedShare <= 1) {
-		return invalid(field("promised_share"), p.PromisedShare, "must be above 0 and at most 1")
+		return invalid(fieldPath("promised_share"), p.PromisedShare, "must be above 0 and at most 1")
 	}
 	if !(p.LimitShare >= p.PromisedShare && p.LimitShare <= 1) {
-		return invalid(field("limit_share"), p.LimitShare, "must be between promised_share and 1")
+		return invalid(fieldPath("limit_share"), p.LimitShare, "must be between promised_share and 1")
 	}
 	if p.QueueLimit < 1 || p.QueueLimit > MaxQueueLimit {
-		return invalid(field("queue_limit"), p.QueueLimit, fmt.Sprintf("must be between 1 and %d", MaxQueueLimit))
+		return invalid(fieldPath("queue_limit"), p.QueueLimit, fmt.Sprintf("must be between 1 and %d", MaxQueueLimit))
 	}
 	if !(p.Price >= 0 && p.Price < 1e9) {
-		return invalid(field("price"), p.Price, "must be at least 0 and below 1e9")
+		return invalid(fieldPath("price"), p.Price, "must be at least 0 and below 1e9")
 	}
 	if reason := p.MaxTask.Validate(); reason != "" {
-		return invalid(field("max_task"), p.MaxTask, reason)
+		return invalid(fieldPath("max_task"), p.MaxTask, reason)
 	}
 	if len(p.Classes) == 0 {
-		return invalid(field("classes"), "[]", "must name at least one class")
+		return invalid(fieldPath("classes"), "[]", "must name at least one class")
 	}
 	for _, c := range p.Classes {
 		if c.Rank() < 0 {
-			return invalid(field("classes"), c, "must be urgent, normal or overnight")
+			return invalid(fieldPath("classes"), c, "must be urgent, normal or overnight")
 		}
 	}
 	return nil
@@ -238,9 +239,9 @@
 
 // Index looks up the plans of one valid configuration by name. It is immutable.
 type Index struct {
-	// Both maps are indexed by the name of the plan.
-	entitlements map[string]Entitlement
-	customerOf   map[string]string
+	// Both maps are keyed by the name of the plan.
+	entitlementByPlan map[string]Entitlement
+	customerByPlan    map[string]string
 }
 
 // NewIndex builds the index of lists. It returns the error of Lists.Validate for
@@ -250,33 +251,33 @@
 		return nil, err
 	}
 	customerOf, _ := l.Customers.customersByPlan()
-	x := &Index{entitlements: map[string]Entitlement{}, customerOf: customerOf}
+	x := &Index{entitlementByPlan: map[string]Entitlement{}, customerByPlan: customerOf}
 	for _, p := range l.Entitlements.Plans {
-		x.entitlements[p.Plan] = p
+		x.entitlementByPlan[p.Plan] = p
 	}
 	return x, nil
 }
 
 // Entitlement returns the entitlement of a plan and whether the plan exists.
 func (x *Index) Entitlement(plan string) (Entitlement, bool) {
-	e, ok := x.entitlements[plan]
+	e, ok := x.entitlementByPlan[plan]
 	return e, ok
 }
 
 // Customer returns the name of the customer that a plan belongs to, or the empty
 // string for an unknown plan.
-func (x *Index) Customer(plan string) string { return x.customerOf[plan] }
+func (x *Index) Customer(plan string) string { return x.customerByPlan[plan] }
 
 // EachEntitlement calls f with the customer and the entitlement of each plan, in no
 // fixed order.
 func (x *Index) EachEntitlement(f func(customer string, e Entitlement)) {
-	for name, e := range x.entitlements {
-		f(x.customerOf[name], e)
+	for name, e := range x.entitlementByPlan {
+		f(x.customerByPlan[name], e)
 	}
 }
 
-// Allows reports whether the plan may submit work of a class.
-func (p Entitlement) Allows(c Class) bool {
+// AllowsClass reports whether the plan may submit work of a class.
+func (p Entitlement) AllowsClass(c Class) bool {
 	for _, k := range p.Classes {
 		if k == c {
 			return true
--- a/internal/state/recorder/recorder.go
+++ b/internal/state/recorder/recorder.go
@@ -31,13 +31,13 @@
 type Error = fault.Error[Kind]
 
 const (
-	// MaxQueued is the maximum number of records in the queue.
-	MaxQueued = 4096
-	// maxBatch is the maximum number of records in one append.
-	maxBatch = 256
-	// limiterBurst is the number of appends that may exceed the rate after a
+	// MaxQueuedRecords is the maximum number of records in the queue.
+	MaxQueuedRecords = 4096
+	// maxBatchRecords is the maximum number of records in one append.
+	maxBatchRecords = 256
+	// maxAppendBurst is the number of appends that may exceed the rate after a
 	// pause.
-	limiterBurst = 4
+	maxAppendBurst = 4
 )
 
 // Recorder queues the records of one process and appends them in batches. It is
@@ -68,7 +68,7 @@
 // New returns a recorder that appends to log at a limited rate. It runs until ctx
 // ends; records that are queued then are not appended.
 func New(ctx context.Context, log logservice.Log, appendsPerSecond float64) *Recorder {
-	r := &Recorder{log: log, limiter: rate.NewLimiter(rate.Limit(appendsPerSecond), limiterBurst), wake: make(chan struct{}, 1)}
+	r := &Recorder{log: log, limiter: rate.NewLimiter(rate.Limit(appendsPerSecond), maxAppendBurst), wake: make(chan struct{}, 1)}
 	go r.run(ctx)
 	return r
 }
@@ -84,9 +84,9 @@
 func (r *Recorder) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
 	p := &pendingAppend{ctx: ctx, stream: stream, data: data, done: make(chan appendResult, 1)}
 	r.mutex.Lock()
-	if len(r.queue) >= MaxQueued {
+	if len(r.queue) >= MaxQueuedRecords {
 		r.mutex.Unlock()
-		return 0, fault.Newf("append", KindFull, "%d records are queued already", MaxQueued)
+		return 0, fault.Newf("append", KindFull, "%d records are queued already", MaxQueuedRecords)
 	}
 	r.queue = append(r.queue, p)
 	r.mutex.Unlock()
@@ -124,7 +124,7 @@
 }
 
 // nextBatch removes the oldest record and others of its stream from the queue, at
-// most maxBatch of them. It drops records whose callers have given up.
+// most maxBatchRecords of them. It drops records whose callers have given up.
 func (r *Recorder) nextBatch() []*pendingAppend {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -133,7 +133,7 @@
 		switch {
 		case p.ctx.Err() != nil:
 			p.done <- appendResult{err: fault.New("append", KindAbandoned, p.ctx.Err())}
-		case len(batch) < maxBatch && (len(batch) == 0 || batch[0].stream == p.stream):
+		case len(batch) < maxBatchRecords && (len(batch) == 0 || batch[0].stream == p.stream):
 			batch = append(batch, p)
 		default:
 			remaining = append(remaining, p)
--- a/internal/state/resource/vector.go
+++ b/internal/state/resource/vector.go
@@ -7,8 +7,8 @@
 // Kinds is the number of resource kinds in a Vector.
 const Kinds = 5
 
-// MaxAmount is the largest valid amount of one resource. Sums over a whole fleet
-// cannot overflow an int64 below it.
+// MaxAmount is the largest valid amount of one resource. It is low enough that sums
+// over a whole fleet cannot overflow an int64.
 const MaxAmount = int64(1) << 40
 
 // Vector holds an amount of each resource kind: the size of a task, the capacity
--- a/internal/state/usage/usage.go
+++ b/internal/state/usage/usage.go
@@ -11,30 +11,30 @@
 	"github.com/almondpost/almondpost/internal/operate/invariant"
 )
 
-// WaitingBounds are the upper bounds of the waiting-time buckets, inclusive. One
-// more bucket counts the longer times.
-var WaitingBounds = [...]time.Duration{
+// WaitingBucketBounds are the inclusive upper bounds of the waiting-time buckets.
+// One more bucket counts the longer times.
+var WaitingBucketBounds = [...]time.Duration{
 	100 * time.Millisecond, 300 * time.Millisecond, time.Second, 2100 * time.Millisecond,
 	10 * time.Second, time.Minute, time.Hour,
 }
 
 // Buckets is a histogram of the times that tasks waited for their start. Its
-// bounds are WaitingBounds.
-type Buckets [len(WaitingBounds) + 1]int64
+// bounds are WaitingBucketBounds.
+type Buckets [len(WaitingBucketBounds) + 1]int64
 
 // Add counts one task by its waiting time.
 func (b *Buckets) Add(waited time.Duration) {
-	for i, bound := range WaitingBounds {
+	for i, bound := range WaitingBucketBounds {
 		if waited <= bound {
 			b[i]++
 			return
 		}
 	}
-	b[len(WaitingBounds)]++
+	b[len(WaitingBucketBounds)]++
 }
 
-// Sums is the metered usage of one plan over a period. Amounts are in VM-seconds:
-// the plan's dominant share of the pool times the number of workers in the pool,
+// Sums is the usage of one plan over a period. Amounts are in VM-seconds: the
+// plan's dominant share of the pool times the number of workers in the pool,
 // integrated over time.
 type Sums struct {
 	Customer string `json:"customer"`
@@ -79,9 +79,9 @@
 	}
 }
 
-// Period holds the sums of all plans of one pool between two times.
+// Period holds the usage of all plans of one pool between two times.
 type Period struct {
-	// From is the name of the entry VM that metered the pool of its workers.
+	// From is the name of the entry VM whose workers form the pool.
 	From  string    `json:"from"`
 	Begin time.Time `json:"begin"`
 	End   time.Time `json:"end"`
@@ -94,32 +94,33 @@
 // Meter integrates the usage of one pool over time.
 type Meter struct {
 	period Period
-	// lastAdvance is the time up to which the usage is integrated.
-	lastAdvance time.Time
-	// peakUse is the highest use of each plan in the current period, in VMs.
-	peakUse map[string]float64
+	// integratedUntil is the time up to which the usage is integrated.
+	integratedUntil time.Time
+	// peakUseByPlan is the highest use of each plan in the current period, in VMs,
+	// keyed by plan name.
+	peakUseByPlan map[string]float64
 }
 
-// New returns a meter for the pool of the entry VM from. Its first period begins
-// at now.
+// New returns a meter for the pool of the entry VM named from. Its first period
+// begins at now.
 func New(from string, now time.Time) *Meter {
-	m := &Meter{lastAdvance: now}
-	m.reset(from, now)
+	m := &Meter{integratedUntil: now}
+	m.beginPeriod(from, now)
 	return m
 }
 
-// reset begins a new period.
-func (m *Meter) reset(from string, now time.Time) {
+// beginPeriod begins a new period without usage.
+func (m *Meter) beginPeriod(from string, now time.Time) {
 	m.period = Period{From: from, Begin: now, End: now, Plans: map[string]Sums{}}
-	m.peakUse = map[string]float64{}
+	m.peakUseByPlan = map[string]float64{}
 }
 
 // Advance adds the usage from the last call until now to the sums. It assumes that
 // the accounts and the number of workers were constant since then, so callers must
 // call Advance before they change either.
 func (m *Meter) Advance(now time.Time, accounts *share.Accounts, workers int) {
-	elapsed := now.Sub(m.lastAdvance).Seconds()
-	m.lastAdvance = now
+	elapsed := now.Sub(m.integratedUntil).Seconds()
+	m.integratedUntil = now
 	if elapsed <= 0 || workers == 0 {
 		return
 	}
@@ -128,21 +129,21 @@
 	m.period.PoolSeconds += vmSeconds
 	usedShare, promisedShare := 0.0, 0.0
 	accounts.Each(func(a *share.Account) {
-		usedShare += a.WeightedShare() * a.Promised
-		promisedShare += a.Promised
+		usedShare += a.WeightedShare() * a.PromisedShare
+		promisedShare += a.PromisedShare
 	})
 	idleShare := max(0, 1-usedShare)
 	accounts.Each(func(a *share.Account) {
-		planShare := a.WeightedShare() * a.Promised
+		planShare := a.WeightedShare() * a.PromisedShare
 		s := m.period.Plans[a.Plan]
 		s.Customer, s.Plan = a.Customer, a.Plan
-		s.Promised += a.Promised * vmSeconds
+		s.Promised += a.PromisedShare * vmSeconds
 		s.Used += planShare * vmSeconds
-		s.Borrowed += max(0, planShare-a.Promised) * vmSeconds
-		s.Lent += max(0, a.Promised-planShare) * vmSeconds
-		s.Idle += idleShare * vmSeconds * a.Promised / promisedShare
-		m.peakUse[a.Plan] = max(m.peakUse[a.Plan], planShare*float64(workers))
-		s.Alone = m.peakUse[a.Plan] * now.Sub(m.period.Begin).Seconds()
+		s.Borrowed += max(0, planShare-a.PromisedShare) * vmSeconds
+		s.Lent += max(0, a.PromisedShare-planShare) * vmSeconds
+		s.Idle += idleShare * vmSeconds * a.PromisedShare / promisedShare
+		m.peakUseByPlan[a.Plan] = max(m.peakUseByPlan[a.Plan], planShare*float64(workers))
+		s.Alone = m.peakUseByPlan[a.Plan] * now.Sub(m.period.Begin).Seconds()
 		m.period.Plans[a.Plan] = s
 		invariant.Check(s.Used <= s.Promised+s.Borrowed+roundingTolerance*m.period.PoolSeconds, "usage_sums", "plan %s: %+v", a.Plan, s)
 	})
@@ -166,7 +167,7 @@
 	m.period.Plans[plan] = s
 }
 
-// Current returns a copy of the sums of the current period.
+// Current returns a copy of the current period.
 func (m *Meter) Current() Period {
 	p := m.period
 	p.Plans = make(map[string]Sums, len(m.period.Plans))
@@ -184,6 +185,6 @@
 // EndPeriod ends the current period, returns its sums and begins a new period at now.
 func (m *Meter) EndPeriod(now time.Time) Period {
 	p := m.period
-	m.reset(p.From, now)
+	m.beginPeriod(p.From, now)
 	return p
 }
