--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -28,11 +28,12 @@
 	// headIndex is the index of the first entry in items that is in use; the
 	// entries before it are nil.
 	headIndex int
-	// length is the number of items that are not removed.
+	// length is the number of items in the queue. It does not count removed
+	// items that the slice still contains.
 	length int
 }
 
-// Len returns the number of items that are not removed.
+// Len returns the number of items in the queue.
 func (q *Queue[T]) Len() int { return q.length }
 
 // Push adds an item at the end of the queue.
--- a/internal/decide/allocator/allocator.go
+++ b/internal/decide/allocator/allocator.go
@@ -33,13 +33,13 @@
 	// KindQueueFull means that too many tasks of the plan and class, or of all
 	// plans together, are waiting.
 	KindQueueFull Kind = "queue_full"
-	// KindDeadlineUnreachable means that the task cannot complete by its deadline even if
-	// it starts now.
+	// KindDeadlineUnreachable means that the task cannot complete by its
+	// deadline even if it starts now.
 	KindDeadlineUnreachable Kind = "deadline_hopeless"
 	// KindDuplicate means that the attempt is already waiting or running.
 	KindDuplicate Kind = "duplicate_attempt"
-	// KindNoWorkers means that the entry VM has no workers, or none left that
-	// the task fits.
+	// KindNoWorkers means that the entry VM has no workers, or that all workers
+	// that were large enough for the task have been removed.
 	KindNoWorkers Kind = "no_workers"
 	// KindShed means that a waiting task was dropped from a full queue in
 	// favour of a more urgent one.
@@ -127,8 +127,8 @@
 	// that have become empty stay in the list until the next call of
 	// candidateHeap.
 	activeQueues []*planQueues
-	// heapBuffer is reused by candidateHeap to avoid allocations.
-	heapBuffer []candidate
+	// candidateBuffer is reused by candidateHeap to avoid allocations.
+	candidateBuffer []candidate
 	// waitingByAttempt holds the queue items of all waiting tasks, keyed by
 	// attempt.
 	waitingByAttempt map[string]*admission.Item[*Task]
@@ -145,20 +145,21 @@
 // planQueues holds the waiting tasks of one plan in a queue per class. Its
 // arrays are indexed by the rank of the class.
 type planQueues struct {
-	name         string
+	planName     string
 	account      *share.Account
 	entitlement  plan.Entitlement
 	queueByClass [len(plan.Classes)]admission.Queue[*Task]
-	// blockedHead holds the last head of each queue that could not start,
-	// because it fitted no worker or the plan was at its limit.
+	// blockedHeadByClass holds the last head of each queue that could not
+	// start, because it fitted no worker or the plan was at its limit.
 	// blockedAtFreedCount holds the value of Ledger.FreedCount at the latest
 	// check that the head fits no worker.
-	blockedHead         [len(plan.Classes)]*admission.Item[*Task]
+	blockedHeadByClass  [len(plan.Classes)]*admission.Item[*Task]
 	blockedAtFreedCount [len(plan.Classes)]uint64
-	// atLimit is true for a class while the plan's limit keeps the head of its
-	// queue from starting.
-	atLimit [len(plan.Classes)]bool
-	// active is true while Allocator.activeQueues contains these queues.
+	// atLimitByClass is true for a class while the plan's limit keeps the head
+	// of its queue from starting.
+	atLimitByClass [len(plan.Classes)]bool
+	// active is true while Allocator.activeQueues contains the queues of this
+	// plan.
 	active bool
 }
 
@@ -186,8 +187,8 @@
 // Shares returns the accounts of the plans, which the caller must not change.
 func (a *Allocator) Shares() *share.Accounts { return a.shares }
 
-// Waiting returns the number of waiting tasks.
-func (a *Allocator) Waiting() int { return len(a.waitingByAttempt) }
+// WaitingCount returns the number of waiting tasks.
+func (a *Allocator) WaitingCount() int { return len(a.waitingByAttempt) }
 
 // SetPlans replaces the plans and their limits. Waiting and running tasks are
 // kept.
@@ -197,12 +198,12 @@
 	for name, q := range a.queuesByPlan {
 		q.account = a.shares.Account(name)
 		q.entitlement, _ = plans.Entitlement(name)
-		q.blockedHead = [len(plan.Classes)]*admission.Item[*Task]{}
+		q.blockedHeadByClass = [len(plan.Classes)]*admission.Item[*Task]{}
 	}
 }
 
-// RunningAttempt is an attempt that already runs on a worker when the entry VM adopts
-// the worker, that is, starts to schedule tasks on it.
+// RunningAttempt is an attempt that already runs on a worker when the entry VM
+// adopts the worker, that is, starts to schedule tasks on it.
 type RunningAttempt struct {
 	Attempt    string
 	Plan       string
@@ -338,7 +339,7 @@
 	}
 	q := a.queuesByPlan[t.Plan]
 	if q == nil {
-		q = &planQueues{name: t.Plan, account: a.shares.Account(t.Plan), entitlement: e}
+		q = &planQueues{planName: t.Plan, account: a.shares.Account(t.Plan), entitlement: e}
 		a.queuesByPlan[t.Plan] = q
 	}
 	if n := q.queueByClass[t.Class.Rank()].Len(); n >= e.QueueLimit {
--- a/internal/decide/allocator/allocator_test.go
+++ b/internal/decide/allocator/allocator_test.go
@@ -116,7 +116,7 @@
 			s.change(k)
 			_, err := a.Enqueue(startTime, k)
 			is.Equal(fault.KindOf[allocator.Kind](err), s.expected)
-			is.Equal(a.Waiting(), 1)
+			is.Equal(a.WaitingCount(), 1)
 		})
 	}
 }
@@ -270,8 +270,8 @@
 					rt.Fatal(err)
 				}
 			}
-			if a.Waiting() != len(waiting) {
-				rt.Fatalf("%d tasks are waiting, expected %d", a.Waiting(), len(waiting))
+			if a.WaitingCount() != len(waiting) {
+				rt.Fatalf("%d tasks are waiting, expected %d", a.WaitingCount(), len(waiting))
 			}
 		}
 	})
@@ -306,7 +306,7 @@
 	is.Equal(len(startAll(a, startTime)), 1)
 	is.Equal(len(a.RemoveWorker("gpu")), 1)
 	is.Equal(len(a.DropUnplaceable()), 2)
-	is.Equal(a.Waiting(), 0)
+	is.Equal(a.WaitingCount(), 0)
 }
 
 func TestPlanAtItsLimitResumesWhenItsOwnTaskEnds(t *testing.T) {
--- a/internal/decide/allocator/next.go
+++ b/internal/decide/allocator/next.go
@@ -10,23 +10,25 @@
 )
 
 // priority decides which plan gets capacity first. Plans below their promised
-// share come before plans that borrow; then the more urgent class comes first.
-// If both are equal, plans that borrow are compared by the weighted share of
-// their customer; last comes the weighted share of the plan. The smaller share
-// comes first.
+// share come before plans that borrow. Among equals the more urgent class comes
+// first. Then plans that borrow are compared by the weighted share of their
+// customer, and finally all plans by their own weighted share; the smaller
+// share comes first.
 type priority struct {
 	// borrowing is true when the plan uses its promised share or more.
 	borrowing bool
 	// classRank is the rank of the class whose first waiting task competes for
 	// capacity.
 	classRank int
-	// customerWeightedShare and planWeightedShare are defined in package share.
-	// customerWeightedShare is only set for plans that borrow.
+	// customerWeightedShare and planWeightedShare are weighted shares as
+	// package share defines them. customerWeightedShare is only set for plans
+	// that borrow.
 	customerWeightedShare float64
 	planWeightedShare     float64
 }
 
-// precedes reports whether p comes before o.
+// precedes reports whether a plan with priority p gets capacity before a plan
+// with priority o.
 func (p priority) precedes(o priority) bool {
 	switch {
 	case p.borrowing != o.borrowing:
@@ -45,7 +47,8 @@
 	queues   *planQueues
 }
 
-// candidates is a binary heap with the first candidate by priority at index 0.
+// candidates is a binary heap. The candidate whose priority precedes that of
+// all others is at index 0.
 type candidates []candidate
 
 // siftDown moves the candidate at index i down until none of its children comes
@@ -72,7 +75,7 @@
 	heap := a.candidateHeap()
 	for len(heap) > 0 {
 		c := heap[0]
-		if d, ok := a.placeHead(now, c.queues, c.priority.classRank); ok {
+		if d, ok := a.placeQueueHead(now, c.queues, c.priority.classRank); ok {
 			return d, true
 		}
 		if rank := a.firstPlaceableRank(c.queues, c.priority.classRank+1); rank >= 0 {
@@ -89,7 +92,7 @@
 // candidateHeap returns a heap of the plans with a queue head that may fit a
 // worker. It also removes plans without waiting tasks from activeQueues.
 func (a *Allocator) candidateHeap() candidates {
-	heap := candidates(a.heapBuffer[:0])
+	heap := candidates(a.candidateBuffer[:0])
 	for i := 0; i < len(a.activeQueues); i++ {
 		q := a.activeQueues[i]
 		if rank := a.firstPlaceableRank(q, 0); rank >= 0 {
@@ -105,14 +108,14 @@
 		a.activeQueues = a.activeQueues[:last]
 		i--
 	}
-	a.heapBuffer = heap
+	a.candidateBuffer = heap
 	for i := len(heap)/2 - 1; i >= 0; i-- {
 		heap.siftDown(i)
 	}
 	return heap
 }
 
-// priorityOf returns the priority of a plan that competes with the first
+// priorityOf returns the priority of a plan if it competes with the first
 // waiting task of the class with this rank.
 func priorityOf(q *planQueues, rank int) priority {
 	p := priority{classRank: rank, planWeightedShare: q.account.WeightedShare()}
@@ -132,7 +135,7 @@
 		if head == nil {
 			continue
 		}
-		if q.blockedHead[c] != head || q.atLimit[c] && q.account.Permits(head.Value.Size) {
+		if q.blockedHeadByClass[c] != head || q.atLimitByClass[c] && q.account.Permits(head.Value.Size) {
 			return c
 		}
 		if q.blockedAtFreedCount[c] == a.ledger.FreedCount() {
@@ -146,15 +149,15 @@
 	return -1
 }
 
-// placeHead reserves capacity for the head of a class's queue and removes it
-// from the queue. When no worker fits or the plan is at its limit, it records
-// the head as blocked and returns false.
-func (a *Allocator) placeHead(now time.Time, q *planQueues, rank int) (Assignment, bool) {
+// placeQueueHead reserves capacity for the head of a class's queue and removes
+// it from the queue. When no worker fits or the plan is at its limit, it
+// records the head as blocked and returns false.
+func (a *Allocator) placeQueueHead(now time.Time, q *planQueues, rank int) (Assignment, bool) {
 	head := q.queueByClass[rank].Head()
 	t := head.Value
 	w := a.chooseWorker(q, rank, head)
 	if w == nil {
-		q.blockedHead[rank], q.blockedAtFreedCount[rank] = head, a.ledger.FreedCount()
+		q.blockedHeadByClass[rank], q.blockedAtFreedCount[rank] = head, a.ledger.FreedCount()
 		return Assignment{}, false
 	}
 	err := a.ledger.Reserve(w.Name, ledger.Reservation{
@@ -162,7 +165,7 @@
 	})
 	invariant.Check(err == nil, "reservation_refused", "reserve capacity for attempt %s: %v", t.Attempt, err)
 	if err != nil {
-		q.blockedHead[rank], q.blockedAtFreedCount[rank] = head, a.ledger.FreedCount()
+		q.blockedHeadByClass[rank], q.blockedAtFreedCount[rank] = head, a.ledger.FreedCount()
 		return Assignment{}, false
 	}
 	a.shares.Charge(t.Plan, t.Size)
@@ -177,11 +180,11 @@
 // provided that the ledger remembers all of them.
 func (a *Allocator) chooseWorker(q *planQueues, rank int, head *admission.Item[*Task]) *ledger.Worker {
 	t := head.Value
-	wasAtLimit := q.atLimit[rank]
-	if q.atLimit[rank] = !q.account.Permits(t.Size); q.atLimit[rank] {
+	wasAtLimit := q.atLimitByClass[rank]
+	if q.atLimitByClass[rank] = !q.account.Permits(t.Size); q.atLimitByClass[rank] {
 		return nil
 	}
-	if q.blockedHead[rank] == head && !wasAtLimit {
+	if q.blockedHeadByClass[rank] == head && !wasAtLimit {
 		w, complete := a.policy.ChooseFreed(a.ledger, q.blockedAtFreedCount[rank], t.Size, t.Spread)
 		if complete {
 			return w
--- a/internal/decide/allocator/reclaim.go
+++ b/internal/decide/allocator/reclaim.go
@@ -9,21 +9,21 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// maxPreemptionsPerPlan is the maximum number of preempted attempts, not yet
-// ended, whose capacity one plan waits for.
+// maxPreemptionsPerPlan is the maximum number of attempts that are being
+// preempted for one waiting plan at a time.
 const maxPreemptionsPerPlan = 16
 
-// Reclaim chooses running attempts to preempt, which frees capacity for queue
-// heads that could not start. A plan below its promised share takes capacity
-// from plans above their promised share. Urgent tasks also take capacity from
-// less urgent tasks, either of their own plan or of a plan that is above its
-// promised share and has a larger weighted share.
+// Reclaim chooses running attempts to preempt, in order to free capacity for
+// queue heads that could not start. A plan below its promised share takes
+// capacity from plans above their promised share. Urgent tasks also take
+// capacity from less urgent tasks, either of their own plan or of a plan that
+// is above its promised share and has a larger weighted share.
 func (a *Allocator) Reclaim() []Preemption {
 	var out []Preemption
 	for _, q := range a.activeQueues {
 		for c := range q.queueByClass {
 			head := q.queueByClass[c].Head()
-			if head == nil || q.blockedHead[c] != head {
+			if head == nil || q.blockedHeadByClass[c] != head {
 				continue
 			}
 			out = append(out, a.preemptForHead(q, c, head)...)
@@ -35,22 +35,23 @@
 // preemptForHead returns the preemptions that free capacity for the head of a
 // class's queue, and marks the attempts as preempted.
 func (a *Allocator) preemptForHead(q *planQueues, rank int, head *admission.Item[*Task]) []Preemption {
-	if a.pendingPreemptionsByPlan[q.name] >= min(maxPreemptionsPerPlan, q.queueByClass[rank].Len()) {
+	if a.pendingPreemptionsByPlan[q.planName] >= min(maxPreemptionsPerPlan, q.queueByClass[rank].Len()) {
 		return nil
 	}
 	var out []Preemption
 	for _, r := range a.chooseVictims(q, rank, head.Value.Size) {
 		r.Preempting = true
-		a.pendingPreemptionsByPlan[q.name]++
-		a.preemptorPlanByAttempt[r.Attempt] = q.name
-		out = append(out, Preemption{Attempt: r.Attempt, Worker: r.Worker.Name, ForPlan: q.name})
+		a.pendingPreemptionsByPlan[q.planName]++
+		a.preemptorPlanByAttempt[r.Attempt] = q.planName
+		out = append(out, Preemption{Attempt: r.Attempt, Worker: r.Worker.Name, ForPlan: q.planName})
 	}
 	return out
 }
 
 // chooseVictims returns the reservations, all on one worker, to preempt for a
-// task of this size, or nil when no worker has enough of them. It chooses the
-// worker where preemption is cheapest according to isCheaperToPreempt.
+// task of this size, or nil when the task could not start on any worker even
+// then. If there are several such workers, it chooses the one where preemption
+// is cheapest according to isCheaperToPreempt.
 func (a *Allocator) chooseVictims(q *planQueues, rank int, size resource.Vector) []*ledger.Reservation {
 	var best []*ledger.Reservation
 	withinLimit := q.account.Permits(size)
@@ -90,7 +91,7 @@
 		if r.Preempting {
 			continue
 		}
-		if (withinLimit || r.Plan == q.name) && a.mayPreempt(q, rank, r) {
+		if (withinLimit || r.Plan == q.planName) && a.mayPreempt(q, rank, r) {
 			preemptible = append(preemptible, r)
 		}
 	}
@@ -112,17 +113,17 @@
 // mayPreempt reports whether a task of plan q with a class of this rank may
 // preempt a reservation.
 //
-// Within one plan, only urgent tasks may preempt less urgent ones. Other plans
-// lose attempts only while they are above their promised share. A plan below
-// its promised share may preempt any attempt whose plan keeps its own promised
-// share without it, and any less urgent attempt. A plan at or above its
-// promised share may preempt only for an urgent task, and only less urgent
-// attempts of a plan with a larger weighted share.
+// Within one plan, only urgent tasks may preempt less urgent ones. An attempt of
+// another plan may be preempted only while that plan is above its promised
+// share. A plan below its promised share may preempt any less urgent attempt,
+// and any attempt without which the other plan still has its promised share. A
+// plan at or above its promised share may preempt only for an urgent task, and
+// only less urgent attempts of a plan with a larger weighted share.
 func (a *Allocator) mayPreempt(q *planQueues, rank int, r *ledger.Reservation) bool {
 	if !r.Preemptible {
 		return false
 	}
-	if r.Plan == q.name {
+	if r.Plan == q.planName {
 		return rank == plan.Urgent.Rank() && r.ClassRank > rank
 	}
 	victim := a.shares.Account(r.Plan)
--- a/internal/decide/ejection/ejection.go
+++ b/internal/decide/ejection/ejection.go
@@ -10,11 +10,11 @@
 	// failuresToEject is the number of consecutive failures after which a
 	// worker is ejected.
 	failuresToEject = 4
-	// maxEjectedFraction bounds the fraction of workers that are ejected at a
-	// time.
+	// maxEjectedFraction is the maximum fraction of the workers that may be
+	// ejected at the same time.
 	maxEjectedFraction = 0.34
-	// The backoff before a probe doubles with each failed probe, up to
-	// maxBackoff.
+	// initialBackoff is the time from the ejection of a worker to its first
+	// probe. The backoff doubles with each failed probe, up to maxBackoff.
 	initialBackoff = 5 * time.Second
 	maxBackoff     = 2 * time.Minute
 	// healthySuccessRate is the success rate that a kind of task must exceed on
@@ -88,8 +88,8 @@
 // Remove removes a worker and its state.
 func (t *Tracker) Remove(name string) { delete(t.workers, name) }
 
-// RecordOutcome records whether a task of a kind succeeded on a worker, and updates
-// the state of the worker. Unknown workers are ignored.
+// RecordOutcome records whether a task of a kind succeeded on a worker, and
+// updates the state of the worker. Unknown workers are ignored.
 func (t *Tracker) RecordOutcome(now time.Time, name, kind string, ok bool) {
 	w := t.workers[name]
 	if w == nil {
--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/ledger/ledger.go
@@ -87,7 +87,8 @@
 type Ledger struct {
 	workers      map[string]*Worker
 	reservations map[string]*Reservation
-	// index lists the workers by accelerator group and free fraction.
+	// index lists the workers by group, with or without accelerators, and by
+	// the bucket of their free fraction.
 	index [indexGroupCount][indexBucketCount][]indexEntry
 	// workersByCapacity counts the workers of each capacity.
 	workersByCapacity map[resource.Vector]int
--- a/internal/decide/retry/budget.go
+++ b/internal/decide/retry/budget.go
@@ -21,15 +21,16 @@
 	return &Budget{tokens: capacity, capacity: capacity, refillPerAttempt: ratio}
 }
 
-// RecordFirstAttempt records a first attempt, which adds to the budget.
+// RecordFirstAttempt adds a fraction of a token to the budget for a first
+// attempt.
 func (b *Budget) RecordFirstAttempt() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.tokens = min(b.capacity, b.tokens+b.refillPerAttempt)
 }
 
-// TakeRetry takes one token for a retry. It returns false when the budget does not
-// allow a retry.
+// TakeRetry takes one token for a retry. It returns false when the budget does
+// not allow a retry.
 func (b *Budget) TakeRetry() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -51,8 +51,9 @@
 // capacity.
 func (a *Account) WeightedShare() float64 { return a.weightedShare }
 
-// CustomerWeightedShare returns the weighted share of the customer: the dominant share
-// of all its plans together, divided by the sum of their promised shares.
+// CustomerWeightedShare returns the weighted share of the customer: the
+// dominant share of all its plans together, divided by the sum of their
+// promised shares.
 func (a *Account) CustomerWeightedShare() float64 { return a.customerTotals.weightedShare }
 
 // Permits reports whether the plan stays within its limit when it starts one
@@ -61,7 +62,7 @@
 	return a.Used.IsZero() || a.Used.Add(size).DominantFraction(*a.poolCapacity) <= a.LimitShare+limitTolerance
 }
 
-// limitTolerance absorbs rounding errors in the comparison of shares.
+// limitTolerance absorbs rounding errors when a share is compared to the limit.
 const limitTolerance = 1e-9
 
 // Accounts holds the accounts of all plans that use one pool.
--- a/internal/state/claim/claim.go
+++ b/internal/state/claim/claim.go
@@ -81,7 +81,7 @@
 	Append(ctx context.Context, stream string, data []byte) (uint64, error)
 }
 
-// Result is the result of a claim.
+// Result tells who holds a key after it was claimed.
 type Result struct {
 	// Won is true if the claiming request holds the key.
 	Won bool
@@ -106,8 +106,8 @@
 	name       string
 	mutex      sync.Mutex
 	readOffset uint64
-	// keys holds the claims by scoped key.
-	keys map[string]*keyClaim
+	// claimByScopedKey holds the current claim of each key, by scoped key.
+	claimByScopedKey map[string]*keyClaim
 	// recordsSincePrune is the number of records read since expired keys were last
 	// removed.
 	recordsSincePrune int
@@ -126,7 +126,7 @@
 	b := &Registry{appender: a, log: log, now: now}
 	for i := range b.streams {
 		b.streams[i].name = fmt.Sprintf("claims-%d", i)
-		b.streams[i].keys = map[string]*keyClaim{}
+		b.streams[i].claimByScopedKey = map[string]*keyClaim{}
 	}
 	return b
 }
@@ -178,7 +178,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	current := s.keys[scoped]
+	current := s.claimByScopedKey[scoped]
 	if current == nil {
 		return Result{}, fault.Newf("claim", KindUnavailable, "the claim at offset %d was released", offset)
 	}
@@ -228,7 +228,7 @@
 		for _, r := range reply.Records {
 			s.apply(r)
 		}
-		b.prune(s)
+		b.pruneExpiredKeys(s)
 	}
 	return nil
 }
@@ -242,28 +242,29 @@
 	if json.Unmarshal(r.Data, &decoded) != nil {
 		return
 	}
-	current := s.keys[decoded.Key]
+	current := s.claimByScopedKey[decoded.Key]
 	switch {
 	case decoded.Action == actionClaimed && current == nil:
-		s.keys[decoded.Key] = &keyClaim{holder: decoded.ID}
+		s.claimByScopedKey[decoded.Key] = &keyClaim{holder: decoded.ID}
 	case decoded.Action == actionReleased && current != nil && current.holder == decoded.ID:
-		delete(s.keys, decoded.Key)
+		delete(s.claimByScopedKey, decoded.Key)
 	case decoded.Action == actionSettled && current != nil && current.holder == decoded.ID:
 		current.outcome = decoded.Outcome
 	}
 }
 
-// prune removes expired keys, which CheckKey refuses anyway. It does nothing until
-// recordsPerPrune records have been read from the stream since it last did so.
-func (b *Registry) prune(s *claimStream) {
+// pruneExpiredKeys removes expired keys, which CheckKey refuses anyway. It does
+// nothing until recordsPerPrune records have been read from the stream since it
+// last did so.
+func (b *Registry) pruneExpiredKeys(s *claimStream) {
 	if s.recordsSincePrune < recordsPerPrune {
 		return
 	}
 	s.recordsSincePrune = 0
-	for scoped := range s.keys {
+	for scoped := range s.claimByScopedKey {
 		key := scoped[len(scoped)-ulid.EncodedSize:]
 		if fault.KindOf[Kind](b.CheckKey(key)) == KindExpired {
-			delete(s.keys, scoped)
+			delete(s.claimByScopedKey, scoped)
 		}
 	}
 }
--- a/internal/state/configuration/follow.go
+++ b/internal/state/configuration/follow.go
@@ -111,7 +111,7 @@
 func findPublished(ctx context.Context, log logservice.Log, id string) (Version, bool) {
 	var found Version
 	s := New(func(v Version) {
-		if v.ID == id {
+		if v.RecordID == id {
 			found = v
 		}
 	})
--- a/internal/state/configuration/store.go
+++ b/internal/state/configuration/store.go
@@ -59,16 +59,16 @@
 	// Offset is the log offset of the original record. Later versions have higher
 	// offsets.
 	Offset uint64
-	// ID is the ID of the record. It is empty for a version from a peer or a
-	// snapshot.
-	ID       string
+	// RecordID is the ID of the original record. It is empty for a version that was
+	// learned from a peer or a snapshot.
+	RecordID string
 	Operator string
 	Lists    plan.Lists
 	Index    *plan.Index
 }
 
-// Decision is the result of evaluating one record.
-type Decision struct {
+// Evaluation is the result of evaluating one record.
+type Evaluation struct {
 	Accepted bool
 	// Redundant is true for a record that contains no new change: a repeated
 	// append, a snapshot, or a record that is not newer than the current version.
@@ -128,31 +128,31 @@
 // Evaluate decides whether a record is accepted as the successor of the version
 // base, and returns the decoded record and, if it is accepted, the index of its
 // lists. The decision depends only on the arguments, so all processes agree on it.
-func Evaluate(base Version, data []byte) (Record, *plan.Index, Decision) {
+func Evaluate(base Version, data []byte) (Record, *plan.Index, Evaluation) {
 	r, err := decode(data)
 	if err != nil {
-		return r, nil, Decision{Reason: err.Error()}
+		return r, nil, Evaluation{Reason: err.Error()}
 	}
-	if r.ID != "" && r.ID == base.ID {
-		return r, nil, Decision{Redundant: true, Reason: "already accepted"}
+	if r.ID != "" && r.ID == base.RecordID {
+		return r, nil, Evaluation{Redundant: true, Reason: "already accepted"}
 	}
 	if r.BaseOffset != base.Offset {
-		return r, nil, Decision{Reason: "based on another version than the current one"}
+		return r, nil, Evaluation{Reason: "based on another version than the current one"}
 	}
 	index, err := plan.NewIndex(r.Lists)
 	if err != nil {
-		return r, nil, Decision{Reason: err.Error()}
+		return r, nil, Evaluation{Reason: err.Error()}
 	}
-	return r, index, Decision{Accepted: true}
+	return r, index, Evaluation{Accepted: true}
 }
 
 // Apply evaluates the next record of the log and updates the current version if the
 // record is accepted.
-func (s *Store) Apply(r logservice.Record) Decision {
+func (s *Store) Apply(r logservice.Record) Evaluation {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if r.Offset <= s.readOffset {
-		return Decision{Redundant: true, Reason: "already read"}
+		return Evaluation{Redundant: true, Reason: "already read"}
 	}
 	if r.Offset > s.readOffset+1 || r.Offset == 1 {
 		s.contiguousFromOffset, s.pendingRecords = r.Offset, nil
@@ -161,14 +161,14 @@
 	s.readOffset = r.Offset
 	if snapshot, index, ok := decodeSnapshot(r.Data); ok {
 		s.applySnapshot(snapshot, index)
-		return Decision{Redundant: true, Reason: "snapshot"}
+		return Evaluation{Redundant: true, Reason: "snapshot"}
 	}
 	if !s.baseVersionKnown {
 		s.pendingRecords = append(s.pendingRecords, r)
 		if len(s.pendingRecords) > maxPendingRecords {
 			s.pendingRecords = s.pendingRecords[1:]
 		}
-		return Decision{Reason: "the preceding version is not known yet"}
+		return Evaluation{Reason: "the preceding version is not known yet"}
 	}
 	return s.applyChange(r)
 }
@@ -181,14 +181,14 @@
 
 // applyChange evaluates a change and, if it is accepted, makes it the current
 // version. The version that the change is based on must be known.
-func (s *Store) applyChange(r logservice.Record) Decision {
+func (s *Store) applyChange(r logservice.Record) Evaluation {
 	if r.Offset <= s.currentVersion.Offset {
-		return Decision{Redundant: true, Reason: "not newer than the current version"}
+		return Evaluation{Redundant: true, Reason: "not newer than the current version"}
 	}
 	record, index, decision := Evaluate(s.currentVersion, r.Data)
 	if decision.Accepted {
 		s.currentVersionSeen = true
-		s.accept(Version{Offset: r.Offset, ID: record.ID, Operator: record.Operator, Lists: record.Lists, Index: index})
+		s.accept(Version{Offset: r.Offset, RecordID: record.ID, Operator: record.Operator, Lists: record.Lists, Index: index})
 	}
 	return decision
 }
--- a/internal/state/job/table.go
+++ b/internal/state/job/table.go
@@ -148,17 +148,17 @@
 // Len returns the number of jobs in the table, ended ones included.
 func (t *Table) Len() int { return len(t.jobs) }
 
-// Each calls f for every job, in no fixed order.
-func (t *Table) Each(f func(j *Job)) {
+// EachJob calls f for every job, in no fixed order.
+func (t *Table) EachJob(f func(j *Job)) {
 	for _, j := range t.jobs {
 		f(j)
 	}
 }
 
 // Apply updates the table with the next record of the stream. Records that
-// contradict the state, such as a second end of a task or a record of a former
-// holder, change nothing, so appending a record twice is harmless. Apply returns
-// an error of KindMalformed for a record that cannot be decoded.
+// contradict the state, such as a second outcome of a task or a record of a former
+// holder, change nothing, so appending a record twice is harmless. Apply returns an
+// error of KindMalformed for a record that cannot be decoded.
 func (t *Table) Apply(r logservice.Record) error {
 	if r.Offset <= t.appliedOffset {
 		return nil
@@ -170,7 +170,7 @@
 	}
 	switch record.Action {
 	case Accepted:
-		t.accept(record)
+		t.acceptJob(record)
 	case TaskStarted:
 		if j := t.jobs[record.Job]; j != nil && record.Task >= 0 && record.Task < len(j.Started) && j.Holder == record.By && j.Started[record.Task].IsZero() {
 			j.Started[record.Task] = record.At
@@ -190,8 +190,8 @@
 	return nil
 }
 
-// accept adds a job, unless its ID is known or it has no tasks.
-func (t *Table) accept(r Record) {
+// acceptJob adds a job, unless its ID is known or it has no tasks.
+func (t *Table) acceptJob(r Record) {
 	if t.jobs[r.Job] != nil || r.Spec == nil || len(r.Spec.Tasks) == 0 {
 		return
 	}
@@ -214,12 +214,12 @@
 	if j.PendingTasks == 0 {
 		j.EndedOffset = offset
 		t.endedJobIDs = append(t.endedJobIDs, j.ID)
-		t.prune()
+		t.pruneEndedJobs()
 	}
 }
 
-// prune forgets the oldest ended jobs above maxEndedJobs.
-func (t *Table) prune() {
+// pruneEndedJobs forgets the oldest ended jobs above maxEndedJobs.
+func (t *Table) pruneEndedJobs() {
 	for len(t.endedJobIDs) > maxEndedJobs {
 		delete(t.jobs, t.endedJobIDs[0])
 		t.endedJobIDs = t.endedJobIDs[1:]
--- a/internal/state/job/table_test.go
+++ b/internal/state/job/table_test.go
@@ -33,10 +33,10 @@
 	return job.Holder{Name: fmt.Sprintf("e%d", n%3), Incarnation: uint64(n)}
 }
 
-// TestTablesAgree applies random records, some of them twice and some written by
-// former holders, to one table step by step and to another at once. It fails if
-// the tables differ, if a task gets a second outcome, or if a record of a process
-// that does not hold the job takes effect.
+// TestTablesAgree appends random records to a log, some of them twice and some by
+// former holders. One table applies them step by step, another all at once. The
+// test fails if the tables differ, if a task gets a second outcome, or if a record
+// of a process that does not hold the job takes effect.
 func TestTablesAgree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var log []logservice.Record
--- a/internal/state/membership/view.go
+++ b/internal/state/membership/view.go
@@ -33,8 +33,8 @@
 
 // Advert is the load that a member advertises in its heartbeats.
 type Advert struct {
-	// Free is the free fraction of the scarcest resource of the member's workers,
-	// from 0 to 1.
+	// Free is the free fraction, from 0 to 1, of the most used resource on the
+	// member's workers.
 	Free float64 `json:"f,omitempty"`
 	// Waiting is the number of tasks in the member's queues.
 	Waiting int `json:"q,omitempty"`
--- a/internal/state/plan/lists.go
+++ b/internal/state/plan/lists.go
@@ -87,7 +87,7 @@
 	// MaxTask is the largest allowed size of one task. An amount of zero means
 	// that the resource is not limited.
 	MaxTask resource.Vector `json:"max_task"`
-	// Classes are the classes that the plan may use.
+	// Classes are the classes of tasks that the plan may submit.
 	Classes []Class `json:"classes"`
 	// QueueLimit is the maximum number of tasks of the plan that may wait in each
 	// class on each entry VM. It is between 1 and MaxQueueLimit.
@@ -103,9 +103,9 @@
 	Entitlements Entitlements `json:"entitlements"`
 }
 
-// Bounds of the lists.
+// Limits on the contents of the lists.
 const (
-	// MaxPlans is the maximum number of plans of all customers.
+	// MaxPlans is the maximum number of plans of all customers together.
 	MaxPlans = 4096
 	// MaxQueueLimit is the largest allowed Entitlement.QueueLimit.
 	MaxQueueLimit = 1_000_000
@@ -150,25 +150,25 @@
 	for i, u := range c.Customers {
 		field := fmt.Sprintf("customers[%d].name", i)
 		if !namePattern.MatchString(u.Name) {
-			return nil, invalid(field, u.Name, "must match "+namePattern.String())
+			return nil, invalidFieldError(field, u.Name, "must match "+namePattern.String())
 		}
 		if seen[u.Name] {
-			return nil, invalid(field, u.Name, "is a duplicate")
+			return nil, invalidFieldError(field, u.Name, "is a duplicate")
 		}
 		seen[u.Name] = true
 		for j, p := range u.Plans {
 			field := fmt.Sprintf("customers[%d].plans[%d]", i, j)
 			if !namePattern.MatchString(p) {
-				return nil, invalid(field, p, "must match "+namePattern.String())
+				return nil, invalidFieldError(field, p, "must match "+namePattern.String())
 			}
 			if other, ok := customerOf[p]; ok {
-				return nil, invalid(field, p, "already belongs to customer "+other)
+				return nil, invalidFieldError(field, p, "already belongs to customer "+other)
 			}
 			customerOf[p] = u.Name
 		}
 	}
 	if len(customerOf) > MaxPlans {
-		return nil, invalid("customers", len(customerOf), fmt.Sprintf("has more than %d plans", MaxPlans))
+		return nil, invalidFieldError("customers", len(customerOf), fmt.Sprintf("has more than %d plans", MaxPlans))
 	}
 	return customerOf, nil
 }
@@ -181,10 +181,10 @@
 	for i, p := range e.Plans {
 		field := func(name string) string { return fmt.Sprintf("plans[%d].%s", i, name) }
 		if _, ok := customerOf[p.Plan]; !ok {
-			return invalid(field("plan"), p.Plan, "belongs to no customer")
+			return invalidFieldError(field("plan"), p.Plan, "belongs to no customer")
 		}
 		if seen[p.Plan] {
-			return invalid(field("plan"), p.Plan, "is a duplicate")
+			return invalidFieldError(field("plan"), p.Plan, "is a duplicate")
 		}
 		seen[p.Plan] = true
 		if err := p.validate(field); err != nil {
@@ -192,12 +192,12 @@
 		}
 		promisedSum += p.PromisedShare
 		if promisedSum > 1+promisedSumTolerance {
-			return invalid(field("promised_share"), p.PromisedShare, "brings the sum of promises above 1")
+			return invalidFieldError(field("promised_share"), p.PromisedShare, "brings the sum of promises above 1")
 		}
 	}
 	for name := range customerOf {
 		if !seen[name] {
-			return invalid("plans", name, "has no entitlement")
+			return invalidFieldError("plans", name, "has no entitlement")
 		}
 	}
 	return nil
@@ -207,33 +207,33 @@
 // of a field to get the path that the error shows.
 func (p Entitlement) validate(fieldPath func(string) string) error {
 	if !(p.PromisedShare > 0 && p.PromisedShare <= 1) {
-		return invalid(fieldPath("promised_share"), p.PromisedShare, "must be above 0 and at most 1")
+		return invalidFieldError(fieldPath("promised_share"), p.PromisedShare, "must be above 0 and at most 1")
 	}
 	if !(p.LimitShare >= p.PromisedShare && p.LimitShare <= 1) {
-		return invalid(fieldPath("limit_share"), p.LimitShare, "must be between promised_share and 1")
+		return invalidFieldError(fieldPath("limit_share"), p.LimitShare, "must be between promised_share and 1")
 	}
 	if p.QueueLimit < 1 || p.QueueLimit > MaxQueueLimit {
-		return invalid(fieldPath("queue_limit"), p.QueueLimit, fmt.Sprintf("must be between 1 and %d", MaxQueueLimit))
+		return invalidFieldError(fieldPath("queue_limit"), p.QueueLimit, fmt.Sprintf("must be between 1 and %d", MaxQueueLimit))
 	}
 	if !(p.Price >= 0 && p.Price < 1e9) {
-		return invalid(fieldPath("price"), p.Price, "must be at least 0 and below 1e9")
+		return invalidFieldError(fieldPath("price"), p.Price, "must be at least 0 and below 1e9")
 	}
 	if reason := p.MaxTask.Validate(); reason != "" {
-		return invalid(fieldPath("max_task"), p.MaxTask, reason)
+		return invalidFieldError(fieldPath("max_task"), p.MaxTask, reason)
 	}
 	if len(p.Classes) == 0 {
-		return invalid(fieldPath("classes"), "[]", "must name at least one class")
+		return invalidFieldError(fieldPath("classes"), "[]", "must name at least one class")
 	}
 	for _, c := range p.Classes {
 		if c.Rank() < 0 {
-			return invalid(fieldPath("classes"), c, "must be urgent, normal or overnight")
+			return invalidFieldError(fieldPath("classes"), c, "must be urgent, normal or overnight")
 		}
 	}
 	return nil
 }
 
-// invalid returns an error of KindInvalid for a field with its value.
-func invalid(field string, value any, reason string) error {
+// invalidFieldError returns an error of KindInvalid for a field with its value.
+func invalidFieldError(field string, value any, reason string) error {
 	return fault.Newf("validate", KindInvalid, "field %s, value %v: %s", field, value, reason)
 }
 
--- a/internal/state/recorder/recorder.go
+++ b/internal/state/recorder/recorder.go
@@ -57,7 +57,7 @@
 	ctx    context.Context
 	stream string
 	data   []byte
-	done   chan appendResult
+	result chan appendResult
 }
 
 type appendResult struct {
@@ -82,7 +82,7 @@
 // error of KindFull when the queue is full, and of KindUnknown when the append
 // fails or ctx ends, since the record may be in the log then.
 func (r *Recorder) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
-	p := &pendingAppend{ctx: ctx, stream: stream, data: data, done: make(chan appendResult, 1)}
+	p := &pendingAppend{ctx: ctx, stream: stream, data: data, result: make(chan appendResult, 1)}
 	r.mutex.Lock()
 	if len(r.queue) >= MaxQueuedRecords {
 		r.mutex.Unlock()
@@ -95,7 +95,7 @@
 	default:
 	}
 	select {
-	case result := <-p.done:
+	case result := <-p.result:
 		return result.offset, result.err
 	case <-ctx.Done():
 		return 0, fault.New("append", KindUnknown, ctx.Err())
@@ -132,7 +132,7 @@
 	for _, p := range r.queue {
 		switch {
 		case p.ctx.Err() != nil:
-			p.done <- appendResult{err: fault.New("append", KindAbandoned, p.ctx.Err())}
+			p.result <- appendResult{err: fault.New("append", KindAbandoned, p.ctx.Err())}
 		case len(batch) < maxBatchRecords && (len(batch) == 0 || batch[0].stream == p.stream):
 			batch = append(batch, p)
 		default:
@@ -152,9 +152,9 @@
 	first, err := r.log.Append(ctx, batch[0].stream, records)
 	for i, p := range batch {
 		if err != nil {
-			p.done <- appendResult{err: fault.New("append", KindUnknown, err)}
+			p.result <- appendResult{err: fault.New("append", KindUnknown, err)}
 			continue
 		}
-		p.done <- appendResult{offset: first + uint64(i)}
+		p.result <- appendResult{offset: first + uint64(i)}
 	}
 }
--- a/internal/state/resource/vector.go
+++ b/internal/state/resource/vector.go
@@ -21,7 +21,7 @@
 	MemoryMebibytes int64 `json:"memory_mebibytes"`
 	// Accelerators is a number of whole devices.
 	Accelerators int64 `json:"accelerators,omitempty"`
-	// Slots is a number of tasks that run at the same time.
+	// Slots is a number of tasks that may run at the same time.
 	Slots int64 `json:"slots"`
 	// Connections is a number of open connections of a worker.
 	Connections int64 `json:"connections"`
--- a/internal/state/usage/usage.go
+++ b/internal/state/usage/usage.go
@@ -49,8 +49,8 @@
 	// Alone is the capacity that the plan would need in a pool of its own: its
 	// peak use, provided for the whole period.
 	Alone float64 `json:"alone_vm_seconds"`
-	// Idle is the plan's part of the pool's unused capacity, which is divided in
-	// proportion to the promised shares.
+	// Idle is the part of the pool's unused capacity that is attributed to the
+	// plan, in proportion to its promised share.
 	Idle float64 `json:"idle_vm_seconds"`
 	// Started is the number of tasks that started.
 	Started int64 `json:"started"`
@@ -93,8 +93,8 @@
 
 // Meter integrates the usage of one pool over time.
 type Meter struct {
-	period Period
-	// integratedUntil is the time up to which the usage is integrated.
+	currentPeriod Period
+	// integratedUntil is the time up to which usage has been added to the sums.
 	integratedUntil time.Time
 	// peakUseByPlan is the highest use of each plan in the current period, in VMs,
 	// keyed by plan name.
@@ -111,7 +111,7 @@
 
 // beginPeriod begins a new period without usage.
 func (m *Meter) beginPeriod(from string, now time.Time) {
-	m.period = Period{From: from, Begin: now, End: now, Plans: map[string]Sums{}}
+	m.currentPeriod = Period{From: from, Begin: now, End: now, Plans: map[string]Sums{}}
 	m.peakUseByPlan = map[string]float64{}
 }
 
@@ -125,8 +125,8 @@
 		return
 	}
 	vmSeconds := elapsed * float64(workers)
-	m.period.End = now
-	m.period.PoolSeconds += vmSeconds
+	m.currentPeriod.End = now
+	m.currentPeriod.PoolSeconds += vmSeconds
 	usedShare, promisedShare := 0.0, 0.0
 	accounts.Each(func(a *share.Account) {
 		usedShare += a.WeightedShare() * a.PromisedShare
@@ -135,7 +135,7 @@
 	idleShare := max(0, 1-usedShare)
 	accounts.Each(func(a *share.Account) {
 		planShare := a.WeightedShare() * a.PromisedShare
-		s := m.period.Plans[a.Plan]
+		s := m.currentPeriod.Plans[a.Plan]
 		s.Customer, s.Plan = a.Customer, a.Plan
 		s.Promised += a.PromisedShare * vmSeconds
 		s.Used += planShare * vmSeconds
@@ -143,9 +143,9 @@
 		s.Lent += max(0, a.PromisedShare-planShare) * vmSeconds
 		s.Idle += idleShare * vmSeconds * a.PromisedShare / promisedShare
 		m.peakUseByPlan[a.Plan] = max(m.peakUseByPlan[a.Plan], planShare*float64(workers))
-		s.Alone = m.peakUseByPlan[a.Plan] * now.Sub(m.period.Begin).Seconds()
-		m.period.Plans[a.Plan] = s
-		invariant.Check(s.Used <= s.Promised+s.Borrowed+roundingTolerance*m.period.PoolSeconds, "usage_sums", "plan %s: %+v", a.Plan, s)
+		s.Alone = m.peakUseByPlan[a.Plan] * now.Sub(m.currentPeriod.Begin).Seconds()
+		m.currentPeriod.Plans[a.Plan] = s
+		invariant.Check(s.Used <= s.Promised+s.Borrowed+roundingTolerance*m.currentPeriod.PoolSeconds, "usage_sums", "plan %s: %+v", a.Plan, s)
 	})
 }
 
@@ -155,7 +155,7 @@
 
 // CountStart counts a task of a plan that started, by its class and waiting time.
 func (m *Meter) CountStart(customer, plan, class string, waited time.Duration) {
-	s := m.period.Plans[plan]
+	s := m.currentPeriod.Plans[plan]
 	s.Customer, s.Plan = customer, plan
 	s.Started++
 	if s.Waiting == nil {
@@ -164,14 +164,14 @@
 	b := s.Waiting[class]
 	b.Add(waited)
 	s.Waiting[class] = b
-	m.period.Plans[plan] = s
+	m.currentPeriod.Plans[plan] = s
 }
 
 // Current returns a copy of the current period.
 func (m *Meter) Current() Period {
-	p := m.period
-	p.Plans = make(map[string]Sums, len(m.period.Plans))
-	for name, s := range m.period.Plans {
+	p := m.currentPeriod
+	p.Plans = make(map[string]Sums, len(m.currentPeriod.Plans))
+	for name, s := range m.currentPeriod.Plans {
 		waiting := make(map[string]Buckets, len(s.Waiting))
 		for class, b := range s.Waiting {
 			waiting[class] = b
@@ -184,7 +184,7 @@
 
 // EndPeriod ends the current period, returns its sums and begins a new period at now.
 func (m *Meter) EndPeriod(now time.Time) Period {
-	p := m.period
+	p := m.currentPeriod
 	m.beginPeriod(p.From, now)
 	return p
 }
