--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -16,8 +16,8 @@
 	Deadline time.Time
 	// EnqueuedAt is when the item began to wait. The caller sets it.
 	EnqueuedAt time.Time
-	// removed is true once the item has been removed from the queue.
-	// Queue.items may still contain the item for a while.
+	// removed is true once the item has been removed from the queue, even if
+	// Queue.items still contains it.
 	removed bool
 }
 
--- a/internal/decide/allocator/allocator_test.go
+++ b/internal/decide/allocator/allocator_test.go
@@ -58,7 +58,7 @@
 	return a
 }
 
-func task(id, plan string, class plan.Class) *allocator.Task {
+func newTask(id, plan string, class plan.Class) *allocator.Task {
 	return &allocator.Task{Attempt: id, Plan: plan, Class: class, Size: unitSize, Repeatable: true, RunTime: time.Second}
 }
 
@@ -108,10 +108,10 @@
 		t.Run(s.testName, func(t *testing.T) {
 			is := is.New(t)
 			a := newAllocator(t, 1, limited)
-			first := task("first", "limited", plan.Normal)
+			first := newTask("first", "limited", plan.Normal)
 			first.Size = limited.MaxTask
 			enqueue(t, a, startTime, first)
-			k := task("second", "limited", plan.Normal)
+			k := newTask("second", "limited", plan.Normal)
 			k.Size = limited.MaxTask
 			s.change(k)
 			_, err := a.Enqueue(startTime, k)
@@ -125,11 +125,11 @@
 	is := is.New(t)
 	a := newAllocator(t, 2, newEntitlement("lender", 0.5), newEntitlement("borrower", 0.25))
 	for i := range 40 {
-		enqueue(t, a, startTime, task(fmt.Sprintf("b%d", i), "borrower", plan.Overnight))
+		enqueue(t, a, startTime, newTask(fmt.Sprintf("b%d", i), "borrower", plan.Overnight))
 	}
 	is.Equal(len(startAll(a, startTime)), 16)
 	for i := range 12 {
-		enqueue(t, a, startTime, task(fmt.Sprintf("l%d", i), "lender", plan.Normal))
+		enqueue(t, a, startTime, newTask(fmt.Sprintf("l%d", i), "lender", plan.Normal))
 	}
 	for range 20 {
 		startAll(a, startTime)
@@ -146,11 +146,11 @@
 	is := is.New(t)
 	a := newAllocator(t, 4, newEntitlement("calm", 0.25), newEntitlement("flood", 0.25))
 	for i := range 500 {
-		enqueue(t, a, startTime, task(fmt.Sprintf("f%d", i), "flood", plan.Urgent))
+		enqueue(t, a, startTime, newTask(fmt.Sprintf("f%d", i), "flood", plan.Urgent))
 	}
 	startAll(a, startTime)
 	for i := range 8 {
-		enqueue(t, a, startTime, task(fmt.Sprintf("c%d", i), "calm", plan.Overnight))
+		enqueue(t, a, startTime, newTask(fmt.Sprintf("c%d", i), "calm", plan.Overnight))
 	}
 	for range 20 {
 		startAll(a, startTime)
@@ -165,10 +165,10 @@
 	is := is.New(t)
 	a := newAllocator(t, 1, newEntitlement("only", 1))
 	for i := range 20 {
-		enqueue(t, a, startTime, task(fmt.Sprintf("o%d", i), "only", plan.Overnight))
+		enqueue(t, a, startTime, newTask(fmt.Sprintf("o%d", i), "only", plan.Overnight))
 	}
 	is.Equal(len(startAll(a, startTime)), 8)
-	enqueue(t, a, startTime, task("u", "only", plan.Urgent))
+	enqueue(t, a, startTime, newTask("u", "only", plan.Urgent))
 	is.Equal(len(startAll(a, startTime)), 0)
 	victims := a.Reclaim()
 	is.Equal(len(victims), 1)
@@ -184,11 +184,11 @@
 	a := allocator.New(placement.Balanced{}, allocator.Limits{Waiting: 2})
 	a.SetPlans(newPlanIndex(t, newEntitlement("p", 1)))
 	is.NoErr(a.AddWorker("w", "r", capacity, nil))
-	enqueue(t, a, startTime, task("n", "p", plan.Normal), task("o", "p", plan.Overnight))
-	shed, err := a.Enqueue(startTime, task("u", "p", plan.Urgent))
+	enqueue(t, a, startTime, newTask("n", "p", plan.Normal), newTask("o", "p", plan.Overnight))
+	shed, err := a.Enqueue(startTime, newTask("u", "p", plan.Urgent))
 	is.NoErr(err)
 	is.Equal(shed.Task.Attempt, "o")
-	_, err = a.Enqueue(startTime, task("o2", "p", plan.Overnight))
+	_, err = a.Enqueue(startTime, newTask("o2", "p", plan.Overnight))
 	is.Equal(fault.KindOf[allocator.Kind](err), allocator.KindQueueFull)
 }
 
@@ -196,7 +196,7 @@
 	is := is.New(t)
 	a := newAllocator(t, 1, newEntitlement("p", 1))
 	a.SetAccepting("w0", false)
-	enqueue(t, a, startTime, task("a", "p", plan.Urgent))
+	enqueue(t, a, startTime, newTask("a", "p", plan.Urgent))
 	is.Equal(len(startAll(a, startTime)), 0)
 	a.SetAccepting("w0", true)
 	is.Equal(len(startAll(a, startTime)), 1)
@@ -218,7 +218,7 @@
 			switch rapid.IntRange(0, 7).Draw(rt, "step") {
 			case 0, 1, 2:
 				lastAttempt++
-				k := task(fmt.Sprint(lastAttempt), rapid.SampledFrom(names).Draw(rt, "plan"), rapid.SampledFrom(plan.Classes[:]).Draw(rt, "class"))
+				k := newTask(fmt.Sprint(lastAttempt), rapid.SampledFrom(names).Draw(rt, "plan"), rapid.SampledFrom(plan.Classes[:]).Draw(rt, "class"))
 				k.Size = resource.Vector{
 					Milliprocessors: rapid.Int64Range(1, 9000).Draw(rt, "cpu"), MemoryMebibytes: rapid.Int64Range(1, 8192).Draw(rt, "memory"),
 					Slots: rapid.Int64Range(0, 2).Draw(rt, "slots"),
@@ -299,7 +299,7 @@
 	accelerated.Accelerators = 1
 	is.NoErr(a.AddWorker("gpu", "r", accelerated, nil))
 	for i := range 3 {
-		k := task(fmt.Sprint(i), "p", plan.Normal)
+		k := newTask(fmt.Sprint(i), "p", plan.Normal)
 		k.Size.Accelerators = 1
 		enqueue(t, a, startTime, k)
 	}
@@ -314,15 +314,15 @@
 	limited := newEntitlement("limited", 0.25)
 	limited.LimitShare = 0.25
 	a := newAllocator(t, 2, limited, newEntitlement("other", 0.5))
-	small := task("small", "limited", plan.Normal)
+	small := newTask("small", "limited", plan.Normal)
 	small.Size = resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 1, Slots: 1}
-	filler := task("filler", "other", plan.Normal)
+	filler := newTask("filler", "other", plan.Normal)
 	filler.Size = resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 8190, Slots: 7}
 	enqueue(t, a, startTime, small)
 	first := startAll(a, startTime)
 	enqueue(t, a, startTime, filler)
 	is.Equal(startAll(a, startTime)[0].Worker, first[0].Worker)
-	large := task("large", "limited", plan.Normal)
+	large := newTask("large", "limited", plan.Normal)
 	large.Size = resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 100, Slots: 1}
 	enqueue(t, a, startTime, large)
 	is.Equal(len(startAll(a, startTime)), 0)
--- a/internal/decide/allocator/bench_test.go
+++ b/internal/decide/allocator/bench_test.go
@@ -41,15 +41,15 @@
 		}
 	}
 	lastAttempt := 0
-	newTask := func() *allocator.Task {
+	randomTask := func() *allocator.Task {
 		lastAttempt++
-		k := task(fmt.Sprint(lastAttempt), fmt.Sprintf("p%d", random.IntN(planCount)), plan.Classes[random.IntN(3)])
+		k := newTask(fmt.Sprint(lastAttempt), fmt.Sprintf("p%d", random.IntN(planCount)), plan.Classes[random.IntN(3)])
 		k.Size = resource.Vector{Milliprocessors: 500 + random.Int64N(5000), MemoryMebibytes: 500 + random.Int64N(20000), Slots: 1, Connections: 1}
 		return k
 	}
 	var running []string
 	for len(running) < targetRunning {
-		enqueue(b, a, startTime, newTask())
+		enqueue(b, a, startTime, randomTask())
 		if d, ok := a.Next(startTime); ok {
 			running = append(running, d.Task.Attempt)
 		} else {
@@ -57,14 +57,14 @@
 		}
 	}
 	for range 1000 {
-		enqueue(b, a, startTime, newTask())
+		enqueue(b, a, startTime, randomTask())
 	}
 	var times []time.Duration
 	b.ReportAllocs()
 	for b.Loop() {
 		i := random.IntN(len(running))
 		a.Release(running[i])
-		enqueue(b, a, startTime, newTask())
+		enqueue(b, a, startTime, randomTask())
 		started := time.Now()
 		d, ok := a.Next(startTime)
 		times = append(times, time.Since(started))
--- a/internal/decide/allocator/next.go
+++ b/internal/decide/allocator/next.go
@@ -115,8 +115,8 @@
 	return heap
 }
 
-// priorityOf returns the priority of a plan if it competes with the first
-// waiting task of the class with this rank.
+// priorityOf returns the priority with which a plan requests capacity for the
+// first waiting task of the class with this rank.
 func priorityOf(q *planQueues, rank int) priority {
 	p := priority{classRank: rank, planWeightedShare: q.account.WeightedShare()}
 	if p.borrowing = p.planWeightedShare >= 1; p.borrowing {
--- a/internal/decide/allocator/reclaim.go
+++ b/internal/decide/allocator/reclaim.go
@@ -49,9 +49,9 @@
 }
 
 // chooseVictims returns the reservations, all on one worker, to preempt for a
-// task of this size, or nil when the task could not start on any worker even
-// then. If there are several such workers, it chooses the one where preemption
-// is cheapest according to isCheaperToPreempt.
+// task of this size, or nil when preemption cannot free enough capacity on any
+// worker. If it can on several workers, chooseVictims chooses the one where
+// preemption is cheapest according to isCheaperToPreempt.
 func (a *Allocator) chooseVictims(q *planQueues, rank int, size resource.Vector) []*ledger.Reservation {
 	var best []*ledger.Reservation
 	withinLimit := q.account.Permits(size)
@@ -136,7 +136,7 @@
 	return rank == plan.Urgent.Rank() && r.ClassRank > rank && victim.WeightedShare() > q.account.WeightedShare()
 }
 
-// shareTolerance absorbs rounding errors in the comparison of shares.
+// shareTolerance absorbs rounding errors when shares are compared.
 const shareTolerance = 1e-9
 
 // endPreemption removes an attempt that has ended from the pending preemptions.
--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/ledger/ledger.go
@@ -64,8 +64,7 @@
 	Preemptible bool
 	// Preempting is true once the attempt has been chosen for preemption.
 	Preempting bool
-	// Sequence is a number that the ledger sets. It is higher for newer
-	// reservations.
+	// Sequence is set by the ledger and is higher for newer reservations.
 	Sequence uint64
 }
 
--- a/internal/decide/placement/policy.go
+++ b/internal/decide/placement/policy.go
@@ -125,7 +125,7 @@
 // RandomTwo draws two workers at random and chooses the less used of those with
 // enough free capacity. It is a baseline for benchmarks.
 type RandomTwo struct {
-	// WorkerNames lists the worker names.
+	// WorkerNames lists the names of the workers that may be drawn.
 	WorkerNames []string
 	Random      *rand.Rand
 }
--- a/internal/state/plan/lists.go
+++ b/internal/state/plan/lists.go
@@ -244,8 +244,8 @@
 	customerByPlan    map[string]string
 }
 
-// NewIndex builds the index of lists. It returns the error of Lists.Validate for
-// invalid ones.
+// NewIndex builds an index of valid lists. For invalid lists, it returns the error
+// of Lists.Validate.
 func NewIndex(l Lists) (*Index, error) {
 	if err := l.Validate(); err != nil {
 		return nil, err
--- a/internal/state/resource/vector.go
+++ b/internal/state/resource/vector.go
@@ -114,8 +114,9 @@
 	return fraction
 }
 
-// unavailableFraction is the dominant fraction of a demand that no capacity can
-// meet. It is larger than the fraction of any demand on existing capacity.
+// unavailableFraction is the dominant fraction of a demand for a resource of which
+// there is no capacity. It is larger than the fraction of any demand on existing
+// capacity.
 const unavailableFraction = 1e9
 
 // Validate returns a message that names the first amount below 0 or above
--- a/internal/state/usage/usage.go
+++ b/internal/state/usage/usage.go
@@ -54,7 +54,7 @@
 	Idle float64 `json:"idle_vm_seconds"`
 	// Started is the number of tasks that started.
 	Started int64 `json:"started"`
-	// Waiting holds the waiting times of the started tasks by class.
+	// Waiting holds, for each class, the waiting times of the started tasks.
 	Waiting map[string]Buckets `json:"waiting"`
 }
 
