--- a/internal/decide/allocator/allocator_test.go
+++ b/internal/decide/allocator/allocator_test.go
@@ -24,13 +24,13 @@
 	unitSize  = resource.Vector{Milliprocessors: 1000, MemoryMebibytes: 1024, Slots: 1, Connections: 1}
 )
 
-func entitlement(name string, promised float64) plan.Entitlement {
+func newEntitlement(name string, promised float64) plan.Entitlement {
 	return plan.Entitlement{Plan: name, PromisedShare: promised, LimitShare: 1, QueueLimit: 1000, Classes: plan.Classes[:]}
 }
 
-// planIndex returns a configuration in which each plan belongs to a customer of
-// its own.
-func planIndex(t testing.TB, entitlements ...plan.Entitlement) *plan.Index {
+// newPlanIndex returns an index of the entitlements in which each plan belongs
+// to a customer of its own.
+func newPlanIndex(t testing.TB, entitlements ...plan.Entitlement) *plan.Index {
 	t.Helper()
 	var l plan.Lists
 	for _, e := range entitlements {
@@ -44,11 +44,12 @@
 	return x
 }
 
-// newAllocator returns an allocator with empty workers, four to a rack.
+// newAllocator returns an allocator with this number of empty workers, four per
+// rack.
 func newAllocator(t testing.TB, workers int, entitlements ...plan.Entitlement) *allocator.Allocator {
 	t.Helper()
 	a := allocator.New(placement.Balanced{}, allocator.Limits{Waiting: 10_000})
-	a.SetPlans(planIndex(t, entitlements...))
+	a.SetPlans(newPlanIndex(t, entitlements...))
 	for i := range workers {
 		if err := a.AddWorker(fmt.Sprintf("w%d", i), fmt.Sprintf("r%d", i/4), capacity, nil); err != nil {
 			t.Fatal(err)
@@ -57,7 +58,7 @@
 	return a
 }
 
-func task(id, plan string, class plan.Class) *allocator.Task {
+func newTask(id, plan string, class plan.Class) *allocator.Task {
 	return &allocator.Task{Attempt: id, Plan: plan, Class: class, Size: unitSize, Repeatable: true, RunTime: time.Second}
 }
 
@@ -70,9 +71,10 @@
 	}
 }
 
-// startAll starts waiting tasks until no more fit.
-func startAll(a *allocator.Allocator, now time.Time) []allocator.Decision {
-	var out []allocator.Decision
+// startAll calls Next until no waiting task can start, and returns the
+// assignments.
+func startAll(a *allocator.Allocator, now time.Time) []allocator.Assignment {
+	var out []allocator.Assignment
 	for {
 		d, ok := a.Next(now)
 		if !ok {
@@ -82,8 +84,8 @@
 	}
 }
 
-func TestEnqueueRefusesWithAReason(t *testing.T) {
-	limited := entitlement("limited", 0.5)
+func TestEnqueueReturnsReasonForRefusal(t *testing.T) {
+	limited := newEntitlement("limited", 0.5)
 	limited.MaxTask = resource.Vector{Milliprocessors: 500, MemoryMebibytes: 512, Slots: 1, Connections: 1}
 	limited.Classes = []plan.Class{plan.Normal}
 	limited.QueueLimit = 1
@@ -106,28 +108,28 @@
 		t.Run(s.testName, func(t *testing.T) {
 			is := is.New(t)
 			a := newAllocator(t, 1, limited)
-			first := task("first", "limited", plan.Normal)
+			first := newTask("first", "limited", plan.Normal)
 			first.Size = limited.MaxTask
 			enqueue(t, a, startTime, first)
-			k := task("second", "limited", plan.Normal)
+			k := newTask("second", "limited", plan.Normal)
 			k.Size = limited.MaxTask
 			s.change(k)
 			_, err := a.Enqueue(startTime, k)
 			is.Equal(fault.KindOf[allocator.Kind](err), s.expected)
-			is.Equal(a.Waiting(), 1)
+			is.Equal(a.WaitingCount(), 1)
 		})
 	}
 }
 
 func TestPromiseIsTakenBackFromABorrower(t *testing.T) {
 	is := is.New(t)
-	a := newAllocator(t, 2, entitlement("lender", 0.5), entitlement("borrower", 0.25))
+	a := newAllocator(t, 2, newEntitlement("lender", 0.5), newEntitlement("borrower", 0.25))
 	for i := range 40 {
-		enqueue(t, a, startTime, task(fmt.Sprintf("b%d", i), "borrower", plan.Overnight))
+		enqueue(t, a, startTime, newTask(fmt.Sprintf("b%d", i), "borrower", plan.Overnight))
 	}
 	is.Equal(len(startAll(a, startTime)), 16)
 	for i := range 12 {
-		enqueue(t, a, startTime, task(fmt.Sprintf("l%d", i), "lender", plan.Normal))
+		enqueue(t, a, startTime, newTask(fmt.Sprintf("l%d", i), "lender", plan.Normal))
 	}
 	for range 20 {
 		startAll(a, startTime)
@@ -142,13 +144,13 @@
 
 func TestUrgentFloodLeavesThePromisesOfOthers(t *testing.T) {
 	is := is.New(t)
-	a := newAllocator(t, 4, entitlement("calm", 0.25), entitlement("flood", 0.25))
+	a := newAllocator(t, 4, newEntitlement("calm", 0.25), newEntitlement("flood", 0.25))
 	for i := range 500 {
-		enqueue(t, a, startTime, task(fmt.Sprintf("f%d", i), "flood", plan.Urgent))
+		enqueue(t, a, startTime, newTask(fmt.Sprintf("f%d", i), "flood", plan.Urgent))
 	}
 	startAll(a, startTime)
 	for i := range 8 {
-		enqueue(t, a, startTime, task(fmt.Sprintf("c%d", i), "calm", plan.Overnight))
+		enqueue(t, a, startTime, newTask(fmt.Sprintf("c%d", i), "calm", plan.Overnight))
 	}
 	for range 20 {
 		startAll(a, startTime)
@@ -161,12 +163,12 @@
 
 func TestUrgentTaskPreemptsOvernightTaskOfTheSamePlan(t *testing.T) {
 	is := is.New(t)
-	a := newAllocator(t, 1, entitlement("only", 1))
+	a := newAllocator(t, 1, newEntitlement("only", 1))
 	for i := range 20 {
-		enqueue(t, a, startTime, task(fmt.Sprintf("o%d", i), "only", plan.Overnight))
+		enqueue(t, a, startTime, newTask(fmt.Sprintf("o%d", i), "only", plan.Overnight))
 	}
 	is.Equal(len(startAll(a, startTime)), 8)
-	enqueue(t, a, startTime, task("u", "only", plan.Urgent))
+	enqueue(t, a, startTime, newTask("u", "only", plan.Urgent))
 	is.Equal(len(startAll(a, startTime)), 0)
 	victims := a.Reclaim()
 	is.Equal(len(victims), 1)
@@ -180,32 +182,32 @@
 func TestSheddingDropsTheLeastUrgentTask(t *testing.T) {
 	is := is.New(t)
 	a := allocator.New(placement.Balanced{}, allocator.Limits{Waiting: 2})
-	a.SetPlans(planIndex(t, entitlement("p", 1)))
+	a.SetPlans(newPlanIndex(t, newEntitlement("p", 1)))
 	is.NoErr(a.AddWorker("w", "r", capacity, nil))
-	enqueue(t, a, startTime, task("n", "p", plan.Normal), task("o", "p", plan.Overnight))
-	shed, err := a.Enqueue(startTime, task("u", "p", plan.Urgent))
+	enqueue(t, a, startTime, newTask("n", "p", plan.Normal), newTask("o", "p", plan.Overnight))
+	shed, err := a.Enqueue(startTime, newTask("u", "p", plan.Urgent))
 	is.NoErr(err)
 	is.Equal(shed.Task.Attempt, "o")
-	_, err = a.Enqueue(startTime, task("o2", "p", plan.Overnight))
+	_, err = a.Enqueue(startTime, newTask("o2", "p", plan.Overnight))
 	is.Equal(fault.KindOf[allocator.Kind](err), allocator.KindQueueFull)
 }
 
 func TestLeavingWorkerGetsNoWork(t *testing.T) {
 	is := is.New(t)
-	a := newAllocator(t, 1, entitlement("p", 1))
+	a := newAllocator(t, 1, newEntitlement("p", 1))
 	a.SetAccepting("w0", false)
-	enqueue(t, a, startTime, task("a", "p", plan.Urgent))
+	enqueue(t, a, startTime, newTask("a", "p", plan.Urgent))
 	is.Equal(len(startAll(a, startTime)), 0)
 	a.SetAccepting("w0", true)
 	is.Equal(len(startAll(a, startTime)), 1)
 }
 
 // TestRandomHistory runs random operations and compares the allocator with a
-// simple model of the waiting and the running attempts. Violated invariants
-// panic.
+// simple model of the waiting and the running attempts. Invariants that the
+// allocator checks itself panic when they are violated.
 func TestRandomHistory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		a := newAllocator(t, 4, entitlement("a", 0.5), entitlement("b", 0.3), entitlement("c", 0.1))
+		a := newAllocator(t, 4, newEntitlement("a", 0.5), newEntitlement("b", 0.3), newEntitlement("c", 0.1))
 		running := map[string]string{}
 		waiting := map[string]bool{}
 		names := []string{"a", "b", "c"}
@@ -216,7 +218,7 @@
 			switch rapid.IntRange(0, 7).Draw(rt, "step") {
 			case 0, 1, 2:
 				lastAttempt++
-				k := task(fmt.Sprint(lastAttempt), rapid.SampledFrom(names).Draw(rt, "plan"), rapid.SampledFrom(plan.Classes[:]).Draw(rt, "class"))
+				k := newTask(fmt.Sprint(lastAttempt), rapid.SampledFrom(names).Draw(rt, "plan"), rapid.SampledFrom(plan.Classes[:]).Draw(rt, "class"))
 				k.Size = resource.Vector{
 					Milliprocessors: rapid.Int64Range(1, 9000).Draw(rt, "cpu"), MemoryMebibytes: rapid.Int64Range(1, 8192).Draw(rt, "memory"),
 					Slots: rapid.Int64Range(0, 2).Draw(rt, "slots"),
@@ -268,15 +270,15 @@
 					rt.Fatal(err)
 				}
 			}
-			if a.Waiting() != len(waiting) {
-				rt.Fatalf("%d tasks are waiting, expected %d", a.Waiting(), len(waiting))
+			if a.WaitingCount() != len(waiting) {
+				rt.Fatalf("%d tasks are waiting, expected %d", a.WaitingCount(), len(waiting))
 			}
 		}
 	})
 }
 
-// smallestKey returns the smallest key of a map, so that a run with the same
-// seed always chooses the same one.
+// smallestKey returns the smallest key of a map. Unlike the first key of an
+// iteration, it is the same in each run with the same seed.
 func smallestKey(m map[string]string) (string, bool) {
 	if len(m) == 0 {
 		return "", false
@@ -292,35 +294,35 @@
 
 func TestWaitingTasksAreDroppedWithTheLastWorkerTheyFit(t *testing.T) {
 	is := is.New(t)
-	a := newAllocator(t, 1, entitlement("p", 1))
+	a := newAllocator(t, 1, newEntitlement("p", 1))
 	accelerated := capacity
 	accelerated.Accelerators = 1
 	is.NoErr(a.AddWorker("gpu", "r", accelerated, nil))
 	for i := range 3 {
-		k := task(fmt.Sprint(i), "p", plan.Normal)
+		k := newTask(fmt.Sprint(i), "p", plan.Normal)
 		k.Size.Accelerators = 1
 		enqueue(t, a, startTime, k)
 	}
 	is.Equal(len(startAll(a, startTime)), 1)
 	is.Equal(len(a.RemoveWorker("gpu")), 1)
 	is.Equal(len(a.DropUnplaceable()), 2)
-	is.Equal(a.Waiting(), 0)
+	is.Equal(a.WaitingCount(), 0)
 }
 
 func TestPlanAtItsLimitResumesWhenItsOwnTaskEnds(t *testing.T) {
 	is := is.New(t)
-	limited := entitlement("limited", 0.25)
+	limited := newEntitlement("limited", 0.25)
 	limited.LimitShare = 0.25
-	a := newAllocator(t, 2, limited, entitlement("other", 0.5))
-	small := task("small", "limited", plan.Normal)
+	a := newAllocator(t, 2, limited, newEntitlement("other", 0.5))
+	small := newTask("small", "limited", plan.Normal)
 	small.Size = resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 1, Slots: 1}
-	filler := task("filler", "other", plan.Normal)
+	filler := newTask("filler", "other", plan.Normal)
 	filler.Size = resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 8190, Slots: 7}
 	enqueue(t, a, startTime, small)
 	first := startAll(a, startTime)
 	enqueue(t, a, startTime, filler)
 	is.Equal(startAll(a, startTime)[0].Worker, first[0].Worker)
-	large := task("large", "limited", plan.Normal)
+	large := newTask("large", "limited", plan.Normal)
 	large.Size = resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 100, Slots: 1}
 	enqueue(t, a, startTime, large)
 	is.Equal(len(startAll(a, startTime)), 0)
--- a/internal/decide/allocator/reclaim.go
+++ b/internal/decide/allocator/reclaim.go
@@ -9,20 +9,21 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// maxPreemptionsPerPlan bounds the preempted attempts that one waiting plan
-// waits for at a time.
+// maxPreemptionsPerPlan is the maximum number of attempts that are being
+// preempted for one waiting plan at a time.
 const maxPreemptionsPerPlan = 16
 
-// Reclaim returns the preemptions that free capacity for queue heads that could
-// not start. A plan below its promised share takes capacity from plans above
-// theirs. Urgent tasks also take it from less urgent tasks, of their own plan
-// or of plans above their promised share that have a larger weighted share.
+// Reclaim chooses running attempts to preempt, in order to free capacity for
+// queue heads that could not start. A plan below its promised share takes
+// capacity from plans above their promised share. Urgent tasks also take
+// capacity from less urgent tasks, either of their own plan or of a plan that
+// is above its promised share and has a larger weighted share.
 func (a *Allocator) Reclaim() []Preemption {
 	var out []Preemption
 	for _, q := range a.activeQueues {
-		for c := range q.byClass {
-			head := q.byClass[c].Head()
-			if head == nil || q.blockedHead[c] != head {
+		for c := range q.queueByClass {
+			head := q.queueByClass[c].Head()
+			if head == nil || q.blockedHeadByClass[c] != head {
 				continue
 			}
 			out = append(out, a.preemptForHead(q, c, head)...)
@@ -32,56 +33,57 @@
 }
 
 // preemptForHead returns the preemptions that free capacity for the head of a
-// class, and marks the attempts as preempted.
+// class's queue, and marks the attempts as preempted.
 func (a *Allocator) preemptForHead(q *planQueues, rank int, head *admission.Item[*Task]) []Preemption {
-	if a.preemptionsInFlight[q.name] >= min(maxPreemptionsPerPlan, q.byClass[rank].Len()) {
+	if a.pendingPreemptionsByPlan[q.planName] >= min(maxPreemptionsPerPlan, q.queueByClass[rank].Len()) {
 		return nil
 	}
 	var out []Preemption
 	for _, r := range a.chooseVictims(q, rank, head.Value.Size) {
 		r.Preempting = true
-		a.preemptionsInFlight[q.name]++
-		a.preemptedFor[r.Attempt] = q.name
-		out = append(out, Preemption{Attempt: r.Attempt, Worker: r.Worker.Name, ForPlan: q.name})
+		a.pendingPreemptionsByPlan[q.planName]++
+		a.preemptorPlanByAttempt[r.Attempt] = q.planName
+		out = append(out, Preemption{Attempt: r.Attempt, Worker: r.Worker.Name, ForPlan: q.planName})
 	}
 	return out
 }
 
 // chooseVictims returns the reservations, all on one worker, to preempt for a
-// task of this size. Of the workers where this is possible, it chooses the one
-// that isCheaper prefers. It returns nil when there is none.
+// task of this size, or nil when preemption cannot free enough capacity on any
+// worker. If it can on several workers, chooseVictims chooses the one where
+// preemption is cheapest according to isCheaperToPreempt.
 func (a *Allocator) chooseVictims(q *planQueues, rank int, size resource.Vector) []*ledger.Reservation {
 	var best []*ledger.Reservation
 	withinLimit := q.account.Permits(size)
 	if !withinLimit && rank != plan.Urgent.Rank() {
 		return nil
 	}
-	a.ledger.Workers(func(w *ledger.Worker) {
+	a.ledger.EachWorker(func(w *ledger.Worker) {
 		if !w.Accepting || !size.Fits(w.Capacity) {
 			return
 		}
 		onWorker := a.victimsOnWorker(w, q, rank, size, withinLimit)
-		if onWorker != nil && (best == nil || isCheaper(onWorker, best)) {
+		if onWorker != nil && (best == nil || isCheaperToPreempt(onWorker, best)) {
 			best = onWorker
 		}
 	})
 	return best
 }
 
-// isCheaper reports whether preempting a is expected to lose less work than
-// preempting b: a has fewer reservations or, if there are equally many, its
-// first one is newer.
-func isCheaper(a, b []*ledger.Reservation) bool {
+// isCheaperToPreempt reports whether preempting a is expected to lose less work
+// than preempting b: a has fewer reservations or, if both have equally many,
+// the first reservation of a is newer.
+func isCheaperToPreempt(a, b []*ledger.Reservation) bool {
 	if len(a) != len(b) {
 		return len(a) < len(b)
 	}
-	return a[0].Order > b[0].Order
+	return a[0].Sequence > b[0].Sequence
 }
 
 // victimsOnWorker returns the reservations on a worker to preempt for a task of
-// this size: the least urgent and newest first, until the task fits. It returns
-// nil when the task would still not fit after all permitted preemptions. A plan
-// at its limit may only preempt its own attempts.
+// this size. It adds the least urgent and newest ones first and stops when the
+// task fits. It returns nil if the task would not fit even after all permitted
+// preemptions. A plan at its limit may only preempt its own attempts.
 func (a *Allocator) victimsOnWorker(w *ledger.Worker, q *planQueues, rank int, size resource.Vector, withinLimit bool) []*ledger.Reservation {
 	var preemptible []*ledger.Reservation
 	free := w.Free()
@@ -89,7 +91,7 @@
 		if r.Preempting {
 			continue
 		}
-		if (withinLimit || r.Plan == q.name) && a.mayPreempt(q, rank, r) {
+		if (withinLimit || r.Plan == q.planName) && a.mayPreempt(q, rank, r) {
 			preemptible = append(preemptible, r)
 		}
 	}
@@ -97,7 +99,7 @@
 		if preemptible[i].ClassRank != preemptible[j].ClassRank {
 			return preemptible[i].ClassRank > preemptible[j].ClassRank
 		}
-		return preemptible[i].Order > preemptible[j].Order
+		return preemptible[i].Sequence > preemptible[j].Sequence
 	})
 	for i, r := range preemptible {
 		free = free.Add(r.Size)
@@ -111,17 +113,17 @@
 // mayPreempt reports whether a task of plan q with a class of this rank may
 // preempt a reservation.
 //
-// Within one plan, only urgent tasks may preempt less urgent ones. Other plans
-// lose attempts only while they are above their promised share. A plan below
-// its promised share may preempt any attempt whose plan keeps its own promised
-// share without it, and any less urgent attempt. A plan at or above its
-// promised share may preempt only for an urgent task, and only less urgent
-// attempts of a plan with a larger weighted share.
+// Within one plan, only urgent tasks may preempt less urgent ones. An attempt of
+// another plan may be preempted only while that plan is above its promised
+// share. A plan below its promised share may preempt any less urgent attempt,
+// and any attempt without which the other plan still has its promised share. A
+// plan at or above its promised share may preempt only for an urgent task, and
+// only less urgent attempts of a plan with a larger weighted share.
 func (a *Allocator) mayPreempt(q *planQueues, rank int, r *ledger.Reservation) bool {
 	if !r.Preemptible {
 		return false
 	}
-	if r.Plan == q.name {
+	if r.Plan == q.planName {
 		return rank == plan.Urgent.Rank() && r.ClassRank > rank
 	}
 	victim := a.shares.Account(r.Plan)
@@ -129,23 +131,23 @@
 		return false
 	}
 	if q.account.WeightedShare() < 1 {
-		return victim.Used.Sub(r.Size).DominantFraction(a.ledger.Total()) >= victim.Promised-shareTolerance || r.ClassRank > rank
+		return victim.Used.Sub(r.Size).DominantFraction(a.ledger.TotalCapacity()) >= victim.PromisedShare-shareTolerance || r.ClassRank > rank
 	}
 	return rank == plan.Urgent.Rank() && r.ClassRank > rank && victim.WeightedShare() > q.account.WeightedShare()
 }
 
-// shareTolerance absorbs rounding errors in the comparison of shares.
+// shareTolerance absorbs rounding errors when shares are compared.
 const shareTolerance = 1e-9
 
-// endPreemption updates preemptionsInFlight when an attempt has ended. It does
-// nothing if the attempt was not preempted.
+// endPreemption removes an attempt that has ended from the pending preemptions.
+// It does nothing if the attempt was not preempted.
 func (a *Allocator) endPreemption(attempt string) {
-	name, ok := a.preemptedFor[attempt]
+	name, ok := a.preemptorPlanByAttempt[attempt]
 	if !ok {
 		return
 	}
-	delete(a.preemptedFor, attempt)
-	if a.preemptionsInFlight[name]--; a.preemptionsInFlight[name] <= 0 {
-		delete(a.preemptionsInFlight, name)
+	delete(a.preemptorPlanByAttempt, attempt)
+	if a.pendingPreemptionsByPlan[name]--; a.pendingPreemptionsByPlan[name] <= 0 {
+		delete(a.pendingPreemptionsByPlan, name)
 	}
 }
--- a/internal/state/job/spec.go
+++ b/internal/state/job/spec.go
@@ -14,22 +14,23 @@
 // string when the spec is valid.
 func (s Spec) Validate() string {
 	if len(s.Tasks) == 0 || len(s.Tasks) > MaxTasks {
-		return fmt.Sprintf("tasks: the job has %d tasks, must be between 1 and %d", len(s.Tasks), MaxTasks)
+		return fmt.Sprintf("tasks: %d of them, must be between 1 and %d", len(s.Tasks), MaxTasks)
 	}
 	for i, t := range s.Tasks {
 		if t.Key != "" {
-			return fmt.Sprintf("tasks[%d]: key is not allowed in a job, which is accepted only once", i)
+			return fmt.Sprintf("tasks[%d]: key is not allowed in a job; the job is accepted once", i)
 		}
 		if !t.Repeatable {
-			// The job record in the log replaces the idempotency key that a
-			// non-repeatable request needs otherwise.
+			// A non-repeatable request needs an idempotency key. In a job, the
+			// job's record in the log replaces it, so a placeholder passes the
+			// check.
 			t.Key = "-"
 		}
 		if reason := t.Validate(); reason != "" {
 			return fmt.Sprintf("tasks[%d]: %s", i, reason)
 		}
 		if t.Plan != s.Tasks[0].Plan {
-			return fmt.Sprintf("tasks[%d]: plan %s differs from the plan of the first task", i, t.Plan)
+			return fmt.Sprintf("tasks[%d]: plan %s differs from that of the first task", i, t.Plan)
 		}
 	}
 	return ""
@@ -42,10 +43,12 @@
 	// Reason states why the job was not accepted.
 	Reason                 string `json:"reason,omitempty"`
 	RetryAfterMilliseconds int64  `json:"retry_after_milliseconds,omitempty"`
-	// Tasks and Ended are the numbers of all tasks and of ended tasks.
+	// Tasks is the number of tasks of the job, and Ended is how many of them have
+	// ended.
 	Tasks int `json:"tasks"`
 	Ended int `json:"ended"`
-	// Outcomes has one element per task; unfinished tasks are pending.
+	// Outcomes has one element per task, whose state is pending until the task has
+	// ended.
 	Outcomes []request.Outcome `json:"outcomes,omitempty"`
 }
 
--- a/internal/state/recorder/recorder.go
+++ b/internal/state/recorder/recorder.go
@@ -31,13 +31,13 @@
 type Error = fault.Error[Kind]
 
 const (
-	// MaxQueued is the maximum number of records in the queue.
-	MaxQueued = 4096
-	// maxBatch is the maximum number of records in one append.
-	maxBatch = 256
-	// limiterBurst is the number of appends that may exceed the rate after a
+	// MaxQueuedRecords is the maximum number of records in the queue.
+	MaxQueuedRecords = 4096
+	// maxBatchRecords is the maximum number of records in one append.
+	maxBatchRecords = 256
+	// maxAppendBurst is the number of appends that may exceed the rate after a
 	// pause.
-	limiterBurst = 4
+	maxAppendBurst = 4
 )
 
 // Recorder queues the records of one process and appends them in batches. It is
@@ -57,7 +57,7 @@
 	ctx    context.Context
 	stream string
 	data   []byte
-	done   chan appendResult
+	result chan appendResult
 }
 
 type appendResult struct {
@@ -68,7 +68,7 @@
 // New returns a recorder that appends to log at a limited rate. It runs until ctx
 // ends; records that are queued then are not appended.
 func New(ctx context.Context, log logservice.Log, appendsPerSecond float64) *Recorder {
-	r := &Recorder{log: log, limiter: rate.NewLimiter(rate.Limit(appendsPerSecond), limiterBurst), wake: make(chan struct{}, 1)}
+	r := &Recorder{log: log, limiter: rate.NewLimiter(rate.Limit(appendsPerSecond), maxAppendBurst), wake: make(chan struct{}, 1)}
 	go r.run(ctx)
 	return r
 }
@@ -82,11 +82,11 @@
 // error of KindFull when the queue is full, and of KindUnknown when the append
 // fails or ctx ends, since the record may be in the log then.
 func (r *Recorder) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
-	p := &pendingAppend{ctx: ctx, stream: stream, data: data, done: make(chan appendResult, 1)}
+	p := &pendingAppend{ctx: ctx, stream: stream, data: data, result: make(chan appendResult, 1)}
 	r.mutex.Lock()
-	if len(r.queue) >= MaxQueued {
+	if len(r.queue) >= MaxQueuedRecords {
 		r.mutex.Unlock()
-		return 0, fault.Newf("append", KindFull, "%d records are queued already", MaxQueued)
+		return 0, fault.Newf("append", KindFull, "%d records are queued already", MaxQueuedRecords)
 	}
 	r.queue = append(r.queue, p)
 	r.mutex.Unlock()
@@ -95,7 +95,7 @@
 	default:
 	}
 	select {
-	case result := <-p.done:
+	case result := <-p.result:
 		return result.offset, result.err
 	case <-ctx.Done():
 		return 0, fault.New("append", KindUnknown, ctx.Err())
@@ -124,7 +124,7 @@
 }
 
 // nextBatch removes the oldest record and others of its stream from the queue, at
-// most maxBatch of them. It drops records whose callers have given up.
+// most maxBatchRecords of them. It drops records whose callers have given up.
 func (r *Recorder) nextBatch() []*pendingAppend {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -132,8 +132,8 @@
 	for _, p := range r.queue {
 		switch {
 		case p.ctx.Err() != nil:
-			p.done <- appendResult{err: fault.New("append", KindAbandoned, p.ctx.Err())}
-		case len(batch) < maxBatch && (len(batch) == 0 || batch[0].stream == p.stream):
+			p.result <- appendResult{err: fault.New("append", KindAbandoned, p.ctx.Err())}
+		case len(batch) < maxBatchRecords && (len(batch) == 0 || batch[0].stream == p.stream):
 			batch = append(batch, p)
 		default:
 			remaining = append(remaining, p)
@@ -152,9 +152,9 @@
 	first, err := r.log.Append(ctx, batch[0].stream, records)
 	for i, p := range batch {
 		if err != nil {
-			p.done <- appendResult{err: fault.New("append", KindUnknown, err)}
+			p.result <- appendResult{err: fault.New("append", KindUnknown, err)}
 			continue
 		}
-		p.done <- appendResult{offset: first + uint64(i)}
+		p.result <- appendResult{offset: first + uint64(i)}
 	}
 }
--- a/internal/state/resource/vector.go
+++ b/internal/state/resource/vector.go
@@ -7,8 +7,8 @@
 // Kinds is the number of resource kinds in a Vector.
 const Kinds = 5
 
-// MaxAmount is the largest valid amount of one resource. Sums over a whole fleet
-// cannot overflow an int64 below it.
+// MaxAmount is the largest valid amount of one resource. It is low enough that sums
+// over a whole fleet cannot overflow an int64.
 const MaxAmount = int64(1) << 40
 
 // Vector holds an amount of each resource kind: the size of a task, the capacity
@@ -21,7 +21,7 @@
 	MemoryMebibytes int64 `json:"memory_mebibytes"`
 	// Accelerators is a number of whole devices.
 	Accelerators int64 `json:"accelerators,omitempty"`
-	// Slots is a number of tasks that run at the same time.
+	// Slots is a number of tasks that may run at the same time.
 	Slots int64 `json:"slots"`
 	// Connections is a number of open connections of a worker.
 	Connections int64 `json:"connections"`
@@ -114,8 +114,9 @@
 	return fraction
 }
 
-// unavailableFraction is the dominant fraction of a demand that no capacity can
-// meet. It is larger than the fraction of any demand on existing capacity.
+// unavailableFraction is the dominant fraction of a demand for a resource of which
+// there is no capacity. It is larger than the fraction of any demand on existing
+// capacity.
 const unavailableFraction = 1e9
 
 // Validate returns a message that names the first amount below 0 or above
