--- a/internal/emulate/standin/log.go
+++ b/internal/emulate/standin/log.go
@@ -187,7 +187,7 @@
 	limit, err2 := strconv.Atoi(q.Get("limit"))
 	wait, err3 := strconv.Atoi(q.Get("wait_milliseconds"))
 	if err1 != nil || err2 != nil || err3 != nil || limit < 1 {
-		http.Error(w, "invalid query: after, limit (at least 1) and wait_milliseconds must be integers", http.StatusBadRequest)
+		http.Error(w, "bad query", http.StatusBadRequest)
 		return
 	}
 	reply, err := l.Read(r.Context(), q.Get("stream"), after, limit, time.Duration(wait)*time.Millisecond)
--- a/internal/node/daemon/node.go
+++ b/internal/node/daemon/node.go
@@ -210,7 +210,7 @@
 // settings allow fault injection.
 func (n *Node) SetCut(names []string) error {
 	if !n.Settings.FaultInjection {
-		return fault.Newf("set_cut", KindForbidden, "setting fault_injection is false")
+		return fault.Newf("set_cut", KindForbidden, "field fault_injection is false")
 	}
 	n.cut.Set(names)
 	n.Log.Info("cut_set", "names", strings.Join(names, ","))
