--- a/internal/node/clock/clock.go
+++ b/internal/node/clock/clock.go
@@ -8,8 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// startTime is the system time when the process started, and startSinceBoot the
-// time since boot at the same moment. Now adds the time since then.
+// startTime is the system time and startSinceBoot the time since boot, both read
+// at the start of the process. Now adds the time that has passed since then to
+// startTime.
 var (
 	startTime      = time.Now().Round(0)
 	startSinceBoot = timeSinceBoot()
--- a/internal/node/common/common.go
+++ b/internal/node/common/common.go
@@ -18,7 +18,7 @@
 }
 
 // New returns a Common whose logger writes one key=value line per event to w.
-// The settings give the verbosity and the VM name on each line.
+// The settings determine the verbosity and the VM name that each line contains.
 func New(s settings.Settings, w io.Writer) *Common {
 	handler := slog.NewTextHandler(w, &slog.HandlerOptions{
 		Level: slog.Level(-s.LogVerbosity),
--- a/internal/node/daemon/job_calls.go
+++ b/internal/node/daemon/job_calls.go
@@ -27,7 +27,7 @@
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	record := job.Record{Action: job.Accepted, By: j.self, Job: id, Spec: &spec}
-	_, err := j.node.recorder.Append(ctx, j.stream(), record.Encode())
+	_, err := j.node.recorder.Append(ctx, j.streamName(), record.Encode())
 	if err != nil {
 		// The append may have taken effect, so the state must not be "not run".
 		return job.Status{ID: id, State: request.MayHaveRun, Reason: reasonLogUnavailable, Tasks: len(spec.Tasks)}
@@ -35,22 +35,22 @@
 	return job.Status{ID: id, State: request.Pending, Tasks: len(spec.Tasks)}
 }
 
-// reasonLogUnavailable is the reason for refusing jobs while the log does not
-// answer.
+// reasonLogUnavailable is the reason in the status of a job that could not be
+// stored because the log does not answer.
 const reasonLogUnavailable = "log_unavailable"
 
-// isLogReachable reports whether the log was read within jobLease. If it was
-// not, a job is refused at once, instead of trying an append whose outcome may
-// be unknown.
+// isLogReachable reports whether the log was read within the last jobLease. If
+// it was not, jobs are refused at once, because the outcome of an append might
+// remain unknown.
 func (j *Jobs) isLogReachable() bool {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	return time.Since(j.confirmedAt) < jobLease
+	return time.Since(j.leaseConfirmedAt) < jobLease
 }
 
-// FetchJob implements caller.Service. It returns the state of a job of any
-// failure domain and waits for its end. It returns false if no entry VM that
-// answers knows the job.
+// FetchJob implements caller.Service. It waits until a job has ended or wait has
+// elapsed, and returns the state of the job, whatever its failure domain. It
+// returns false if none of the entry VMs that answer knows the job.
 func (n *Node) FetchJob(ctx context.Context, id string, wait time.Duration) (job.Status, bool) {
 	domain, _, ok := splitID(id)
 	if !ok {
--- a/internal/node/daemon/job_run.go
+++ b/internal/node/daemon/job_run.go
@@ -10,7 +10,7 @@
 )
 
 // runJob runs the tasks of a job that have not ended. If the job had an earlier
-// holder, it first looks for the attempts that this holder left.
+// holder, it first looks for attempts that the earlier holder has started.
 func (j *Jobs) runJob(ctx context.Context, r *jobRun, id string) {
 	j.mutex.Lock()
 	k := j.table.Job(id)
@@ -50,15 +50,15 @@
 	}
 }
 
-// attemptListRetention is the time after the start of an attempt for which its
+// attemptListRetention is the time from the start of an attempt for which its
 // worker is certain to list it. A margin for the difference between the clocks
-// of two holders is subtracted already.
+// of the former and the new holder is already subtracted.
 const attemptListRetention = 90 * time.Second
 
-// endUntraceableTasks ends tasks that must not run twice and whose outcome
-// cannot be found any more: a former holder may have started them longer ago
-// than attemptListRetention, and no attempt was found. It records that they may
-// have run and returns the remaining tasks.
+// endUntraceableTasks ends the tasks that must not run twice and whose outcome
+// can no longer be found: no attempt of the task was found, and a former holder
+// may have started one longer ago than attemptListRetention. It records that
+// these tasks may have run and returns the other tasks.
 func (j *Jobs) endUntraceableTasks(r *jobRun, id string, unfinished []int, started []time.Time, found map[string]request.LocatedAttempt) []int {
 	var remaining []int
 	for _, i := range unfinished {
@@ -71,9 +71,9 @@
 	return remaining
 }
 
-// recordStarts writes to the log that the tasks which must not run twice are
-// about to start. It reports whether they may start: all records are in the log
-// and this process holds the job.
+// recordStarts writes to the log that the tasks are about to start. It only does
+// so for tasks that must not run twice. It reports whether all tasks may start:
+// every record is in the log and this process holds the job.
 func (j *Jobs) recordStarts(ctx context.Context, r *jobRun, id string, tasks []int, spec job.Spec) bool {
 	for _, i := range tasks {
 		if !spec.Tasks[i].Repeatable && !j.recordStart(ctx, r, id, i) {
@@ -130,7 +130,8 @@
 }
 
 // runTask runs one task until it has a final outcome and records that outcome.
-// A task that was found running is followed instead of started again.
+// If found contains an attempt of the task, runTask follows this attempt instead
+// of starting another one.
 func (j *Jobs) runTask(ctx context.Context, r *jobRun, id string, task int, spec request.Spec, found request.LocatedAttempt) {
 	w := j.newWork(r, id, task, spec)
 	if !spec.Repeatable && found.Attempt.Attempt == "" && !j.recordStart(ctx, r, id, task) {
@@ -179,7 +180,7 @@
 func (j *Jobs) appendWithRetry(ctx context.Context, r *jobRun, data []byte) (offset uint64, ok bool) {
 	for j.node.context.Err() == nil && ctx.Err() == nil {
 		callContext, cancel := context.WithTimeout(ctx, appendTimeout)
-		offset, err := j.node.recorder.Append(callContext, j.stream(), data)
+		offset, err := j.node.recorder.Append(callContext, j.streamName(), data)
 		cancel()
 		if err == nil {
 			return offset, true
--- a/internal/node/daemon/job_takeover.go
+++ b/internal/node/daemon/job_takeover.go
@@ -9,18 +9,18 @@
 )
 
 // mayStartWork reports whether this process may start tasks of its jobs. It may
-// do so within jobLease of a read of the log, which confirms that no other
-// process took the jobs over. During an outage of the log nobody can take over,
-// so it may continue unless it was frozen, since another process may have taken
-// over in the meantime, or is isolated, since the outage may then affect this
-// process alone.
+// do so for jobLease after a read of the log, which confirms that no other
+// process took the jobs over. During an outage of the log no process can take
+// jobs over, so this process may also continue after that time, with two
+// exceptions. If it was frozen, another process may have taken over in the
+// meantime. If it is isolated, the outage may affect this process alone.
 func (j *Jobs) mayStartWork() bool {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	if time.Since(j.confirmedAt) < jobLease {
+	if time.Since(j.leaseConfirmedAt) < jobLease {
 		return true
 	}
-	wasFrozen := time.Since(j.tickedAt) > maxTickGap || j.confirmedAt.Before(j.frozenUntil)
+	wasFrozen := time.Since(j.lastTickAt) > maxTickGap || j.leaseConfirmedAt.Before(j.frozenUntil)
 	return !wasFrozen && !j.node.isIsolated()
 }
 
@@ -43,10 +43,10 @@
 }
 
 // holdersToTakeOver returns the holders that are gone and whose jobs this
-// process has to take over, and adds them to takingOver. The caller holds the
-// mutex.
+// process has to take over, and adds them to takingOver. It returns none if the
+// log was not read within the last jobLease. The caller holds the mutex.
 func (j *Jobs) holdersToTakeOver() []job.Holder {
-	if time.Since(j.confirmedAt) > jobLease {
+	if time.Since(j.leaseConfirmedAt) > jobLease {
 		return nil
 	}
 	var departed []job.Holder
@@ -59,10 +59,10 @@
 	return departed
 }
 
-// isGone reports whether the process of a holder was removed from the
-// membership or replaced by a newer one. An earlier process of this entry VM is
-// always gone. A process from which no heartbeat was received counts as gone
-// when this node has run for RemoveAfter.
+// isGone reports whether the process of a holder was removed from the membership
+// or replaced by a newer one. An earlier process of this entry VM is always
+// gone. A process from which no heartbeat was ever received counts as gone once
+// this node has run for RemoveAfter.
 func (n *Node) isGone(h job.Holder) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -95,7 +95,7 @@
 	ctx, cancel := context.WithTimeout(j.node.context, appendTimeout)
 	defer cancel()
 	record := job.Record{Action: job.TakenOver, By: j.self, From: &h}
-	offset, err := j.node.recorder.Append(ctx, j.stream(), record.Encode())
+	offset, err := j.node.recorder.Append(ctx, j.streamName(), record.Encode())
 	j.node.Log.Info("jobs_taken_over", "from", h.Name, "offset", offset, "ok", err == nil)
 	if err == nil {
 		j.awaitOffset(ctx, offset)
@@ -118,7 +118,7 @@
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	record := job.Record{Action: job.TakenOver, By: successor, From: &j.self}
-	offset, err := j.node.recorder.Append(ctx, j.stream(), record.Encode())
+	offset, err := j.node.recorder.Append(ctx, j.streamName(), record.Encode())
 	return err == nil && j.awaitOffset(ctx, offset)
 }
 
--- a/internal/node/daemon/jobs.go
+++ b/internal/node/daemon/jobs.go
@@ -12,17 +12,18 @@
 const (
 	// jobReadWait bounds how long a read of the job stream waits for records. It
 	// is well below jobLease, so that reads renew the lease in time.
-	jobReadWait  = time.Second
-	jobReadLimit = 500
+	jobReadWait          = time.Second
+	maxJobRecordsPerRead = 500
 	// jobRetryInterval is the pause before a read or append is retried, and the
 	// interval of takeoverLoop.
 	jobRetryInterval = 300 * time.Millisecond
-	// jobLease is the time after a read of the log for which this process may
+	// jobLease is the time from a read of the log for which this process may
 	// assume that it still holds its jobs.
 	jobLease = entry.HolderLease
-	// takeoverGracePeriod is the time after which a former holder cannot cause a
-	// start any more: its lease, the time for which an owner keeps a queued
-	// attempt that its holder does not poll, and a margin.
+	// takeoverGracePeriod is the time from a takeover after which the former
+	// holder cannot cause a start any more. It consists of the holder's lease, the
+	// time for which an owner keeps a queued attempt that its holder does not
+	// poll, and a margin.
 	takeoverGracePeriod = jobLease + entry.HolderLease + time.Second
 	// maxTickGap is the longest normal gap between two rounds of takeoverLoop.
 	// After a longer one, this process is considered to have been frozen, for
@@ -51,11 +52,11 @@
 	table *job.Table
 	// running holds the run of each job that this process holds, by job ID.
 	running map[string]*jobRun
-	// confirmedAt is when the last read was sent that reached the end of the job
-	// stream. The lease on the jobs of this process begins at that time.
-	confirmedAt time.Time
-	// tickedAt is when takeoverLoop last ran.
-	tickedAt time.Time
+	// leaseConfirmedAt is when the last read that reached the end of the job
+	// stream was sent. The lease on the jobs of this process begins at that time.
+	leaseConfirmedAt time.Time
+	// lastTickAt is when takeoverLoop last ran.
+	lastTickAt time.Time
 	// frozenUntil is when this process last noticed that it had been frozen. Only
 	// reads that were sent later confirm that it still holds its jobs.
 	frozenUntil time.Time
@@ -88,7 +89,7 @@
 	return j
 }
 
-func (j *Jobs) stream() string { return job.Stream(j.node.Settings.Domain) }
+func (j *Jobs) streamName() string { return job.Stream(j.node.Settings.Domain) }
 
 // followStream reads the job stream and applies its records to the table.
 func (j *Jobs) followStream() {
@@ -97,7 +98,7 @@
 	wait := time.Duration(0)
 	for j.node.context.Err() == nil {
 		sentAt := time.Now()
-		reply, err := j.node.logService.Read(j.node.context, j.stream(), j.table.AppliedOffset(), jobReadLimit, wait)
+		reply, err := j.node.logService.Read(j.node.context, j.streamName(), j.table.AppliedOffset(), maxJobRecordsPerRead, wait)
 		if err != nil {
 			time.Sleep(jobRetryInterval)
 			continue
@@ -108,10 +109,10 @@
 				j.node.Log.Error(err, "job_record_skipped", "offset", r.Offset)
 			}
 		}
-		if len(reply.Records) < jobReadLimit {
+		if len(reply.Records) < maxJobRecordsPerRead {
 			wait = jobReadWait
 			if sentAt.After(j.frozenUntil) {
-				j.confirmedAt = sentAt
+				j.leaseConfirmedAt = sentAt
 			}
 		}
 		j.reconcile()
@@ -123,10 +124,10 @@
 	}
 }
 
-// repetitions returns records with the current state of the unfinished jobs of
-// this process. Appending them again keeps the jobs in the log beyond its
-// retention.
-func (j *Jobs) repetitions() []job.Record {
+// jobSnapshots returns records with the current state of the unfinished jobs
+// that this process holds. They are appended again so that these jobs stay in
+// the log when it drops the older records.
+func (j *Jobs) jobSnapshots() []job.Record {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	return j.table.Snapshots(j.self)
@@ -164,7 +165,7 @@
 	ticker := time.NewTicker(jobRetryInterval)
 	defer ticker.Stop()
 	j.mutex.Lock()
-	j.tickedAt = time.Now()
+	j.lastTickAt = time.Now()
 	j.mutex.Unlock()
 	for {
 		select {
@@ -173,11 +174,11 @@
 		case <-ticker.C:
 		}
 		j.mutex.Lock()
-		if gap := time.Since(j.tickedAt); gap > maxTickGap {
+		if gap := time.Since(j.lastTickAt); gap > maxTickGap {
 			j.frozenUntil = time.Now()
 			j.node.Log.Info("frozen", "gap", gap.String())
 		}
-		j.tickedAt = time.Now()
+		j.lastTickAt = time.Now()
 		departed := j.holdersToTakeOver()
 		j.mutex.Unlock()
 		for _, h := range departed {
--- a/internal/node/daemon/keyed_requests.go
+++ b/internal/node/daemon/keyed_requests.go
@@ -12,7 +12,7 @@
 )
 
 // executeWithKey claims the idempotency key of a request and runs the request.
-// If another request holds the key, it returns the outcome of that one, or
+// If another request holds the key, it returns the outcome of that request, or
 // recovers the key if the entry VM of that request is gone.
 func (r *Requests) executeWithKey(ctx context.Context, w request.Work) request.Outcome {
 	claimContext, cancel := context.WithTimeout(ctx, claimTimeout)
@@ -79,9 +79,9 @@
 	})
 }
 
-// retryAppend repeats an append with exponential backoff until it succeeds, the
-// node is closed, or claim.Window has passed, after which the key is not
-// accepted any more.
+// retryAppend repeats an append with exponential backoff until it succeeds or
+// the node is closed. It gives up after claim.MaxKeyAge, because a key of that
+// age is not accepted any more.
 func (r *Requests) retryAppend(appendRecord func(ctx context.Context) error) {
 	pause := time.Second
 	for began := time.Now(); time.Since(began) < claim.MaxKeyAge; {
@@ -100,8 +100,8 @@
 	}
 }
 
-// outcomeOfHolder returns the outcome of the request that holds a key, and
-// waits for its end. If the outcome cannot be fetched, the reason is
+// outcomeOfHolder waits for the end of the request that holds a key and returns
+// its outcome. If the outcome cannot be fetched, the reason is
 // reasonHolderUnreachable.
 func (r *Requests) outcomeOfHolder(ctx context.Context, result claim.Result) request.Outcome {
 	var outcome request.Outcome
@@ -116,7 +116,7 @@
 		if !known || ctx.Err() != nil {
 			break
 		}
-		time.Sleep(fetchPause)
+		time.Sleep(holderFetchPause)
 	}
 	return request.Outcome{ID: result.Holder, State: request.MayHaveRun, Reason: reasonHolderUnreachable}
 }
@@ -125,11 +125,11 @@
 // entry VM is gone.
 const orphanedKeyTimeout = 25 * time.Second
 
-// recoverOrphanedKey handles a key that is held by a request whose entry VM is
-// gone. It fences that request at the owners of its failure domain. If an
-// attempt of it is found, it follows that attempt to its outcome. If it is
-// certain that the request never ran and never will, it releases the key and
-// claims it for w.
+// recoverOrphanedKey handles a key whose holder is a request of an entry VM that
+// is gone. It first fences the holder, so that the owners in its failure domain
+// start no more attempts of it. If an attempt of the holder is found, it follows
+// that attempt to its outcome. If it is certain that the holder never ran and
+// never will, it releases the key and claims it for w.
 func (r *Requests) recoverOrphanedKey(ctx context.Context, w request.Work, result claim.Result) request.Outcome {
 	unknownOutcome := request.Outcome{ID: result.Holder, State: request.MayHaveRun, Reason: reasonHolderUnreachable}
 	domain, _, ok := splitID(result.Holder)
--- a/internal/node/daemon/members.go
+++ b/internal/node/daemon/members.go
@@ -14,14 +14,15 @@
 	// crossDomainFanout is the number of members of other failure domains that
 	// get a heartbeat in each round.
 	crossDomainFanout = 1
-	// fullHeartbeatEvery is the interval of full heartbeats in rounds. The other
-	// rounds leave out the domain and the address, which members know already.
-	fullHeartbeatEvery = 10
+	// roundsPerFullHeartbeat is the number of heartbeat rounds of which one sends
+	// full heartbeats. The other rounds leave out the domain and the address,
+	// which members know already.
+	roundsPerFullHeartbeat = 10
 )
 
 // heartbeatLoop sends heartbeats, removes members that are silent, and updates
-// the assignment of workers. A round follows at each interval, or at once when
-// the first worker is adopted, so that peers learn of it.
+// the assignment of workers. It starts the next round after HeartbeatInterval,
+// or at once when the first worker is adopted, so that peers learn of it.
 func (n *Node) heartbeatLoop() {
 	ticker := time.NewTicker(time.Duration(n.Settings.HeartbeatInterval))
 	defer ticker.Stop()
@@ -31,7 +32,7 @@
 		changed := n.view.Tick(time.Now())
 		n.mutex.Unlock()
 		if changed {
-			n.membersChanged()
+			n.handleMembersChange()
 		}
 		n.assignWorkers()
 		select {
@@ -43,9 +44,9 @@
 	}
 }
 
-// sendHeartbeats sends a heartbeat to every member of the own failure domain,
-// to a random sample of the other members, and to every configured or listed
-// entry VM that is not a member yet.
+// sendHeartbeats sends a heartbeat to every member of this failure domain, to a
+// random sample of the other members, and to every entry VM in the seeds or the
+// VM list that is not a member yet.
 func (n *Node) sendHeartbeats() {
 	load, epoch := n.owner.Advertise(), n.owner.Epoch()
 	n.mutex.Lock()
@@ -53,7 +54,7 @@
 	self := n.view.Self()
 	targets := n.heartbeatTargets()
 	n.heartbeatRounds++
-	full := n.heartbeatRounds%fullHeartbeatEvery == 1
+	full := n.heartbeatRounds%roundsPerFullHeartbeat == 1
 	n.mutex.Unlock()
 	for a, isMember := range targets {
 		h := self
@@ -66,8 +67,9 @@
 	}
 }
 
-// heartbeatTargets returns the addresses that get the next heartbeat. The value
-// is true if the address belongs to a known member. The caller holds the mutex.
+// heartbeatTargets returns the addresses that get the next heartbeat. It maps
+// each address to whether it belongs to a known member. The caller holds the
+// mutex.
 func (n *Node) heartbeatTargets() map[netip.AddrPort]bool {
 	targets := map[netip.AddrPort]bool{}
 	knownAddresses := map[netip.AddrPort]bool{n.Settings.PeerAdvertise: true}
@@ -99,7 +101,8 @@
 }
 
 // receiveHeartbeatLoop applies received heartbeats to the membership view. It
-// answers a new incarnation with a full heartbeat.
+// replies with a full heartbeat when the sender is a process that is not known
+// yet.
 func (n *Node) receiveHeartbeatLoop() {
 	for {
 		received, err := n.heartbeats.Receive()
@@ -126,7 +129,7 @@
 			_, _ = n.heartbeats.Send(received.From, self)
 		}
 		if changed {
-			n.membersChanged()
+			n.handleMembersChange()
 			n.assignWorkers()
 		}
 		if h.Offset > n.configuration.Current().Offset {
@@ -135,8 +138,9 @@
 	}
 }
 
-// membersChanged logs the members and divides the append rate among them.
-func (n *Node) membersChanged() {
+// handleMembersChange logs the members and sets the append rate of this node,
+// which is an equal part of totalAppendsPerSecond.
+func (n *Node) handleMembersChange() {
 	n.mutex.Lock()
 	members := n.view.Members()
 	n.mutex.Unlock()
@@ -184,9 +188,9 @@
 	}
 }
 
-// assignWorkers passes to the owner the workers that this node has to adopt:
-// those listed workers of its failure domain that rendezvous hashing maps to
-// it.
+// assignWorkers tells the owner which workers this node has to adopt. These are
+// the workers of its failure domain in the VM list for which rendezvous hashing
+// selects this node.
 func (n *Node) assignWorkers() {
 	n.mutex.Lock()
 	owners := n.view.Owners()
--- a/internal/node/daemon/node.go
+++ b/internal/node/daemon/node.go
@@ -47,8 +47,9 @@
 type Error = fault.Error[Kind]
 
 const (
-	// retryRatio and retryBurst set the retry budget: retries per first attempt
-	// in the long run, and retries that may be made at once.
+	// retryRatio and retryBurst set the retry budget. retryRatio is the number of
+	// retries per first attempt in the long run, and retryBurst is the number of
+	// retries that may be made at once.
 	retryRatio = 0.1
 	retryBurst = 50
 	// totalAppendsPerSecond limits the log appends of all entry VMs together.
@@ -87,7 +88,7 @@
 	jobs     *Jobs
 	metrics  *metrics.Registry
 	traffic  *traffic.Counters
-	// cut holds what fault injection cuts off.
+	// cut is the network partition that SetCut simulates.
 	cut *isolation.Cut
 
 	// usageMutex guards pendingUsage.
@@ -98,7 +99,7 @@
 
 	// mutex guards the fields below.
 	mutex sync.Mutex
-	// view is what this node knows of the other entry VMs.
+	// view is what this node knows about the other entry VMs.
 	view *membership.View
 	// vmList is the last VM list that was read from the platform.
 	vmList vmlist.List
@@ -135,7 +136,7 @@
 	}
 	dial := func(v vmlist.VM) worker.Peer { return worker.New(v.Address, workers) }
 	n.owner = owner.New(ctx, c.Settings.Name, n.incarnation, owner.DefaultTiming, owner.Limits{Waiting: c.Settings.WaitingLimit, PayloadBytes: c.Settings.PayloadLimitBytes}, dial, startObserver{registry}, c.Log)
-	n.configuration = configuration.New(n.configurationChanged)
+	n.configuration = configuration.New(n.handleConfigurationChange)
 	n.recorder = recorder.New(ctx, n.logService, totalAppendsPerSecond)
 	n.claims = claim.New(n.recorder, n.logService, time.Now)
 	n.runner = request.New(n, request.NewTwoChoices(c.Settings.Name, c.Settings.Domain, rand.New(rand.NewPCG(rand.Uint64(), n.incarnation))), retry.New(retryRatio, retryBurst), request.DefaultTiming, c.Log)
@@ -183,8 +184,8 @@
 	n.Log.Info("started", "domain", n.Settings.Domain, "peer_address", n.Settings.PeerAdvertise.String(), "incarnation", n.incarnation)
 }
 
-// configurationChanged applies a newly accepted configuration.
-func (n *Node) configurationChanged(v configuration.Version) {
+// handleConfigurationChange applies a newly accepted configuration.
+func (n *Node) handleConfigurationChange(v configuration.Version) {
 	n.owner.SetPlans(v.Index)
 	n.Log.Info("configuration_accepted", "offset", v.Offset, "plans", len(v.Lists.Entitlements.Plans))
 }
@@ -243,21 +244,22 @@
 	n.mutex.Lock()
 	n.leaving = true
 	n.mutex.Unlock()
-	n.Log.Info("drain_started", "open", n.requests.Open(), "workers", n.owner.AdoptedWorkers())
+	n.Log.Info("drain_started", "open", n.requests.OpenCount(), "workers", n.owner.AdoptedWorkers())
 	n.owner.Drain()
 	n.sendHeartbeats()
 	for ctx.Err() == nil {
-		if n.jobs.handOver(ctx) && n.requests.Open() == 0 && (n.owner.AdoptedWorkers() == 0 || !n.hasSuccessor()) {
+		if n.jobs.handOver(ctx) && n.requests.OpenCount() == 0 && (n.owner.AdoptedWorkers() == 0 || !n.hasSuccessor()) {
 			break
 		}
 		time.Sleep(drainPollInterval)
 	}
 	n.recordUsage(ctx)
-	n.Log.Info("drain_finished", "open", n.requests.Open(), "workers", n.owner.AdoptedWorkers())
+	n.Log.Info("drain_finished", "open", n.requests.OpenCount(), "workers", n.owner.AdoptedWorkers())
 }
 
 // hasSuccessor reports whether another entry VM of the failure domain can take
-// over the workers of this one, which is leaving.
+// over the workers of this node. This node must be leaving already, so that it
+// does not count itself.
 func (n *Node) hasSuccessor() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -275,11 +277,11 @@
 
 // ownerVariables is the value of the expvar "owner": the load of this node.
 type ownerVariables struct {
-	Workers      int     `json:"workers"`
-	FreeFraction float64 `json:"free_fraction"`
-	Waiting      []int   `json:"waiting_by_class"`
-	Open         int     `json:"open_requests"`
-	Offset       uint64  `json:"configuration_offset"`
+	Workers             int     `json:"workers"`
+	FreeFraction        float64 `json:"free_fraction"`
+	WaitingByClass      []int   `json:"waiting_by_class"`
+	OpenRequests        int     `json:"open_requests"`
+	ConfigurationOffset uint64  `json:"configuration_offset"`
 }
 
 // publishVariables publishes the load of this node as the expvar "owner". If a
@@ -291,7 +293,7 @@
 	expvar.Publish("owner", expvar.Func(func() any {
 		load := n.owner.Advertise()
 		return ownerVariables{
-			Workers: load.Workers, FreeFraction: load.FreeFraction, Waiting: load.Waiting[:], Open: n.requests.Open(), Offset: n.configuration.Current().Offset,
+			Workers: load.Workers, FreeFraction: load.FreeFraction, WaitingByClass: load.Waiting[:], OpenRequests: n.requests.OpenCount(), ConfigurationOffset: n.configuration.Current().Offset,
 		}
 	}))
 }
--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -72,9 +72,9 @@
 	return reply, err
 }
 
-// callOwner calls the owner of the target. If the target is this node, it uses
-// callLocal instead of the network, and converts an error to the entry.Kind
-// that a remote call would return.
+// callOwner calls the owner on the target entry VM. If the target is this node,
+// it runs callLocal instead of making a network call, and converts an error to
+// the entry.Kind that a remote call would return.
 func callOwner[R any](ctx context.Context, n *Node, t request.Target, method string, args any, callLocal func() (R, error)) (R, error) {
 	if t.Name != n.Settings.Name {
 		return callPeer[R](ctx, n, t.Name, method, args)
@@ -131,7 +131,7 @@
 
 // Fetch implements entry.Handler.
 func (h peerHandler) Fetch(a entry.FetchArgs) (entry.FetchReply, error) {
-	return h.requests.Serve(a), nil
+	return h.requests.HandleFetch(a), nil
 }
 
 // Configuration implements entry.Handler.
--- a/internal/node/daemon/request_fetch.go
+++ b/internal/node/daemon/request_fetch.go
@@ -10,9 +10,9 @@
 	"github.com/almondpost/almondpost/internal/peer/entry"
 )
 
-// Serve answers the call Fetch of another entry VM: it returns the outcome of a
-// request or the status of a job, or cancels a request.
-func (r *Requests) Serve(a entry.FetchArgs) entry.FetchReply {
+// HandleFetch answers a Fetch call of another entry VM. It returns the outcome
+// of a request or the status of a job, or cancels a request.
+func (r *Requests) HandleFetch(a entry.FetchArgs) entry.FetchReply {
 	if a.Job {
 		status, ok := r.node.jobs.awaitEnd(context.Background(), a.ID, a.Wait)
 		data, err := json.Marshal(status)
@@ -39,8 +39,8 @@
 	return parts[0], parts[1], true
 }
 
-// Fetch returns the outcome of a request that was submitted to any entry VM,
-// and waits for its end. It returns false if the request is unknown.
+// Fetch waits for the end of a request, whichever entry VM it was submitted to,
+// and returns its outcome. It returns false if the request is unknown.
 func (r *Requests) Fetch(ctx context.Context, id string, wait time.Duration) (request.Outcome, bool) {
 	domain, vm, ok := splitID(id)
 	if !ok {
@@ -51,7 +51,7 @@
 		if outcome, known := r.Wait(ctx, id, wait); known {
 			return outcome, true
 		}
-		return r.findOrphan(ctx, domain, id)
+		return r.findOrphanedOutcome(ctx, domain, id)
 	}
 	callContext, cancel := context.WithTimeout(ctx, wait+entry.CallTimeout)
 	defer cancel()
@@ -60,14 +60,14 @@
 	if err == nil && reply.Known && json.Unmarshal(reply.Outcome, &outcome) == nil {
 		return outcome, true
 	}
-	return r.findOrphan(ctx, domain, id)
+	return r.findOrphanedOutcome(ctx, domain, id)
 }
 
-// findOrphan returns the outcome of a request whose entry VM is gone. It asks
-// the owners of the failure domain of that VM for the attempts of the request,
-// without fencing them. It returns false if no finished or open attempt is
-// found.
-func (r *Requests) findOrphan(ctx context.Context, domain, id string) (request.Outcome, bool) {
+// findOrphanedOutcome returns the outcome of a request whose entry VM is gone.
+// It asks the owners in the failure domain of that VM for the attempts of the
+// request, but does not stop them from starting one. It returns false if it
+// finds no attempt that has finished or is still open.
+func (r *Requests) findOrphanedOutcome(ctx context.Context, domain, id string) (request.Outcome, bool) {
 	attempts := make([]string, 0, maxOrphanAttempts)
 	for i := range maxOrphanAttempts {
 		attempts = append(attempts, request.AttemptID(id, i+1))
--- a/internal/node/daemon/requests.go
+++ b/internal/node/daemon/requests.go
@@ -32,9 +32,9 @@
 	// are looked up when the entry VM of a request is gone.
 	maxOrphanAttempts = 8
 	pruneInterval     = 2 * time.Second
-	// fetchPause is the pause between fetches of the outcome of the request that
+	// holderFetchPause is the pause between fetches of the outcome of the request that
 	// holds an idempotency key.
-	fetchPause = 200 * time.Millisecond
+	holderFetchPause = 200 * time.Millisecond
 )
 
 // Requests tracks the requests that were submitted to this entry VM, from their
@@ -43,7 +43,7 @@
 	node      *Node
 	table     *shard.Map[*trackedRequest]
 	openCount atomic.Int64
-	// openPayloadBytes is the total payload of open requests.
+	// openPayloadBytes is the total size of the payloads of open requests.
 	openPayloadBytes atomic.Int64
 	// answerBytes is the total size of the answers in the table.
 	answerBytes atomic.Int64
@@ -101,8 +101,8 @@
 	})
 }
 
-// Open returns the number of requests that have not ended.
-func (r *Requests) Open() int { return int(r.openCount.Load()) }
+// OpenCount returns the number of requests that have not ended.
+func (r *Requests) OpenCount() int { return int(r.openCount.Load()) }
 
 // NewID returns a unique ID for a request or job. It contains the failure
 // domain and the name of this entry VM, so that other entry VMs know where to
@@ -177,7 +177,7 @@
 		return reasonNoConfiguration, retryAfterShort
 	case version.Index.Customer(spec.Plan) == "":
 		return reasonUnknownPlan, 0
-	case r.Open() >= n.Settings.OpenLimit:
+	case r.OpenCount() >= n.Settings.OpenLimit:
 		return reasonTooManyOpen, retryAfterShort
 	case r.openPayloadBytes.Load()+int64(len(spec.Payload)) > n.Settings.PayloadLimitBytes:
 		return reasonPayloadLimit, retryAfterShort
--- a/internal/node/daemon/usage.go
+++ b/internal/node/daemon/usage.go
@@ -18,12 +18,12 @@
 	usageStream = "usage"
 	// usageInterval is the length of a usage period. Each period is appended to
 	// the log when it ends.
-	usageInterval  = 5 * time.Minute
-	usageReadLimit = 500
+	usageInterval          = 5 * time.Minute
+	maxUsageRecordsPerRead = 500
 )
 
-// usageLoop writes the usage of the workers of this node to the log at
-// intervals.
+// usageLoop writes the usage of this node's workers to the log once per
+// usageInterval.
 func (n *Node) usageLoop() {
 	ticker := time.NewTicker(usageInterval)
 	defer ticker.Stop()
@@ -102,7 +102,7 @@
 func (n *Node) loggedUsage(ctx context.Context) ([]usage.Period, error) {
 	var periods []usage.Period
 	for offset := uint64(0); ; {
-		reply, err := n.logService.Read(ctx, usageStream, offset, usageReadLimit, 0)
+		reply, err := n.logService.Read(ctx, usageStream, offset, maxUsageRecordsPerRead, 0)
 		if err != nil {
 			return periods, err
 		}
@@ -139,8 +139,8 @@
 		if data, due := n.configuration.SnapshotDue(n.Settings.Name); due {
 			n.appendSnapshot(configuration.Stream, data)
 		}
-		for _, r := range n.jobs.repetitions() {
-			n.appendSnapshot(n.jobs.stream(), r.Encode())
+		for _, r := range n.jobs.jobSnapshots() {
+			n.appendSnapshot(n.jobs.streamName(), r.Encode())
 		}
 	}
 }
--- a/internal/node/settings/settings.go
+++ b/internal/node/settings/settings.go
@@ -132,8 +132,8 @@
 	field            string
 	value            int64
 	minimum, maximum int64
-	// isDuration means that the numbers are nanoseconds and that errors print
-	// them as durations.
+	// isDuration is set if the numbers are durations in nanoseconds. Errors then
+	// print them as durations.
 	isDuration bool
 }
 
