--- a/internal/emulate/cluster/cluster.go
+++ b/internal/emulate/cluster/cluster.go
@@ -45,9 +45,10 @@
 type Error = fault.Error[Kind]
 
 const (
-	// startTimeout is how long WaitReady waits for a new deployment.
-	startTimeout = 20 * time.Second
-	// pollInterval is the pause between two checks while waiting.
+	// readyTimeout is how long WaitReady waits for the cluster to become ready.
+	readyTimeout = 20 * time.Second
+	// pollInterval is the pause between two checks of the cluster in WaitReady and
+	// WaitAdopted.
 	pollInterval = 20 * time.Millisecond
 )
 
@@ -94,10 +95,10 @@
 // PID returns the process ID.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Entry is the process of one entry VM.
-type Entry struct {
+// EntryVM is the process of one entry VM.
+type EntryVM struct {
 	*Process
-	// Domain is the failure domain.
+	// Domain is the failure domain of the entry VM.
 	Domain string
 	// CallerAddress is where the entry VM serves callers over HTTP.
 	CallerAddress netip.AddrPort
@@ -110,18 +111,19 @@
 	Deployment deployment.Deployment
 	// Log is a client of the stand-in log service.
 	Log logservice.Log
-	// Entries are the entry VMs that were started, including those that have ended.
-	Entries []*Entry
+	// EntryVMs are the entry VMs that were started, including those that have ended.
+	EntryVMs []*EntryVM
 
 	programs  Programs
 	folder    string
 	client    *http.Client
 	processes []*Process
-	// logAddress and listAddress are those of the stand-in log service and VM list.
-	logAddress  netip.AddrPort
-	listAddress netip.AddrPort
-	// workerControls are the addresses of the control interfaces of the stand-in
-	// worker processes.
+	// logAddress and vmListAddress are the addresses of the stand-ins for the log
+	// service and the VM list.
+	logAddress    netip.AddrPort
+	vmListAddress netip.AddrPort
+	// workerControls lists the addresses at which the stand-in worker processes
+	// accept control requests, for example to inject faults.
 	workerControls []netip.AddrPort
 	// mutex guards processes.
 	mutex          sync.Mutex
@@ -144,15 +146,16 @@
 // entitlements, and waits until it is ready. On an error it ends the processes.
 func Start(ctx context.Context, p Programs, d deployment.Deployment, o Options) (*Cluster, error) {
 	c := &Cluster{Deployment: d, programs: p, folder: o.Folder, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}, adjustSettings: o.AdjustSettings}
-	if err := c.start(ctx, o); err != nil {
+	if err := c.startAndWait(ctx, o); err != nil {
 		c.Close()
 		return nil, err
 	}
 	return c, nil
 }
 
-// start implements Start without the cleanup after an error.
-func (c *Cluster) start(ctx context.Context, o Options) error {
+// startAndWait starts the processes and waits until the cluster is ready. It
+// does not end the processes after an error; Start does.
+func (c *Cluster) startAndWait(ctx context.Context, o Options) error {
 	var args []string
 	if o.RetainedRecords > 0 {
 		args = []string{"-retained", fmt.Sprint(o.RetainedRecords)}
@@ -171,9 +174,9 @@
 	if err != nil {
 		return err
 	}
-	c.listAddress = list.Address
+	c.vmListAddress = list.Address
 	for _, e := range c.Deployment.Entries() {
-		if _, err := c.StartEntry(ctx, e.Name, e.Domain); err != nil {
+		if _, err := c.StartEntryVM(ctx, e.Name, e.Domain); err != nil {
 			return err
 		}
 	}
@@ -183,8 +186,9 @@
 	return c.WaitReady(ctx)
 }
 
-// startWorkers starts one stand-in process for the workers of each failure domain
-// and returns the workers' rows of the VM list.
+// startWorkers starts one stand-in process for each failure domain, which
+// emulates all workers of that domain. It returns the entries of the workers in
+// the VM list.
 func (c *Cluster) startWorkers() ([]vmlist.VM, error) {
 	var rows []vmlist.VM
 	for _, domain := range c.Deployment.Domains {
@@ -209,22 +213,23 @@
 
 // startStandin starts the stand-in program in a role. file is its settings file and
 // may be nil.
-func (c *Cluster) startStandin(role string, file *standin.FileSettings, extraArgs ...string) (standin.Started, error) {
+func (c *Cluster) startStandin(role string, file *standin.FileSettings, extraArgs ...string) (standin.StartedMessage, error) {
 	args := append([]string{"-role", role}, extraArgs...)
 	name := fmt.Sprintf("%s-%d", role, len(c.processes))
 	if file != nil {
 		path, err := c.writeJSON(name, file)
 		if err != nil {
-			return standin.Started{}, err
+			return standin.StartedMessage{}, err
 		}
 		args = append(args, "-settings", path)
 	}
-	var started standin.Started
+	var started standin.StartedMessage
 	_, err := c.launch(name, c.programs.Standin, args, &started)
 	return started, err
 }
 
-// writeJSON writes a value to a JSON file in the folder and returns the file's path.
+// writeJSON writes a value to a JSON file in the cluster's folder and returns
+// the path of the file.
 func (c *Cluster) writeJSON(name string, value any) (string, error) {
 	data, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
@@ -274,17 +279,17 @@
 // entryAddresses is the JSON line that an entry VM prints once it accepts
 // connections.
 type entryAddresses struct {
-	Name   string         `json:"name"`
-	Caller netip.AddrPort `json:"caller"`
-	Peer   netip.AddrPort `json:"peer"`
+	Name          string         `json:"name"`
+	CallerAddress netip.AddrPort `json:"caller"`
+	PeerAddress   netip.AddrPort `json:"peer"`
 }
 
-// StartEntry starts an entry VM with the other entry VMs as seeds and adds it to
+// StartEntryVM starts an entry VM with the other entry VMs as seeds and adds it to
 // the VM list. It does not wait until the entry VM is ready.
-func (c *Cluster) StartEntry(ctx context.Context, name, domain string) (*Entry, error) {
+func (c *Cluster) StartEntryVM(ctx context.Context, name, domain string) (*EntryVM, error) {
 	s := settings.Default()
-	s.Name, s.Domain, s.Log, s.VMList = name, domain, c.logAddress, c.listAddress
-	for _, e := range c.Entries {
+	s.Name, s.Domain, s.Log, s.VMList = name, domain, c.logAddress, c.vmListAddress
+	for _, e := range c.EntryVMs {
 		s.Seeds = append(s.Seeds, e.PeerAddress)
 	}
 	if c.adjustSettings != nil {
@@ -299,14 +304,14 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &Entry{Process: p, Domain: domain, CallerAddress: addresses.Caller, PeerAddress: addresses.Peer}
+	e := &EntryVM{Process: p, Domain: domain, CallerAddress: addresses.CallerAddress, PeerAddress: addresses.PeerAddress}
 	e.Name = name
-	c.Entries = append(c.Entries, e)
-	return e, c.postControl(ctx, c.listAddress, "set", vmlist.VM{Name: name, Role: vmlist.Entry, Domain: domain, Address: e.PeerAddress})
+	c.EntryVMs = append(c.EntryVMs, e)
+	return e, c.postControl(ctx, c.vmListAddress, "set", vmlist.VM{Name: name, Role: vmlist.Entry, Domain: domain, Address: e.PeerAddress})
 }
 
 // IsReady reports whether an entry VM answers its readiness check with status 200.
-func (c *Cluster) IsReady(ctx context.Context, e *Entry) bool {
+func (c *Cluster) IsReady(ctx context.Context, e *EntryVM) bool {
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.CallerAddress.String()+"/readyz", nil)
 	if err != nil {
 		return false
@@ -322,14 +327,14 @@
 // WaitReady waits until every live entry VM is ready and they have adopted every
 // worker. It returns KindTimeout after startTimeout.
 func (c *Cluster) WaitReady(ctx context.Context) error {
-	deadline := time.Now().Add(startTimeout)
+	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
 		if c.allReady(ctx) {
 			return nil
 		}
 		time.Sleep(pollInterval)
 	}
-	return fault.Newf("wait", KindTimeout, "cluster is not ready after %s", startTimeout)
+	return fault.Newf("wait", KindTimeout, "cluster is not ready after %s", readyTimeout)
 }
 
 // WaitAdopted waits until the live entry VMs have adopted every worker. It returns
@@ -337,7 +342,7 @@
 func (c *Cluster) WaitAdopted(ctx context.Context) error {
 	for {
 		adopted := 0
-		for _, e := range c.Entries {
+		for _, e := range c.EntryVMs {
 			select {
 			case <-e.Done():
 				continue
@@ -361,7 +366,7 @@
 // worker.
 func (c *Cluster) allReady(ctx context.Context) bool {
 	adopted := 0
-	for _, e := range c.Entries {
+	for _, e := range c.EntryVMs {
 		select {
 		case <-e.Done():
 			continue
@@ -376,7 +381,8 @@
 	return adopted == len(c.Deployment.Workers())
 }
 
-// Close kills every process, the latest first, and waits until they have ended.
+// Close kills every process and waits until it has ended. The processes that
+// were started last are killed first.
 func (c *Cluster) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/emulate/cluster/control.go
+++ b/internal/emulate/cluster/control.go
@@ -22,30 +22,32 @@
 	return c.postControl(ctx, c.logAddress, "fault", f)
 }
 
-// SetListFault sets the simulated faults of the VM list; the zero value means none.
-func (c *Cluster) SetListFault(ctx context.Context, f standin.VMsFault) error {
-	return c.postControl(ctx, c.listAddress, "fault", f)
+// SetVMListFault sets the simulated faults of the VM list; the zero value means none.
+func (c *Cluster) SetVMListFault(ctx context.Context, f standin.VMListFault) error {
+	return c.postControl(ctx, c.vmListAddress, "fault", f)
 }
 
 // MarkLeaving marks a VM as leaving in the VM list.
 func (c *Cluster) MarkLeaving(ctx context.Context, name string) error {
-	return c.postControl(ctx, c.listAddress, "leaving", standin.LeavingRequest{Name: name, Leaving: true})
+	return c.postControl(ctx, c.vmListAddress, "leaving", standin.LeavingRequest{Name: name, Leaving: true})
 }
 
-// SetWorkerFault sets the simulated faults of a worker; the zero value means none.
-// It tries every stand-in process until one accepts the worker's name.
+// SetWorkerFault sets the simulated faults of a worker; the zero value means
+// none. It sends them to every stand-in worker process until one accepts the
+// worker's name.
 func (c *Cluster) SetWorkerFault(ctx context.Context, name string, f standin.WorkerFault) error {
 	var lastError error
 	for _, a := range c.workerControls {
-		if lastError = c.postControl(ctx, a, "fault", standin.FleetFault{Worker: name, Fault: f}); lastError == nil {
+		if lastError = c.postControl(ctx, a, "fault", standin.WorkerFaultRequest{Worker: name, Fault: f}); lastError == nil {
 			return nil
 		}
 	}
 	return lastError
 }
 
-// Histories returns the histories of all workers.
-func (c *Cluster) Histories(ctx context.Context) ([]standin.History, error) {
+// WorkerHistories returns the history of every stand-in worker, which lists the
+// attempts that the worker has started.
+func (c *Cluster) WorkerHistories(ctx context.Context) ([]standin.History, error) {
 	var all []standin.History
 	for _, a := range c.workerControls {
 		var h []standin.History
@@ -57,11 +59,11 @@
 	return all, nil
 }
 
-// Appends returns the number of append calls that the log service has executed.
-func (c *Cluster) Appends(ctx context.Context) (uint64, error) {
+// LogAppendCount returns the number of append calls that the log service has executed.
+func (c *Cluster) LogAppendCount(ctx context.Context) (uint64, error) {
 	var s standin.LogStatus
 	err := jsonhttp.Get(ctx, c.client, "http://"+c.logAddress.String()+"/control/status", &s)
-	return s.Appends, err
+	return s.AppendCount, err
 }
 
 // debugVariables is the part of an entry VM's expvar variables that this package
@@ -71,45 +73,46 @@
 		Workers             int    `json:"workers"`
 		ConfigurationOffset uint64 `json:"configuration_offset"`
 	} `json:"owner"`
-	Violations map[string]int64 `json:"invariant_violations"`
-	Traffic    traffic.Sums     `json:"traffic_bytes"`
+	InvariantViolations map[string]int64 `json:"invariant_violations"`
+	TrafficBytes        traffic.Sums     `json:"traffic_bytes"`
 }
 
 // readVariables fetches the expvar variables of an entry VM.
-func (c *Cluster) readVariables(ctx context.Context, e *Entry) (v debugVariables, err error) {
+func (c *Cluster) readVariables(ctx context.Context, e *EntryVM) (v debugVariables, err error) {
 	err = jsonhttp.Get(ctx, c.client, "http://"+e.CallerAddress.String()+"/debug/vars", &v)
 	return v, err
 }
 
-// Violations returns the number of invariant violations that an entry VM has
+// InvariantViolations returns the number of invariant violations that an entry VM has
 // counted.
-func (c *Cluster) Violations(ctx context.Context, e *Entry) (int64, error) {
+func (c *Cluster) InvariantViolations(ctx context.Context, e *EntryVM) (int64, error) {
 	v, err := c.readVariables(ctx, e)
 	total := int64(0)
-	for _, n := range v.Violations {
+	for _, n := range v.InvariantViolations {
 		total += n
 	}
 	return total, err
 }
 
-// Traffic returns the number of bytes that an entry VM has exchanged with its
+// TrafficBytes returns the number of bytes that an entry VM has exchanged with its
 // peers, the workers and the platform.
-func (c *Cluster) Traffic(ctx context.Context, e *Entry) (int64, error) {
+func (c *Cluster) TrafficBytes(ctx context.Context, e *EntryVM) (int64, error) {
 	v, err := c.readVariables(ctx, e)
-	return v.Traffic.Heartbeats + v.Traffic.Peers + v.Traffic.Workers + v.Traffic.Platform, err
+	return v.TrafficBytes.Heartbeats + v.TrafficBytes.Peers + v.TrafficBytes.Workers + v.TrafficBytes.Platform, err
 }
 
 // ConfigurationOffset returns the log offset of the configuration that an entry VM
 // uses.
-func (c *Cluster) ConfigurationOffset(ctx context.Context, e *Entry) (uint64, error) {
+func (c *Cluster) ConfigurationOffset(ctx context.Context, e *EntryVM) (uint64, error) {
 	v, err := c.readVariables(ctx, e)
 	return v.Owner.ConfigurationOffset, err
 }
 
-// SetCut replaces the failure domains that an entry VM cannot reach; the name
-// isolation.Platform stands for the platform, and nil ends the partition. It fails
-// unless the entry VM's settings allow fault injection.
-func (c *Cluster) SetCut(ctx context.Context, e *Entry, names []string) error {
+// SetCut simulates a network partition of an entry VM. The entry VM cannot reach
+// the failure domains in names any more; the name isolation.Platform stands for
+// the platform. If names is nil, the partition ends. SetCut fails unless the
+// entry VM's settings allow fault injection.
+func (c *Cluster) SetCut(ctx context.Context, e *EntryVM, names []string) error {
 	var ignored json.RawMessage
 	request := map[string][]string{"names": names}
 	return jsonhttp.Post(ctx, c.client, "http://"+e.CallerAddress.String()+"/debug/cut", request, &ignored)
--- a/internal/emulate/cluster/jobs_test.go
+++ b/internal/emulate/cluster/jobs_test.go
@@ -19,7 +19,8 @@
 	"github.com/almondpost/almondpost/internal/state/plan"
 )
 
-// jobSpec returns a job of repeatable tasks, which return their name in the answer.
+// jobSpec returns a job whose tasks are repeatable. The answer of each task
+// contains the name of the task.
 func jobSpec(tasks int, run time.Duration) job.Spec {
 	var s job.Spec
 	for i := range tasks {
@@ -45,7 +46,7 @@
 	return s, r.StatusCode, json.NewDecoder(r.Body).Decode(&s)
 }
 
-func submitJob(is *is.I, e *cluster.Entry, s job.Spec) job.Status {
+func submitJob(is *is.I, e *cluster.EntryVM, s job.Spec) job.Status {
 	is.Helper()
 	body, err := json.Marshal(s)
 	is.NoErr(err)
@@ -55,17 +56,17 @@
 	return out
 }
 
-func awaitJob(is *is.I, e *cluster.Entry, id string) job.Status {
+func awaitJob(is *is.I, e *cluster.EntryVM, id string) job.Status {
 	is.Helper()
 	out, _, err := doJobRequest(http.MethodGet, fmt.Sprintf("http://%s/v1/jobs/%s?wait_milliseconds=30000", e.CallerAddress, id), nil)
 	is.NoErr(err)
 	return out
 }
 
-// countOverlaps returns the number of pairs of runs of one task that overlapped in
+// countOverlaps counts the pairs of runs of the same task that overlapped in
 // time, according to the workers' histories.
 func countOverlaps(histories []standin.History) int {
-	byTask := map[string][]standin.Run{}
+	byTask := map[string][]standin.AttemptRun{}
 	n := 0
 	for _, h := range histories {
 		for _, r := range h.Runs {
@@ -91,7 +92,7 @@
 		is.True(o.IsAnswerIntact())
 		is.Equal(nonce(o), fmt.Sprintf("task-%d", i))
 	}
-	histories, err := c.Histories(context.Background())
+	histories, err := c.WorkerHistories(context.Background())
 	is.NoErr(err)
 	is.Equal(countOverlaps(histories), 0)
 }
@@ -101,8 +102,8 @@
 func TestJobOutcomesAreCompleteThroughAnyEntryVM(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t)
-	s := submitJob(is, c.Entries[0], jobSpec(20, 100*time.Millisecond))
-	for _, e := range c.Entries {
+	s := submitJob(is, c.EntryVMs[0], jobSpec(20, 100*time.Millisecond))
+	for _, e := range c.EntryVMs {
 		checkJobCompleted(is, c, awaitJob(is, e, s.ID), 20)
 	}
 }
@@ -124,18 +125,18 @@
 // A job survives the loss of the entry VM that accepted it: every task is answered,
 // and tasks that are not repeatable run exactly once.
 func TestJobOutlivesItsEntryVM(t *testing.T) {
-	// notRepeatable is the number of tasks that must not run twice.
-	const notRepeatable = 4
+	// notRepeatableTasks is the number of tasks that must not run twice.
+	const notRepeatableTasks = 4
 	scenarios := []struct {
 		testName string
-		act      func(c *cluster.Cluster, e *cluster.Entry)
+		act      func(c *cluster.Cluster, e *cluster.EntryVM)
 	}{
-		{"killed", func(_ *cluster.Cluster, e *cluster.Entry) { e.Kill() }},
-		{"frozen and thawed", func(_ *cluster.Cluster, e *cluster.Entry) {
+		{"killed", func(_ *cluster.Cluster, e *cluster.EntryVM) { e.Kill() }},
+		{"frozen and thawed", func(_ *cluster.Cluster, e *cluster.EntryVM) {
 			e.Freeze()
 			time.AfterFunc(6*time.Second, e.Thaw)
 		}},
-		{"planned stop", func(_ *cluster.Cluster, e *cluster.Entry) { e.Terminate() }},
+		{"planned stop", func(_ *cluster.Cluster, e *cluster.EntryVM) { e.Terminate() }},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -143,39 +144,39 @@
 			is := is.New(t)
 			c := startCluster(t)
 			spec := jobSpec(40, 2*time.Second)
-			for i := range notRepeatable {
+			for i := range notRepeatableTasks {
 				spec.Tasks[i].Repeatable = false
 			}
-			accepted := submitJob(is, c.Entries[0], spec)
+			accepted := submitJob(is, c.EntryVMs[0], spec)
 			time.Sleep(500 * time.Millisecond)
-			s.act(c, c.Entries[0])
-			checkJobCompleted(is, c, awaitJob(is, c.Entries[2], accepted.ID), 40)
-			histories, err := c.Histories(context.Background())
+			s.act(c, c.EntryVMs[0])
+			checkJobCompleted(is, c, awaitJob(is, c.EntryVMs[2], accepted.ID), 40)
+			histories, err := c.WorkerHistories(context.Background())
 			is.NoErr(err)
-			for i := range notRepeatable {
+			for i := range notRepeatableTasks {
 				is.Equal(countRuns(histories, job.TaskID(accepted.ID, i)), 1)
 			}
 		})
 	}
 }
 
-// The tasks of a gang run at the same time, also when several gangs compete. Each
-// gang is too large to run beside another one, so that gangs which start in parts
-// would block each other.
+// The tasks of a gang run at the same time, also when several gangs compete. The
+// workers have no room for two gangs at once, so gangs that start only some of
+// their tasks would block each other.
 func TestGangTasksRunAtTheSameTime(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t)
-	const gangs, tasks = 3, 10
+	const gangs, tasksPerGang = 3, 10
 	ids := make([]string, gangs)
 	for i := range gangs {
-		s := jobSpec(tasks, time.Second)
+		s := jobSpec(tasksPerGang, time.Second)
 		s.Gang = true
-		ids[i] = submitJob(is, c.Entries[0], s).ID
+		ids[i] = submitJob(is, c.EntryVMs[0], s).ID
 	}
 	for _, id := range ids {
-		checkJobCompleted(is, c, awaitJob(is, c.Entries[2], id), tasks)
+		checkJobCompleted(is, c, awaitJob(is, c.EntryVMs[2], id), tasksPerGang)
 	}
-	histories, err := c.Histories(context.Background())
+	histories, err := c.WorkerHistories(context.Background())
 	is.NoErr(err)
 	for _, id := range ids {
 		var lastStart, firstEnd time.Time
@@ -194,7 +195,7 @@
 				}
 			}
 		}
-		is.Equal(n, tasks)
+		is.Equal(n, tasksPerGang)
 		is.True(lastStart.Before(firstEnd))
 	}
 }
--- a/internal/emulate/cluster/outage_test.go
+++ b/internal/emulate/cluster/outage_test.go
@@ -24,23 +24,23 @@
 	ctx := context.Background()
 	c := startCluster(t)
 	is.NoErr(c.SetLogFault(ctx, standin.LogFault{Outage: true}))
-	is.NoErr(c.SetListFault(ctx, standin.VMsFault{Outage: true}))
-	c.Entries[0].Kill()
+	is.NoErr(c.SetVMListFault(ctx, standin.VMListFault{Outage: true}))
+	c.EntryVMs[0].Kill()
 	is.NoErr(c.WaitAdopted(ctx))
-	o, _, err := submitRequest(c.Entries[2], requestSpec("urgent", 50*time.Millisecond), "")
+	o, _, err := submitRequest(c.EntryVMs[2], requestSpec("urgent", 50*time.Millisecond), "")
 	is.NoErr(err)
 	is.Equal(o.State, request.Done)
 	is.Equal(nonce(o), "urgent")
 
 	s := requestSpec("letter", 50*time.Millisecond)
 	s.Repeatable, s.Key = false, ulid.Make().String()
-	o, status, err := submitRequest(c.Entries[2], s, "")
+	o, status, err := submitRequest(c.EntryVMs[2], s, "")
 	is.NoErr(err)
 	is.Equal(status, http.StatusServiceUnavailable)
 	is.Equal(o.State, request.NotRun)
 	is.True(o.RetryAfterMilliseconds > 0)
 
-	newEntry, err := c.StartEntry(ctx, "entry-9", c.Entries[0].Domain)
+	newEntry, err := c.StartEntryVM(ctx, "entry-9", c.EntryVMs[0].Domain)
 	is.NoErr(err)
 	for !c.IsReady(ctx, newEntry) {
 		time.Sleep(20 * time.Millisecond)
@@ -50,7 +50,7 @@
 	is.Equal(nonce(o), "born")
 
 	is.NoErr(c.SetLogFault(ctx, standin.LogFault{}))
-	is.NoErr(c.SetListFault(ctx, standin.VMsFault{}))
+	is.NoErr(c.SetVMListFault(ctx, standin.VMListFault{}))
 	for o.State = request.NotRun; o.State == request.NotRun; {
 		o, _, err = submitRequest(newEntry, s, "")
 		is.NoErr(err)
@@ -65,10 +65,10 @@
 	is := is.New(t)
 	ctx := context.Background()
 	c := startCluster(t)
-	old := append([]*cluster.Entry(nil), c.Entries...)
+	old := append([]*cluster.EntryVM(nil), c.EntryVMs...)
 	results := make(chan string, 1000)
 	for i, e := range old {
-		replacement, err := c.StartEntry(ctx, fmt.Sprintf("fresh-%d", i), e.Domain)
+		replacement, err := c.StartEntryVM(ctx, fmt.Sprintf("fresh-%d", i), e.Domain)
 		is.NoErr(err)
 		for !c.IsReady(ctx, replacement) {
 			time.Sleep(20 * time.Millisecond)
--- a/internal/emulate/cluster/request_test.go
+++ b/internal/emulate/cluster/request_test.go
@@ -54,7 +54,7 @@
 
 // requestSpec returns an urgent, repeatable request whose answer contains name.
 func requestSpec(name string, run time.Duration) request.Spec {
-	payload, _ := json.Marshal(standin.Work{RunMilliseconds: run.Milliseconds(), Nonce: name, AnswerBytes: 1000})
+	payload, _ := json.Marshal(standin.WorkPayload{RunMilliseconds: run.Milliseconds(), Nonce: name, AnswerBytes: 1000})
 	return request.Spec{
 		Plan: "snag-sorting", Class: plan.Urgent, Kind: "sort", Repeatable: true,
 		Size:                resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 4096, Slots: 1, Connections: 1},
@@ -64,7 +64,7 @@
 
 // submitRequest submits a request to an entry VM. query is empty or starts with a
 // question mark.
-func submitRequest(e *cluster.Entry, s request.Spec, query string) (request.Outcome, int, error) {
+func submitRequest(e *cluster.EntryVM, s request.Spec, query string) (request.Outcome, int, error) {
 	body, _ := json.Marshal(s)
 	return doRequest(http.MethodPost, fmt.Sprintf("http://%s/v1/requests%s", e.CallerAddress, query), body)
 }
@@ -84,7 +84,7 @@
 	return o, r.StatusCode, json.NewDecoder(r.Body).Decode(&o)
 }
 
-// nonce returns the nonce in the answer, or "" without a valid answer.
+// nonce returns the nonce in the answer, or "" if the answer is not valid.
 func nonce(o request.Outcome) string {
 	var a standin.WorkAnswer
 	_ = json.Unmarshal(o.Answer, &a)
@@ -100,19 +100,19 @@
 	for i := range 60 {
 		group.Go(func() {
 			name := fmt.Sprintf("n%d", i)
-			o, status, err := submitRequest(c.Entries[i%len(c.Entries)], requestSpec(name, time.Duration(10+i)*time.Millisecond), "")
+			o, status, err := submitRequest(c.EntryVMs[i%len(c.EntryVMs)], requestSpec(name, time.Duration(10+i)*time.Millisecond), "")
 			if err != nil || status != http.StatusOK || o.State != request.Done || !o.IsAnswerIntact() || nonce(o) != name {
 				t.Errorf("%s: status %d, outcome %+v, error %v", name, status, o, err)
 			}
 		})
 	}
 	group.Wait()
-	histories, err := c.Histories(context.Background())
+	histories, err := c.WorkerHistories(context.Background())
 	is.NoErr(err)
 	runs := 0
 	for _, h := range histories {
 		runs += len(h.Runs)
-		is.Equal(h.Overfilled, 0)
+		is.Equal(h.OverfilledStarts, 0)
 	}
 	is.Equal(runs, 60)
 }
@@ -121,11 +121,11 @@
 func TestOutcomeIsFetchedThroughAnyEntryVM(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t)
-	o, status, err := submitRequest(c.Entries[0], requestSpec("late", 300*time.Millisecond), "?wait_milliseconds=0")
+	o, status, err := submitRequest(c.EntryVMs[0], requestSpec("late", 300*time.Millisecond), "?wait_milliseconds=0")
 	is.NoErr(err)
 	is.Equal(status, http.StatusAccepted)
 	is.Equal(o.State, request.Pending)
-	for _, e := range c.Entries {
+	for _, e := range c.EntryVMs {
 		got, status, err := doRequest(http.MethodGet, fmt.Sprintf("http://%s/v1/requests/%s?wait_milliseconds=10000", e.CallerAddress, o.ID), nil)
 		is.NoErr(err)
 		is.Equal(status, http.StatusOK)
@@ -144,14 +144,14 @@
 	var group sync.WaitGroup
 	for i := range 9 {
 		group.Go(func() {
-			o, _, err := submitRequest(c.Entries[i%len(c.Entries)], s, "")
+			o, _, err := submitRequest(c.EntryVMs[i%len(c.EntryVMs)], s, "")
 			if err != nil || o.State != request.Done || nonce(o) != "letter" {
 				t.Errorf("outcome %+v, error %v", o, err)
 			}
 		})
 	}
 	group.Wait()
-	histories, err := c.Histories(context.Background())
+	histories, err := c.WorkerHistories(context.Background())
 	is.NoErr(err)
 	runs := 0
 	for _, h := range histories {
--- a/internal/emulate/fleet/worker.go
+++ b/internal/emulate/fleet/worker.go
@@ -27,7 +27,8 @@
 	Speculative bool
 	// Fails makes the run end with the outcome Failed after RunTime.
 	Fails bool
-	// GangSize is the number of tasks in the task's gang, or 0 without a gang.
+	// GangSize is the number of tasks in the gang of this task, or 0 if the task
+	// is in no gang.
 	GangSize int
 }
 
@@ -43,13 +44,13 @@
 	Acknowledged(w *Worker, e backend.End, at time.Time)
 }
 
-// run is one execution of a task that has not ended.
-type run struct {
+// taskRun is one execution of a task that has not ended.
+type taskRun struct {
 	task      work.TaskID
 	number    int64
 	profile   TaskProfile
 	startedAt time.Time
-	// stopOrderedAt is when a stop was ordered, or zero.
+	// stopOrderedAt is when the run was ordered to stop. It is zero if it was not.
 	stopOrderedAt time.Time
 }
 
@@ -64,10 +65,10 @@
 	highestToken int64
 	// leaseDeadline is when the lease lapses by the worker's clock.
 	leaseDeadline time.Duration
-	running       map[work.TaskID]*run
-	// highestRuns maps each task to the highest run number that was started or
-	// ordered to stop; starts of lower or equal numbers are refused.
-	highestRuns map[work.TaskID]int64
+	running       map[work.TaskID]*taskRun
+	// highestRunNumbers maps each task to the highest run number that was started
+	// or ordered to stop. Starts with this or a lower number are refused.
+	highestRunNumbers map[work.TaskID]int64
 	// unacknowledgedEnds lists the ends that the worker still reports.
 	unacknowledgedEnds []backend.End
 	lastEndNumber      int64
@@ -81,10 +82,10 @@
 // maxLease limits how far beyond the current time an order can extend the lease.
 const maxLease = 6 * time.Second
 
-// New returns a worker that starts at now. rate is the speed of its clock, and
-// profileOf returns the behaviour of a task. The observer must not be nil.
+// New returns a worker that starts at now. rate is the value of Worker.Rate, and
+// profileOf returns how a task behaves. The observer must not be nil.
 func New(r backend.Registration, rate float64, now time.Time, profileOf func(work.TaskID) TaskProfile, o Observer) *Worker {
-	return &Worker{Registration: r, Rate: rate, startedAt: now, running: map[work.TaskID]*run{}, highestRuns: map[work.TaskID]int64{}, profileOf: profileOf, observer: o}
+	return &Worker{Registration: r, Rate: rate, startedAt: now, running: map[work.TaskID]*taskRun{}, highestRunNumbers: map[work.TaskID]int64{}, profileOf: profileOf, observer: o}
 }
 
 // Clock returns the time since the worker's start by its own clock, plus 1 ms,
@@ -105,10 +106,10 @@
 // Running returns the running tasks in no particular order.
 func (w *Worker) Running() []work.TaskID { return slices.Collect(maps.Keys(w.running)) }
 
-// Advance ends the runs that are over by now. A run ends as Done or Failed when it
-// reached its run time before the lease lapsed. Other runs end as Lapsed when the
-// lease lapses. A run whose stop was ordered at least stopDelay ago ends as Stopped
-// in any case.
+// Advance ends the runs that are over at now. A run that was ordered to stop at
+// least stopDelay ago ends as Stopped. Any other run ends as Done or Failed if
+// it reached its run time before the lease lapsed, or else as LeaseExpired once
+// the lease has lapsed.
 func (w *Worker) Advance(now time.Time) {
 	leaseLapsed := w.Clock(now) > w.leaseDeadline
 	for _, r := range w.sortedRuns() {
@@ -129,12 +130,13 @@
 
 // sortedRuns returns the runs in the order of their task IDs, so that tests are
 // reproducible.
-func (w *Worker) sortedRuns() []*run {
-	return slices.SortedFunc(maps.Values(w.running), func(a, b *run) int { return cmp.Compare(a.task.String(), b.task.String()) })
+func (w *Worker) sortedRuns() []*taskRun {
+	return slices.SortedFunc(maps.Values(w.running), func(a, b *taskRun) int { return cmp.Compare(a.task.String(), b.task.String()) })
 }
 
-// endRun removes a run, adds its end to the reports and notifies the observer.
-func (w *Worker) endRun(r *run, outcome backend.Outcome, now time.Time) {
+// endRun removes a run and notifies the observer. Until the end of the run is
+// acknowledged, Hold reports it.
+func (w *Worker) endRun(r *taskRun, outcome backend.Outcome, now time.Time) {
 	delete(w.running, r.task)
 	w.lastEndNumber++
 	e := backend.End{Number: w.lastEndNumber, Task: r.task, Run: r.number, Outcome: outcome}
@@ -163,25 +165,25 @@
 		return backend.KindLate
 	}
 	w.extendLease(s.Deadline, now)
-	if s.Run <= w.highestRuns[s.Task] {
+	if s.Run <= w.highestRunNumbers[s.Task] {
 		return backend.KindStaleRun
 	}
-	w.highestRuns[s.Task] = s.Run
-	w.running[s.Task] = &run{task: s.Task, number: s.Run, profile: w.profileOf(s.Task), startedAt: now}
+	w.highestRunNumbers[s.Task] = s.Run
+	w.running[s.Task] = &taskRun{task: s.Task, number: s.Run, profile: w.profileOf(s.Task), startedAt: now}
 	w.observer.Started(w, s, now)
 	return ""
 }
 
-// Stop handles an order to stop a run. It also prevents later starts of the run
-// and of earlier runs of the task. It returns KindFenced for an old token and an
-// empty Kind otherwise.
+// Stop handles an order to stop a run. Afterwards, neither this run nor an
+// earlier run of the task can be started. Stop returns KindFenced for an old
+// token and an empty Kind otherwise.
 func (w *Worker) Stop(s backend.Stop, now time.Time) backend.Kind {
 	w.Advance(now)
 	if s.Token < w.highestToken {
 		return backend.KindFenced
 	}
 	w.highestToken = s.Token
-	w.highestRuns[s.Task] = max(w.highestRuns[s.Task], s.Run)
+	w.highestRunNumbers[s.Task] = max(w.highestRunNumbers[s.Task], s.Run)
 	if r := w.running[s.Task]; r != nil && r.number <= s.Run && r.stopOrderedAt.IsZero() {
 		r.stopOrderedAt = now
 	}
--- a/internal/emulate/load/call.go
+++ b/internal/emulate/load/call.go
@@ -32,7 +32,7 @@
 
 // call is one request as its caller saw it, including its resubmissions.
 type call struct {
-	group  Group
+	group  RequestGroup
 	sent   time.Time
 	ended  time.Time
 	result result
@@ -52,8 +52,8 @@
 	resubmitPause = 200 * time.Millisecond
 	// callTimeout limits a call including its resubmissions.
 	callTimeout = 40 * time.Second
-	// cancelDelay is the time from the submission to the cancellation of a request
-	// that is to be cancelled.
+	// cancelDelay is the time from the submission of a request to its
+	// cancellation, for requests that the caller cancels.
 	cancelDelay = 100 * time.Millisecond
 )
 
@@ -64,9 +64,9 @@
 // resubmits the request through another entry VM, as a caller behind a load
 // balancer does. seed selects the entry VMs. If cancel is set, the request is
 // cancelled after cancelDelay.
-func (r *run) makeCall(ctx context.Context, g Group, seed uint64, cancel bool) call {
+func (r *scenarioRun) makeCall(ctx context.Context, g RequestGroup, seed uint64, cancel bool) call {
 	nonce := ulid.Make().String()
-	payload, _ := json.Marshal(standin.Work{RunMilliseconds: g.RunTime.Milliseconds(), Nonce: nonce, AnswerBytes: 200})
+	payload, _ := json.Marshal(standin.WorkPayload{RunMilliseconds: g.RunTime.Milliseconds(), Nonce: nonce, AnswerBytes: 200})
 	s := request.Spec{
 		Plan: g.Plan, Class: g.Class, Kind: g.Plan, Size: g.Size, RunTimeMilliseconds: g.RunTime.Milliseconds(),
 		DeadlineMilliseconds: g.Deadline.Milliseconds(), Repeatable: g.Repeatable, Payload: payload,
@@ -78,7 +78,7 @@
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
 	for attempt := range maxSubmissions {
-		e := r.pickEntry(seed + uint64(attempt))
+		e := r.pickEntryVM(seed + uint64(attempt))
 		o, err := submitOnce(ctx, e, s, cancel)
 		if o.ID != "" {
 			c.requestIDs = append(c.requestIDs, o.ID)
@@ -119,7 +119,7 @@
 
 // submitOnce submits a request to an entry VM and waits for its outcome. If cancel is
 // set, it cancels the request after cancelDelay.
-func submitOnce(ctx context.Context, e *cluster.Entry, s request.Spec, cancel bool) (request.Outcome, error) {
+func submitOnce(ctx context.Context, e *cluster.EntryVM, s request.Spec, cancel bool) (request.Outcome, error) {
 	base := fmt.Sprintf("http://%s/v1/requests", e.CallerAddress)
 	if !cancel {
 		return send(ctx, http.MethodPost, base, s)
--- a/internal/emulate/load/control.go
+++ b/internal/emulate/load/control.go
@@ -15,17 +15,18 @@
 // processor times in /proc.
 const clockTicksPerSecond = 100
 
-// processUsage is the resource usage of an entry VM's process.
+// processUsage holds what the process of an entry VM uses.
 type processUsage struct {
-	// processorTime is the user and system time since the start.
+	// processorTime is the user and system time since the start of the process.
 	processorTime time.Duration
 	residentBytes int64
-	// trafficBytes is the network traffic since the start, without that of callers.
+	// trafficBytes is the network traffic since the start of the process, without
+	// the traffic with callers.
 	trafficBytes int64
 }
 
 // readUsage reads the usage of an entry VM from /proc and its traffic counters.
-func readUsage(ctx context.Context, c *cluster.Cluster, e *cluster.Entry) (u processUsage, err error) {
+func readUsage(ctx context.Context, c *cluster.Cluster, e *cluster.EntryVM) (u processUsage, err error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", e.PID()))
 	if err != nil {
 		return u, err
@@ -33,10 +34,10 @@
 	// The second field, the program's name, is in parentheses and may contain
 	// spaces. The indexes count from the field after it.
 	fields := strings.Fields(string(data[strings.LastIndexByte(string(data), ')')+1:]))
-	const utime, stime, resident = 11, 12, 21
-	user, err1 := strconv.ParseInt(fields[utime], 10, 64)
-	system, err2 := strconv.ParseInt(fields[stime], 10, 64)
-	pages, err3 := strconv.ParseInt(fields[resident], 10, 64)
+	const utimeIndex, stimeIndex, residentIndex = 11, 12, 21
+	user, err1 := strconv.ParseInt(fields[utimeIndex], 10, 64)
+	system, err2 := strconv.ParseInt(fields[stimeIndex], 10, 64)
+	pages, err3 := strconv.ParseInt(fields[residentIndex], 10, 64)
 	for _, err := range []error{err1, err2, err3} {
 		if err != nil {
 			return u, err
@@ -44,15 +45,15 @@
 	}
 	u.processorTime = time.Duration(user+system) * time.Second / clockTicksPerSecond
 	u.residentBytes = pages * int64(os.Getpagesize())
-	u.trafficBytes, err = c.Traffic(ctx, e)
+	u.trafficBytes, err = c.TrafficBytes(ctx, e)
 	return u, err
 }
 
-// usageByEntry reads the usage of the entry VMs by name. It omits entry VMs whose
-// usage cannot be read, such as killed ones.
-func (r *run) usageByEntry(ctx context.Context) map[string]processUsage {
+// usageByEntryVM returns the usage of each entry VM by its name. It omits entry
+// VMs whose usage cannot be read, such as killed ones.
+func (r *scenarioRun) usageByEntryVM(ctx context.Context) map[string]processUsage {
 	out := map[string]processUsage{}
-	for _, e := range r.cluster.Entries {
+	for _, e := range r.cluster.EntryVMs {
 		if u, err := readUsage(ctx, r.cluster, e); err == nil {
 			out[e.Name] = u
 		}
@@ -60,8 +61,8 @@
 	return out
 }
 
-// controlCost returns the highest cost among the entry VMs that are in both usage
-// maps. elapsed is the time between the two readings.
+// controlCost returns the highest value of each cost among the entry VMs that
+// are in both usage maps. elapsed is the time between the two readings.
 func controlCost(before, after map[string]processUsage, elapsed time.Duration) ControlCost {
 	var c ControlCost
 	for name, a := range after {
--- a/internal/emulate/load/figures.go
+++ b/internal/emulate/load/figures.go
@@ -12,8 +12,8 @@
 
 // runsByRequest groups the runs in the workers' histories by request ID. An attempt
 // ID is the request ID, a slash and a suffix.
-func runsByRequest(histories []standin.History) map[string][]standin.Run {
-	out := map[string][]standin.Run{}
+func runsByRequest(histories []standin.History) map[string][]standin.AttemptRun {
+	out := map[string][]standin.AttemptRun{}
 	for _, h := range histories {
 		for _, s := range h.Runs {
 			id, _, _ := strings.Cut(s.Attempt, "/")
@@ -23,17 +23,17 @@
 	return out
 }
 
-// lastRequestRan reports whether the last submission of a call ran on a worker. If
-// the result of the call is notRun, this is the submission that was reported as not
-// run.
-func lastRequestRan(c call, runs map[string][]standin.Run) bool {
+// lastRequestRan reports whether the last submission of a call ran on a worker.
+// If the result of the call is notRun, the caller was told that this submission
+// did not run.
+func lastRequestRan(c call, runs map[string][]standin.AttemptRun) bool {
 	return len(c.requestIDs) > 0 && len(runs[c.requestIDs[len(c.requestIDs)-1]]) > 0
 }
 
 // countDoubleRuns counts the runs of a call that started before the previous run of
 // the same request had ended. It adds one if a call that is not repeatable ran more
 // than once.
-func countDoubleRuns(c call, runs map[string][]standin.Run) int {
+func countDoubleRuns(c call, runs map[string][]standin.AttemptRun) int {
 	n := 0
 	total := 0
 	for _, id := range c.requestIDs {
@@ -53,9 +53,9 @@
 	return n
 }
 
-// goodput counts the requests of a phase and those that were answered in time. The
-// ratio of the two does not depend on the random number of arrivals, as a rate
-// would.
+// goodput counts the requests of a phase and those that were answered in time.
+// Reports use the ratio of the two counts, because a rate would vary with the
+// random number of arrivals.
 type goodput struct{ sent, inTime int }
 
 // maxUsefulDelay returns how long an answer may take, in addition to the run time,
@@ -84,17 +84,17 @@
 // ratio returns the fraction of the requests that were answered in time.
 func (g *goodput) ratio() float64 { return float64(g.inTime) / float64(max(1, g.sent)) }
 
-// measurePacking divides the mean use in the acting phase by the capacity of the
-// fleet: for slots, and for the resource with the highest use. The latter is the
-// bound that a fractional packing of the same mix of tasks would reach first.
-func (r *run) measurePacking(histories []standin.History) Packing {
+// measurePacking returns the mean use of the fleet as a fraction of its
+// capacity, for the slots and for the resource that is used most. It covers the
+// acting phase without the first rampTime.
+func (r *scenarioRun) measurePacking(histories []standin.History) Packing {
 	var capacity resource.Vector
 	var used [resource.Kinds]float64
 	from, to := r.startedAt.Add(calmPhase+rampTime), r.startedAt.Add(calmPhase+actingPhase)
 	for _, h := range histories {
 		capacity = capacity.Add(h.Capacity)
 		for _, s := range h.Runs {
-			seconds := overlap(s, from, to).Seconds()
+			seconds := overlapDuration(s, from, to).Seconds()
 			for i, amount := range s.Size.Amounts() {
 				used[i] += float64(amount) * seconds
 			}
@@ -103,16 +103,17 @@
 	var p Packing
 	for i, amount := range capacity.Amounts() {
 		fraction := used[i] / max(1, float64(amount)*to.Sub(from).Seconds())
-		p.OverFractionalBound = max(p.OverFractionalBound, fraction)
+		p.HighestResourceUse = max(p.HighestResourceUse, fraction)
 		if resource.KindNames[i] == "slots" {
-			p.UsedOverUsable = fraction
+			p.SlotUse = fraction
 		}
 	}
 	return p
 }
 
-// overlap returns for how long a run was active between two times.
-func overlap(s standin.Run, from, to time.Time) time.Duration {
+// overlapDuration returns how long a run was active between the times from and
+// to.
+func overlapDuration(s standin.AttemptRun, from, to time.Time) time.Duration {
 	began, ended := s.Started, s.Ended
 	if ended.IsZero() || ended.After(to) {
 		ended = to
@@ -123,15 +124,17 @@
 	return max(0, ended.Sub(began))
 }
 
-// urgentWindow is the length of the windows that lowestUrgentRate compares.
-const urgentWindow = 2 * time.Second
+// urgentRateWindow is the length of the windows for which lowestUrgentRate
+// determines rates.
+const urgentRateWindow = 2 * time.Second
 
-// lowestUrgentRate returns the lowest rate of urgent answers in any window of the
-// acting phase without its last rampTime, as a fraction of the rate in the calm
-// phase. It returns 0 if the calm phase had no urgent answers.
-func (r *run) lowestUrgentRate() float64 {
+// lowestUrgentRate returns the lowest rate of answers to urgent requests in any
+// urgentRateWindow of the acting phase, as a fraction of their rate in the calm
+// phase. It ignores the first rampTime of the calm phase and the last rampTime
+// of the acting phase. It returns 0 if the calm phase had no such answers.
+func (r *scenarioRun) lowestUrgentRate() float64 {
 	calm := 0.0
-	windows := make([]float64, int((actingPhase-rampTime)/urgentWindow))
+	windows := make([]float64, int((actingPhase-rampTime)/urgentRateWindow))
 	for _, c := range r.calls {
 		if c.group.Class != "urgent" || c.result != answered {
 			continue
@@ -140,7 +143,7 @@
 		if at > rampTime && at <= calmPhase {
 			calm++
 		}
-		if i := int((at - calmPhase) / urgentWindow); at > calmPhase && i < len(windows) {
+		if i := int((at - calmPhase) / urgentRateWindow); at > calmPhase && i < len(windows) {
 			windows[i]++
 		}
 	}
@@ -153,5 +156,5 @@
 	if calm == 0 {
 		return 0
 	}
-	return lowest / urgentWindow.Seconds() / (calm / (calmPhase - rampTime).Seconds())
+	return lowest / urgentRateWindow.Seconds() / (calm / (calmPhase - rampTime).Seconds())
 }
--- a/internal/emulate/load/load.go
+++ b/internal/emulate/load/load.go
@@ -29,8 +29,8 @@
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Group is a stream of identical requests with random arrivals.
-type Group struct {
+// RequestGroup is a stream of identical requests with random arrivals.
+type RequestGroup struct {
 	Customer string
 	Plan     string
 	Class    plan.Class
@@ -39,7 +39,8 @@
 	Size       resource.Vector
 	RunTime    time.Duration
 	Repeatable bool
-	// Deadline is the deadline of each request; 0 means none.
+	// Deadline is the time from the submission of a request to its deadline; 0
+	// means that requests have no deadline.
 	Deadline time.Duration
 }
 
@@ -51,10 +52,11 @@
 	FloodPlans map[string]string
 	// Act is called at the start of the acting phase; nil means no action. A run
 	// fails with the error that it returns.
-	Act func(ctx context.Context, r *run) error
+	Act func(ctx context.Context, r *scenarioRun) error
 }
 
-// floodFactor is the factor by which a flood exceeds the rate of the calm phase.
+// floodFactor is the factor by which a flood multiplies the request rate of a
+// plan.
 const floodFactor = 10
 
 // The phases of a run.
@@ -65,26 +67,28 @@
 	actingPhase = 16 * time.Second
 	// settleTime is the maximum time to wait for the last answers.
 	settleTime = 25 * time.Second
-	// rampTime is left out of the phases by measurePacking, at the start, and by
-	// lowestUrgentRate, at the start of the calm and the end of the acting phase.
+	// rampTime is the part of a phase that some measurements ignore.
+	// measurePacking ignores it at the start of the acting phase, and
+	// lowestUrgentRate at the start of the calm phase and the end of the acting
+	// phase.
 	rampTime = 2 * time.Second
 )
 
-// requestGroups returns the groups of requests to send to a deployment. The load of
-// hearthmark is the default.
-func requestGroups(deployment string) []Group {
+// requestGroups returns the groups of requests to send to a deployment. Every
+// deployment other than lumiquote gets the groups of hearthmark.
+func requestGroups(deployment string) []RequestGroup {
 	small := resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 8192, Slots: 1, Connections: 1}
 	gpu := resource.Vector{Milliprocessors: 8000, MemoryMebibytes: 16384, Accelerators: 1, Slots: 1, Connections: 1}
 	large := resource.Vector{Milliprocessors: 8000, MemoryMebibytes: 32768, Slots: 1, Connections: 1}
 	if deployment == "lumiquote" {
-		return []Group{
+		return []RequestGroup{
 			{"lumiquote", "fixture-counts", plan.Urgent, 50, small, 600 * time.Millisecond, true, 0},
 			{"lumiquote", "quotes", plan.Normal, 5, small, 500 * time.Millisecond, false, 0},
 			{"lumiquote", "recognition", plan.Normal, 15, gpu, 1500 * time.Millisecond, true, 0},
 			{"guest", "guest-batch", plan.Overnight, 30, large, 2 * time.Second, true, 0},
 		}
 	}
-	return []Group{
+	return []RequestGroup{
 		{"hearthmark", "snag-sorting", plan.Urgent, 60, small, 600 * time.Millisecond, true, 0},
 		{"hearthmark", "letters", plan.Normal, 5, small, 500 * time.Millisecond, false, 0},
 		{"hearthmark", "photo-checks", plan.Normal, 15, gpu, 1500 * time.Millisecond, true, 0},
@@ -92,12 +96,12 @@
 	}
 }
 
-// run is the state of one run of a scenario.
-type run struct {
+// scenarioRun is the state of one scenarioRun of a scenario.
+type scenarioRun struct {
 	cluster   *cluster.Cluster
 	scenario  Scenario
 	random    *rand.Rand
-	groups    []Group
+	groups    []RequestGroup
 	startedAt time.Time
 
 	mutex     sync.Mutex
@@ -110,27 +114,29 @@
 	cancelProbability float64
 }
 
-// measurements are the values that scenarios measure themselves.
+// measurements holds the values that scenarios record while they act.
 type measurements struct {
-	// leavingSince is when the VM list began to show a worker as leaving.
+	// leavingSince maps the name of a worker to the time since which the VM list
+	// has shown it as leaving.
 	leavingSince map[string]time.Time
-	// raceRounds is the number of times that operators published concurrently.
-	// raceWinners counts the accepted publications and raceLosers the conflicting ones.
+	// raceRounds is the number of times that two operators published concurrently.
+	// raceWinners counts the publications that were accepted, and raceLosers those
+	// that were refused because of a conflict.
 	raceRounds, raceWinners, raceLosers int
-	// configurationSeconds is the longest time until every entry VM used a new
-	// configuration.
+	// configurationSeconds is the longest time that it took until every entry VM
+	// used a new configuration.
 	configurationSeconds float64
 	// takeoverSeconds is the time from the kill of an entry VM until every worker was
 	// adopted again.
 	takeoverSeconds float64
 }
 
-// pickEntry returns one of the entry VMs in rotation, selected by seed.
-func (r *run) pickEntry(seed uint64) *cluster.Entry {
+// pickEntryVM returns one of the entry VMs in rotation, selected by seed.
+func (r *scenarioRun) pickEntryVM(seed uint64) *cluster.EntryVM {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var inRotation []*cluster.Entry
-	for _, e := range r.cluster.Entries {
+	var inRotation []*cluster.EntryVM
+	for _, e := range r.cluster.EntryVMs {
 		if !r.outOfRotation[e.Name] {
 			inRotation = append(inRotation, e)
 		}
@@ -139,14 +145,14 @@
 }
 
 // setOutOfRotation takes an entry VM out of rotation or puts it back.
-func (r *run) setOutOfRotation(name string, out bool) {
+func (r *scenarioRun) setOutOfRotation(name string, out bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.outOfRotation[name] = out
 }
 
-// rate returns the request rate of a group in the calm or the acting phase.
-func (r *run) rate(g Group, acting bool) float64 {
+// requestRate returns the request requestRate of a group in the calm or the acting phase.
+func (r *scenarioRun) requestRate(g RequestGroup, acting bool) float64 {
 	if acting && r.scenario.FloodPlans[r.cluster.Deployment.Name] == g.Plan {
 		return g.PerSecond * floodFactor
 	}
@@ -155,13 +161,13 @@
 
 // sendRequests sends the requests of a group until the end of the acting phase. The
 // arrivals are a Poisson process.
-func (r *run) sendRequests(ctx context.Context, g Group, random *rand.Rand) {
+func (r *scenarioRun) sendRequests(ctx context.Context, g RequestGroup, random *rand.Rand) {
 	for ctx.Err() == nil {
 		elapsed := time.Since(r.startedAt)
 		if elapsed >= calmPhase+actingPhase {
 			return
 		}
-		pause := random.ExpFloat64() / r.rate(g, elapsed >= calmPhase)
+		pause := random.ExpFloat64() / r.requestRate(g, elapsed >= calmPhase)
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Duration(pause * float64(time.Second))):
@@ -180,7 +186,7 @@
 
 // currentCancelProbability returns the probability that a new request is cancelled
 // by its caller.
-func (r *run) currentCancelProbability() float64 {
+func (r *scenarioRun) currentCancelProbability() float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.cancelProbability
@@ -188,7 +194,7 @@
 
 // runPhases runs both phases and waits for open calls for at most settleTime. It
 // returns the error of the scenario's Act.
-func (r *run) runPhases(ctx context.Context) error {
+func (r *scenarioRun) runPhases(ctx context.Context) error {
 	r.startedAt = time.Now()
 	var group sync.WaitGroup
 	for _, g := range r.groups {
--- a/internal/emulate/load/main.go
+++ b/internal/emulate/load/main.go
@@ -60,13 +60,14 @@
 	return 0
 }
 
-// slopeScenario is the name of the scenario that MeasureSlope runs.
+// slopeScenario is the scenario name for which the program runs
+// MeasureControlCost.
 const slopeScenario = "slope"
 
 // runSlope runs the slope scenario, prints its report as JSON and returns the exit
 // status.
 func runSlope(o Options, stdout, stderr io.Writer) int {
-	report, err := MeasureSlope(context.Background(), o)
+	report, err := MeasureControlCost(context.Background(), o)
 	if err != nil {
 		_, _ = fmt.Fprintln(stderr, "load:", err)
 		return 1
@@ -97,7 +98,7 @@
 	_, _ = fmt.Fprintf(w, "%s on %s, seed %d, %.1f s\n", r.Scenario, r.Deployment, r.Seed, r.Seconds)
 	_, _ = fmt.Fprintf(w, "%-16s %-10s %9s %9s %8s %5s %8s %7s %9s %9s\n", "plan", "class", "submitted", "answered", "not_run", "lost", "doubled", "goodput", "p50_ms", "p99_ms")
 	for _, g := range r.Groups {
-		_, _ = fmt.Fprintf(w, "%-16s %-10s %9d %9d %8d %5d %8d %7.2f %9.0f %9.0f\n", g.Plan, g.Class, g.Submitted, g.Answered, g.NotRun, g.Lost, g.Doubled, g.CalmGoodputRatio, g.Waiting.P50, g.Waiting.P99)
+		_, _ = fmt.Fprintf(w, "%-16s %-10s %9d %9d %8d %5d %8d %7.2f %9.0f %9.0f\n", g.Plan, g.Class, g.Submitted, g.Answered, g.NotRun, g.Lost, g.DoubleRuns, g.CalmGoodputRatio, g.Waiting.P50, g.Waiting.P99)
 	}
 	r.Groups = nil
 	data, _ := json.Marshal(r)
@@ -141,12 +142,12 @@
 
 // runScenario runs a scenario on a cluster and returns the report.
 func runScenario(ctx context.Context, c *cluster.Cluster, s Scenario, o Options) (Report, error) {
-	r := &run{
+	r := &scenarioRun{
 		cluster: c, scenario: s, random: rand.New(rand.NewPCG(o.Seed, o.Seed)), groups: requestGroups(o.Deployment),
 		outOfRotation: map[string]bool{}, measurements: measurements{leavingSince: map[string]time.Time{}},
 	}
-	before, began := r.usageByEntry(ctx), time.Now()
-	appendsBefore, err := c.Appends(ctx)
+	before, began := r.usageByEntryVM(ctx), time.Now()
+	appendsBefore, err := c.LogAppendCount(ctx)
 	if err != nil {
 		return Report{}, err
 	}
@@ -154,12 +155,12 @@
 		return Report{}, fault.New("drive", KindFailed, err)
 	}
 	elapsed := time.Since(began)
-	after := r.usageByEntry(ctx)
-	appendsAfter, err := c.Appends(ctx)
+	after := r.usageByEntryVM(ctx)
+	appendsAfter, err := c.LogAppendCount(ctx)
 	if err != nil {
 		return Report{}, err
 	}
-	histories, err := c.Histories(ctx)
+	histories, err := c.WorkerHistories(ctx)
 	if err != nil {
 		return Report{}, err
 	}
@@ -167,7 +168,7 @@
 	defer r.mutex.Unlock()
 	report := r.buildReport(histories)
 	report.Seed = o.Seed
-	report.Control = controlCost(before, after, elapsed)
+	report.ControlCost = controlCost(before, after, elapsed)
 	report.LogAppendsPerSecond = float64(appendsAfter-appendsBefore) / elapsed.Seconds()
 	report.InvariantViolations = r.countViolations(ctx)
 	return report, nil
--- a/internal/emulate/load/report.go
+++ b/internal/emulate/load/report.go
@@ -19,30 +19,33 @@
 	Seconds             float64       `json:"seconds"`
 	Groups              []GroupReport `json:"groups"`
 	Packing             Packing       `json:"packing"`
-	Control             ControlCost   `json:"control"`
+	ControlCost         ControlCost   `json:"control"`
 	LogAppendsPerSecond float64       `json:"log_appends_per_second"`
 	// FalseNotRun counts requests that were reported as not run but ran.
 	FalseNotRun int `json:"false_not_run"`
-	// Overfilled counts starts that exceeded the capacity of their worker.
-	Overfilled          int   `json:"over_filled"`
+	// OverfilledStarts counts starts that exceeded the capacity of their worker.
+	OverfilledStarts    int   `json:"over_filled"`
 	InvariantViolations int64 `json:"invariant_violations"`
-	// LateStarts counts the starts on a leaving worker after leavingGrace.
+	// LateStarts counts the starts on a worker that happened more than
+	// leavingGrace after the VM list showed the worker as leaving.
 	LateStarts int `json:"late_starts_on_leaving"`
-	// LowestUrgentRate is the lowest rate of urgent answers in any two seconds of the
-	// acting phase, as a fraction of the rate in the calm phase.
+	// LowestUrgentRate is the lowest rate of answers to urgent requests in any two
+	// seconds of the acting phase, as a fraction of their rate in the calm phase.
 	LowestUrgentRate float64 `json:"lowest_urgent_rate"`
-	// RaceRounds is the number of times that operators published concurrently.
-	// RaceWinners counts the accepted publications and RaceLosers the conflicting ones.
+	// RaceRounds is the number of times that two operators published concurrently.
+	// RaceWinners counts the publications that were accepted, and RaceLosers those
+	// that were refused because of a conflict.
 	RaceRounds  int `json:"race_rounds,omitempty"`
 	RaceWinners int `json:"race_winners,omitempty"`
 	RaceLosers  int `json:"race_losers,omitempty"`
-	// ConfigurationSeconds is the longest time until every entry VM used a new
-	// configuration.
+	// ConfigurationSeconds is the longest time that it took until every entry VM
+	// used a new configuration.
 	ConfigurationSeconds float64 `json:"configuration_seconds,omitempty"`
 	// TakeoverSeconds is the time from the kill of an entry VM until every worker was
 	// adopted again.
 	TakeoverSeconds float64 `json:"takeover_seconds,omitempty"`
-	// Reasons counts the calls that were not answered by result and reason.
+	// Reasons counts the calls whose result is not answered. Each key is a result
+	// and a reason, separated by a colon.
 	Reasons map[string]int `json:"reasons,omitempty"`
 	// LostIDs are the IDs of lost requests, to search for in the logs.
 	LostIDs []string `json:"lost_ids,omitempty"`
@@ -53,28 +56,30 @@
 	Customer string `json:"customer"`
 	Plan     string `json:"plan"`
 	Class    string `json:"class"`
-	// Flooding is set when the scenario floods the plan.
+	// Flooding is set when the scenario multiplies the request rate of the plan by
+	// floodFactor.
 	Flooding  bool `json:"flooding"`
 	Submitted int  `json:"submitted"`
 	Answered  int  `json:"answered"`
 	NotRun    int  `json:"not_run"`
-	// Lost counts calls whose callers learned no outcome.
+	// Lost counts the calls whose callers learned no final outcome.
 	Lost int `json:"lost"`
-	// Cancelled and Failed are included in Answered: the caller cancelled the
-	// request, or the request ran and failed.
+	// Cancelled counts the requests that the caller cancelled, and Failed those
+	// that ran and failed. Both are also counted in Answered.
 	Cancelled int `json:"cancelled"`
 	Failed    int `json:"failed"`
-	// Doubled counts the runs that should not have happened; see countDoubleRuns.
-	Doubled int `json:"doubled"`
+	// DoubleRuns counts the runs that should not have happened, because the
+	// request was still running or must not run twice; see countDoubleRuns.
+	DoubleRuns int `json:"doubled"`
 	// CalmGoodputRatio is the goodput of the acting phase divided by that of the calm
 	// phase.
-	CalmGoodputRatio float64 `json:"calm_goodput_ratio"`
-	Waiting          Waiting `json:"waiting_ms"`
+	CalmGoodputRatio float64          `json:"calm_goodput_ratio"`
+	Waiting          WaitingQuantiles `json:"waiting_ms"`
 }
 
-// Waiting holds quantiles, in milliseconds, of the time from the submission to the
-// answer minus the run time.
-type Waiting struct {
+// WaitingQuantiles holds quantiles of the waiting time, in milliseconds. The
+// waiting time is the time from the submission to the answer minus the run time.
+type WaitingQuantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
 	P99 float64 `json:"p99"`
@@ -82,11 +87,12 @@
 
 // Packing is the mean use of the fleet as a fraction of its capacity.
 type Packing struct {
-	// UsedOverUsable is the fraction of the slots in use.
-	UsedOverUsable float64 `json:"used_over_usable"`
-	// OverFractionalBound is the fraction in use of the resource with the highest
-	// use. If tasks could be divided, more of the same mix would fit until it is 1.
-	OverFractionalBound float64 `json:"over_fractional_bound"`
+	// SlotUse is the fraction of the fleet's slots that is in use.
+	SlotUse float64 `json:"used_over_usable"`
+	// HighestResourceUse is the fraction in use of the resource that is used most.
+	// If tasks could be divided, more tasks of the same mix would fit until it is
+	// 1.
+	HighestResourceUse float64 `json:"over_fractional_bound"`
 }
 
 // ControlCost is what the scheduler itself uses: the highest value of any entry
@@ -103,7 +109,7 @@
 
 // buildReport evaluates the calls and the workers' histories. The caller adds the
 // seed, the control cost and the counters of the log and the entry VMs.
-func (r *run) buildReport(histories []standin.History) Report {
+func (r *scenarioRun) buildReport(histories []standin.History) Report {
 	out := Report{
 		Scenario: r.scenario.Name, Deployment: r.cluster.Deployment.Name, Seconds: time.Since(r.startedAt).Seconds(),
 		RaceRounds: r.measurements.raceRounds, RaceWinners: r.measurements.raceWinners, RaceLosers: r.measurements.raceLosers,
@@ -125,7 +131,7 @@
 		}
 	}
 	for _, h := range histories {
-		out.Overfilled += h.Overfilled
+		out.OverfilledStarts += h.OverfilledStarts
 		shownAt, leaving := r.measurements.leavingSince[h.Worker]
 		for _, s := range h.Runs {
 			if leaving && s.Started.Sub(shownAt) > leavingGrace {
@@ -141,8 +147,8 @@
 // maxReasonBytes is the maximum length of a reason in Report.Reasons.
 const maxReasonBytes = 60
 
-// shortReason returns the innermost error text, without the context before the last
-// ": ", cut to maxReasonBytes.
+// shortReason returns the innermost error text of a reason, which is the part
+// after the last ": ". It cuts the text to maxReasonBytes.
 func shortReason(s string) string {
 	if i := strings.LastIndex(s, ": "); i >= 0 {
 		s = s[i+2:]
@@ -151,7 +157,7 @@
 }
 
 // buildGroupReport evaluates the calls of one group.
-func (r *run) buildGroupReport(g Group, runs map[string][]standin.Run) GroupReport {
+func (r *scenarioRun) buildGroupReport(g RequestGroup, runs map[string][]standin.AttemptRun) GroupReport {
 	out := GroupReport{Customer: g.Customer, Plan: g.Plan, Class: string(g.Class), Flooding: r.scenario.FloodPlans[r.cluster.Deployment.Name] == g.Plan}
 	waited := hdrhistogram.New(1, time.Hour.Milliseconds(), 3)
 	var calm, acting goodput
@@ -165,7 +171,7 @@
 		} else {
 			acting.add(c)
 		}
-		out.Doubled += countDoubleRuns(c, runs)
+		out.DoubleRuns += countDoubleRuns(c, runs)
 		switch c.result {
 		case answered:
 			out.Answered++
@@ -183,16 +189,16 @@
 		}
 	}
 	out.CalmGoodputRatio = acting.ratio() / calm.ratio()
-	out.Waiting = Waiting{float64(waited.ValueAtQuantile(50)), float64(waited.ValueAtQuantile(95)), float64(waited.ValueAtQuantile(99))}
+	out.Waiting = WaitingQuantiles{float64(waited.ValueAtQuantile(50)), float64(waited.ValueAtQuantile(95)), float64(waited.ValueAtQuantile(99))}
 	return out
 }
 
-// countViolations returns the invariant violations of all entry VMs that can be
-// reached.
-func (r *run) countViolations(ctx context.Context) int64 {
+// countViolations returns the total number of invariant violations that the
+// reachable entry VMs have counted.
+func (r *scenarioRun) countViolations(ctx context.Context) int64 {
 	total := int64(0)
-	for _, e := range r.cluster.Entries {
-		if n, err := r.cluster.Violations(ctx, e); err == nil {
+	for _, e := range r.cluster.EntryVMs {
+		if n, err := r.cluster.InvariantViolations(ctx, e); err == nil {
 			total += n
 		}
 	}
--- a/internal/emulate/load/scenario.go
+++ b/internal/emulate/load/scenario.go
@@ -16,7 +16,7 @@
 const (
 	outageTime            = 8 * time.Second
 	freezeTime            = 6 * time.Second
-	cutTime               = 8 * time.Second
+	partitionTime         = 8 * time.Second
 	silenceTime           = 6 * time.Second
 	raceRounds            = 5
 	cancelWaveProbability = 0.8
@@ -32,17 +32,17 @@
 		{Name: "calm"},
 		{Name: "flood_batch", FloodPlans: map[string]string{"hearthmark": "guest-batch", "lumiquote": "guest-batch"}},
 		{Name: "flood_urgent", FloodPlans: map[string]string{"hearthmark": "snag-sorting", "lumiquote": "fixture-counts"}},
-		{Name: "kill", Act: kill},
-		{Name: "freeze", Act: freeze},
-		{Name: "log_outage", Act: logOutage},
-		{Name: "cut", Act: cutDomain},
-		{Name: "drain", Act: drain},
-		{Name: "operator_race", Act: operatorRace},
-		{Name: "bad_worker", Act: badWorker},
-		{Name: "cancel_wave", Act: cancelWave},
-		{Name: "silent_connection", Act: silentConnection},
-		{Name: "kill_log_outage", Act: killInOutage},
-		{Name: "configuration_by_peers", Act: configurationByPeers},
+		{Name: "kill", Act: killEntryVM},
+		{Name: "freeze", Act: freezeEntryVM},
+		{Name: "log_outage", Act: runLogOutage},
+		{Name: "cut", Act: partitionDomain},
+		{Name: "drain", Act: drainWorkerAndEntryVM},
+		{Name: "operator_race", Act: runOperatorRace},
+		{Name: "bad_worker", Act: failAttemptsOnWorker},
+		{Name: "cancel_wave", Act: runCancelWave},
+		{Name: "silent_connection", Act: silenceWorker},
+		{Name: "kill_log_outage", Act: killEntryVMInOutage},
+		{Name: "configuration_by_peers", Act: spreadConfigurationByPeers},
 	}
 	out := map[string]Scenario{}
 	for _, s := range all {
@@ -51,43 +51,44 @@
 	return out
 }
 
-// randomEntry returns a random entry VM.
-func (r *run) randomEntry() *cluster.Entry {
-	return r.cluster.Entries[r.random.IntN(len(r.cluster.Entries))]
+// randomEntryVM returns a random entry VM.
+func (r *scenarioRun) randomEntryVM() *cluster.EntryVM {
+	return r.cluster.EntryVMs[r.random.IntN(len(r.cluster.EntryVMs))]
 }
 
-// kill kills a random entry VM, measures how long the others take to adopt its
+// killEntryVM kills a random entry VM, measures how long the others take to adopt its
 // workers, and starts a replacement.
-func kill(ctx context.Context, r *run) error {
-	e := r.randomEntry()
+func killEntryVM(ctx context.Context, r *scenarioRun) error {
+	e := r.randomEntryVM()
 	e.Kill()
 	time.Sleep(readinessDelay)
 	r.setOutOfRotation(e.Name, true)
-	r.removeEntry(e)
+	r.removeEntryVM(e)
 	killed := time.Now().Add(-readinessDelay)
 	if err := r.cluster.WaitAdopted(ctx); err != nil {
 		return err
 	}
 	r.measurements.takeoverSeconds = time.Since(killed).Seconds()
-	return r.addEntry(ctx, e.Name+"-new", e.Domain)
+	return r.addEntryVM(ctx, e.Name+"-new", e.Domain)
 }
 
-// killInOutage kills an entry VM during an outage of the log service.
-func killInOutage(ctx context.Context, r *run) error {
+// killEntryVMInOutage kills an entry VM during an outage of the log service.
+func killEntryVMInOutage(ctx context.Context, r *scenarioRun) error {
 	if err := r.cluster.SetLogFault(ctx, standin.LogFault{Outage: true}); err != nil {
 		return err
 	}
 	time.Sleep(time.Second)
-	if err := kill(ctx, r); err != nil {
+	if err := killEntryVM(ctx, r); err != nil {
 		return err
 	}
 	return r.cluster.SetLogFault(ctx, standin.LogFault{})
 }
 
-// configurationByPeers publishes a configuration while only the first entry VM
-// reaches the platform. The other entry VMs have to get it from their peers.
-func configurationByPeers(ctx context.Context, r *run) error {
-	for _, e := range r.cluster.Entries[1:] {
+// spreadConfigurationByPeers publishes a configuration while only the first
+// entry VM reaches the platform. The other entry VMs have to get the
+// configuration from their peers.
+func spreadConfigurationByPeers(ctx context.Context, r *scenarioRun) error {
+	for _, e := range r.cluster.EntryVMs[1:] {
 		if err := r.cluster.SetCut(ctx, e, []string{isolation.Platform}); err != nil {
 			return err
 		}
@@ -104,7 +105,7 @@
 	if err := r.waitConfiguration(ctx); err != nil {
 		return err
 	}
-	for _, e := range r.cluster.Entries[1:] {
+	for _, e := range r.cluster.EntryVMs[1:] {
 		if err := r.cluster.SetCut(ctx, e, nil); err != nil {
 			return err
 		}
@@ -112,23 +113,23 @@
 	return nil
 }
 
-// removeEntry removes an entry VM from the cluster's list.
-func (r *run) removeEntry(entry *cluster.Entry) {
+// removeEntryVM removes an entry VM from Cluster.EntryVMs.
+func (r *scenarioRun) removeEntryVM(entry *cluster.EntryVM) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var remaining []*cluster.Entry
-	for _, e := range r.cluster.Entries {
+	var remaining []*cluster.EntryVM
+	for _, e := range r.cluster.EntryVMs {
 		if e != entry {
 			remaining = append(remaining, e)
 		}
 	}
-	r.cluster.Entries = remaining
+	r.cluster.EntryVMs = remaining
 }
 
-// addEntry starts an entry VM and puts it into rotation once it is ready.
-func (r *run) addEntry(ctx context.Context, name, domain string) error {
+// addEntryVM starts an entry VM and puts it into rotation once it is ready.
+func (r *scenarioRun) addEntryVM(ctx context.Context, name, domain string) error {
 	r.setOutOfRotation(name, true)
-	e, err := r.cluster.StartEntry(ctx, name, domain)
+	e, err := r.cluster.StartEntryVM(ctx, name, domain)
 	if err != nil {
 		return err
 	}
@@ -142,9 +143,9 @@
 	return nil
 }
 
-// freeze pauses an entry VM for so long that the others adopt its workers.
-func freeze(_ context.Context, r *run) error {
-	e := r.randomEntry()
+// freezeEntryVM pauses an entry VM for so long that the others adopt its workers.
+func freezeEntryVM(_ context.Context, r *scenarioRun) error {
+	e := r.randomEntryVM()
 	e.Freeze()
 	time.Sleep(readinessDelay)
 	r.setOutOfRotation(e.Name, true)
@@ -155,8 +156,8 @@
 	return nil
 }
 
-// logOutage makes the log service unavailable for outageTime.
-func logOutage(ctx context.Context, r *run) error {
+// runLogOutage makes the log service unavailable for outageTime.
+func runLogOutage(ctx context.Context, r *scenarioRun) error {
 	if err := r.cluster.SetLogFault(ctx, standin.LogFault{Outage: true}); err != nil {
 		return err
 	}
@@ -164,9 +165,9 @@
 	return r.cluster.SetLogFault(ctx, standin.LogFault{})
 }
 
-// cutDomain partitions one failure domain from the others and from the platform for
+// partitionDomain partitions one failure domain from the others and from the platform for
 // cutTime.
-func cutDomain(ctx context.Context, r *run) error {
+func partitionDomain(ctx context.Context, r *scenarioRun) error {
 	domains := r.cluster.Deployment.Domains
 	isolated := domains[r.random.IntN(len(domains))]
 	var others []string
@@ -175,7 +176,7 @@
 			others = append(others, d)
 		}
 	}
-	for _, e := range r.cluster.Entries {
+	for _, e := range r.cluster.EntryVMs {
 		names := []string{isolated}
 		if e.Domain == isolated {
 			names = append([]string{isolation.Platform}, others...)
@@ -184,8 +185,8 @@
 			return err
 		}
 	}
-	time.Sleep(cutTime)
-	for _, e := range r.cluster.Entries {
+	time.Sleep(partitionTime)
+	for _, e := range r.cluster.EntryVMs {
 		if err := r.cluster.SetCut(ctx, e, nil); err != nil {
 			return err
 		}
@@ -193,32 +194,32 @@
 	return nil
 }
 
-// drain marks a random worker as leaving and replaces a random entry VM by a planned
-// stop.
-func drain(ctx context.Context, r *run) error {
+// drainWorkerAndEntryVM marks a random worker as leaving. It also stops a random
+// entry VM gracefully and starts a replacement.
+func drainWorkerAndEntryVM(ctx context.Context, r *scenarioRun) error {
 	workers := r.cluster.Deployment.Workers()
 	leaving := workers[r.random.IntN(len(workers))].Name
 	if err := r.cluster.MarkLeaving(ctx, leaving); err != nil {
 		return err
 	}
 	r.measurements.leavingSince[leaving] = time.Now()
-	e := r.randomEntry()
+	e := r.randomEntryVM()
 	e.Terminate()
 	time.Sleep(readinessDelay)
 	r.setOutOfRotation(e.Name, true)
-	r.removeEntry(e)
+	r.removeEntryVM(e)
 	select {
 	case <-e.Done():
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	return r.addEntry(ctx, e.Name+"-new", e.Domain)
+	return r.addEntryVM(ctx, e.Name+"-new", e.Domain)
 }
 
-// operatorRace publishes two configurations with the same base concurrently, for
-// raceRounds rounds. After each round it waits until every entry VM uses the one that
-// was accepted.
-func operatorRace(ctx context.Context, r *run) error {
+// runOperatorRace publishes two configurations with the same base concurrently,
+// and repeats this for raceRounds rounds. After each round it waits until every
+// entry VM uses the configuration that was accepted.
+func runOperatorRace(ctx context.Context, r *scenarioRun) error {
 	for round := range raceRounds {
 		store, err := configuration.Load(ctx, r.cluster.Log)
 		if err != nil {
@@ -235,9 +236,9 @@
 	return nil
 }
 
-// publishConcurrently publishes two configurations with the same base and counts
-// the accepted and the conflicting ones.
-func (r *run) publishConcurrently(ctx context.Context, base configuration.Version, round int) error {
+// publishConcurrently publishes two configurations with the same base. It counts
+// those that were accepted and those that were refused because of a conflict.
+func (r *scenarioRun) publishConcurrently(ctx context.Context, base configuration.Version, round int) error {
 	var group sync.WaitGroup
 	for operator := range 2 {
 		group.Go(func() {
@@ -262,13 +263,13 @@
 
 // waitConfiguration waits until every entry VM uses the newest configuration and
 // records the time that it took.
-func (r *run) waitConfiguration(ctx context.Context) error {
+func (r *scenarioRun) waitConfiguration(ctx context.Context) error {
 	began := time.Now()
 	store, err := configuration.Load(ctx, r.cluster.Log)
 	if err != nil {
 		return err
 	}
-	for _, e := range r.cluster.Entries {
+	for _, e := range r.cluster.EntryVMs {
 		for {
 			offset, err := r.cluster.ConfigurationOffset(ctx, e)
 			if err == nil && offset >= store.Current().Offset {
@@ -284,14 +285,14 @@
 	return nil
 }
 
-// badWorker makes every attempt on a random worker fail.
-func badWorker(ctx context.Context, r *run) error {
+// failAttemptsOnWorker makes every attempt on a random worker fail.
+func failAttemptsOnWorker(ctx context.Context, r *scenarioRun) error {
 	workers := r.cluster.Deployment.Workers()
 	return r.cluster.SetWorkerFault(ctx, workers[r.random.IntN(len(workers))].Name, standin.WorkerFault{FailAll: true})
 }
 
-// cancelWave makes most callers cancel their requests for cancelWaveTime.
-func cancelWave(_ context.Context, r *run) error {
+// runCancelWave makes most callers cancel their requests for cancelWaveTime.
+func runCancelWave(_ context.Context, r *scenarioRun) error {
 	setProbability := func(probability float64) {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
@@ -303,9 +304,9 @@
 	return nil
 }
 
-// silentConnection makes a random worker accept connections but not respond for
+// silenceWorker makes a random worker accept connections but not respond for
 // silenceTime.
-func silentConnection(ctx context.Context, r *run) error {
+func silenceWorker(ctx context.Context, r *scenarioRun) error {
 	workers := r.cluster.Deployment.Workers()
 	name := workers[r.random.IntN(len(workers))].Name
 	if err := r.cluster.SetWorkerFault(ctx, name, standin.WorkerFault{Silent: true}); err != nil {
--- a/internal/emulate/load/slope.go
+++ b/internal/emulate/load/slope.go
@@ -17,8 +17,8 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// clusterSize is a cluster size and request rate at which the control cost is
-// measured.
+// clusterSize is the size of a cluster and the rate of requests to it for one
+// measurement of the control cost.
 type clusterSize struct {
 	workers, entryVMs int
 	requestsPerSecond float64
@@ -34,15 +34,16 @@
 const (
 	// slopeSettleTime is the pause between the start of the load and the measurement.
 	slopeSettleTime = 1500 * time.Millisecond
-	// slopeMeasureTime is the length of a measurement. It covers at least one period
-	// of every periodic call.
+	// slopeMeasureTime is the length of a measurement. Every periodic call is made
+	// at least once in this time.
 	slopeMeasureTime = 8 * time.Second
 	// maxParallelMeasurements is the number of clusters that are measured at once.
 	maxParallelMeasurements = 3
 )
 
-// Sample is the mean control cost of an entry VM at one cluster size.
-type Sample struct {
+// CostSample is the control cost at one cluster size, as the mean of the entry
+// VMs.
+type CostSample struct {
 	WorkersPerEntry float64 `json:"workers_per_entry"`
 	PeersInDomain   float64 `json:"peers_in_domain"`
 	StartsPerSecond float64 `json:"starts_per_second"`
@@ -61,30 +62,31 @@
 	LargestPredicted float64 `json:"largest_predicted"`
 }
 
-// SlopeReport holds the measured control costs and a model of each kind.
-type SlopeReport struct {
-	Scenario string      `json:"scenario"`
-	Samples  []Sample    `json:"samples"`
-	Bytes    LinearModel `json:"bytes_per_second"`
-	Core     LinearModel `json:"core_percent"`
-	Resident LinearModel `json:"resident_bytes"`
+// CostReport holds the measured control costs and a linear model for each kind
+// of cost.
+type CostReport struct {
+	Scenario       string       `json:"scenario"`
+	Samples        []CostSample `json:"samples"`
+	BytesPerSecond LinearModel  `json:"bytes_per_second"`
+	CorePercent    LinearModel  `json:"core_percent"`
+	ResidentBytes  LinearModel  `json:"resident_bytes"`
 }
 
-// MeasureSlope measures the control cost at several cluster sizes and fits linear
-// models to it. A model's slopes are the costs of one more worker, peer or start per
-// second.
-func MeasureSlope(ctx context.Context, o Options) (SlopeReport, error) {
+// MeasureControlCost measures the control cost at several cluster sizes and fits
+// a linear model to each kind of cost. The coefficients of a model are the costs
+// of one more worker, one more peer and one more start per second.
+func MeasureControlCost(ctx context.Context, o Options) (CostReport, error) {
 	temporary, err := os.MkdirTemp("", "almondpost-slope")
 	if err != nil {
-		return SlopeReport{}, err
+		return CostReport{}, err
 	}
 	defer func() { _ = os.RemoveAll(temporary) }()
 	programs, err := cluster.Build(ctx, o.Root, temporary)
 	if err != nil {
-		return SlopeReport{}, err
+		return CostReport{}, err
 	}
-	report := SlopeReport{Scenario: "slope"}
-	report.Samples = make([]Sample, len(clusterSizes))
+	report := CostReport{Scenario: "slope"}
+	report.Samples = make([]CostSample, len(clusterSizes))
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(maxParallelMeasurements)
 	for i, p := range clusterSizes {
@@ -93,44 +95,44 @@
 			if err != nil {
 				return err
 			}
-			report.Samples[i], err = measureSize(ctx, programs, folder, p, o.Seed)
+			report.Samples[i], err = measureCostAtSize(ctx, programs, folder, p, o.Seed)
 			return err
 		})
 	}
 	if err := group.Wait(); err != nil {
 		return report, fault.New("slope", KindFailed, err)
 	}
-	report.Bytes = fitModel(report.Samples, func(s Sample) float64 { return s.BytesPerSecond })
-	report.Core = fitModel(report.Samples, func(s Sample) float64 { return s.CorePercent })
-	report.Resident = fitModel(report.Samples, func(s Sample) float64 { return s.ResidentBytes })
+	report.BytesPerSecond = fitModel(report.Samples, func(s CostSample) float64 { return s.BytesPerSecond })
+	report.CorePercent = fitModel(report.Samples, func(s CostSample) float64 { return s.CorePercent })
+	report.ResidentBytes = fitModel(report.Samples, func(s CostSample) float64 { return s.ResidentBytes })
 	return report, nil
 }
 
-// measureSize starts a cluster of one size and measures its mean control cost.
-func measureSize(ctx context.Context, programs cluster.Programs, folder string, size clusterSize, seed uint64) (Sample, error) {
+// measureCostAtSize starts a cluster of one size and measures its mean control cost.
+func measureCostAtSize(ctx context.Context, programs cluster.Programs, folder string, size clusterSize, seed uint64) (CostSample, error) {
 	d, err := deployment.Load(examples.Files, "hearthmark")
 	if err != nil {
-		return Sample{}, err
+		return CostSample{}, err
 	}
 	d.Domains, d.EntryVMs = d.Domains[:2], size.entryVMs
 	d.Pools = d.Pools[:1]
 	d.Pools[0].Workers = size.workers
 	c, err := cluster.Start(ctx, programs, d, cluster.Options{Folder: folder})
 	if err != nil {
-		return Sample{}, err
+		return CostSample{}, err
 	}
 	defer c.Close()
-	r := &run{cluster: c, outOfRotation: map[string]bool{}, random: rand.New(rand.NewPCG(seed, seed))}
+	r := &scenarioRun{cluster: c, outOfRotation: map[string]bool{}, random: rand.New(rand.NewPCG(seed, seed))}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if size.requestsPerSecond > 0 {
 		go r.sendConstantLoad(ctx, size.requestsPerSecond)
 	}
 	time.Sleep(slopeSettleTime)
-	before, began := r.usageByEntry(ctx), time.Now()
+	before, began := r.usageByEntryVM(ctx), time.Now()
 	time.Sleep(slopeMeasureTime)
-	after, elapsed := r.usageByEntry(ctx), time.Since(began).Seconds()
-	s := Sample{
+	after, elapsed := r.usageByEntryVM(ctx), time.Since(began).Seconds()
+	s := CostSample{
 		WorkersPerEntry: float64(size.workers) / float64(size.entryVMs),
 		PeersInDomain:   float64(size.entryVMs)/float64(len(d.Domains)) - 1,
 		StartsPerSecond: size.requestsPerSecond / float64(size.entryVMs),
@@ -146,8 +148,8 @@
 }
 
 // sendConstantLoad sends small requests at a constant rate until ctx ends.
-func (r *run) sendConstantLoad(ctx context.Context, perSecond float64) {
-	g := Group{
+func (r *scenarioRun) sendConstantLoad(ctx context.Context, perSecond float64) {
+	g := RequestGroup{
 		Customer: "hearthmark", Plan: "snag-sorting", Class: plan.Urgent, Repeatable: true, RunTime: 300 * time.Millisecond,
 		Size: resource.Vector{Milliprocessors: 1000, MemoryMebibytes: 1024, Slots: 1, Connections: 1},
 	}
@@ -164,10 +166,10 @@
 }
 
 // fitModel fits a linear model to one value of the samples by least squares. It
-// returns the zero model when the problem has no solution.
-func fitModel(samples []Sample, value func(s Sample) float64) LinearModel {
-	const unknowns = 4
-	a := mat.NewDense(len(samples), unknowns, nil)
+// returns the zero model when the equations have no solution.
+func fitModel(samples []CostSample, value func(s CostSample) float64) LinearModel {
+	const coefficientCount = 4
+	a := mat.NewDense(len(samples), coefficientCount, nil)
 	b := mat.NewVecDense(len(samples), nil)
 	for i, s := range samples {
 		a.SetRow(i, []float64{1, s.WorkersPerEntry, s.PeersInDomain, s.StartsPerSecond})
@@ -186,9 +188,9 @@
 	return f
 }
 
-// Predict returns the modelled cost of an entry VM. workers is the number of its
-// workers, peers that of the other entry VMs in its failure domain, and starts the
-// rate of its starts per second.
+// Predict returns the cost of an entry VM according to the model. workers is the
+// number of its workers, peers is the number of other entry VMs in its failure
+// domain, and starts is the number of tasks that it starts per second.
 func (f LinearModel) Predict(workers, peers, starts float64) float64 {
 	return f.Base + f.PerWorker*workers + f.PerPeer*peers + f.PerStart*starts
 }
--- a/internal/emulate/memory/store.go
+++ b/internal/emulate/memory/store.go
@@ -33,20 +33,20 @@
 	records []store.Record
 	// firstOffset is the offset of the first element of records.
 	firstOffset int64
-	// producers holds the last append of each producer by its name.
-	producers map[string]producer
+	// producers maps the name of each producer to its last append.
+	producers map[string]producerState
 	// newestByKey holds the newest record of each key, including records that are
 	// no longer in records.
 	newestByKey map[string]store.Record
 }
 
-// producer is the last append of one producer, with which Append detects retries
-// and producers of older epochs.
-type producer struct {
+// producerState describes the last append of one producer. Append uses it to
+// recognize retries and to refuse older epochs of the producer.
+type producerState struct {
 	epoch, sequence int64
-	// lastEnd is the end of the partition after the last append; a retry of the
-	// append returns it again.
-	lastEnd int64
+	// lastEndOffset is the end of the partition after the last append. A retry of
+	// that append returns the same end.
+	lastEndOffset int64
 }
 
 // New returns an empty store.
@@ -59,13 +59,13 @@
 func (s *Store) logOf(t store.Topic, part int) *partitionLog {
 	p := partitionKey{t, part}
 	if s.logs[p] == nil {
-		s.logs[p] = &partitionLog{producers: map[string]producer{}, newestByKey: map[string]store.Record{}}
+		s.logs[p] = &partitionLog{producers: map[string]producerState{}, newestByKey: map[string]store.Record{}}
 	}
 	return s.logs[p]
 }
 
-// end returns the offset that the next record gets.
-func (l *partitionLog) end() int64 { return l.firstOffset + int64(len(l.records)) }
+// endOffset returns the offset that the next record gets.
+func (l *partitionLog) endOffset() int64 { return l.firstOffset + int64(len(l.records)) }
 
 // Append appends records to a partition and returns the end of the partition. A
 // retry of a producer's last append returns the same end and appends nothing. The
@@ -75,8 +75,8 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	l := s.logOf(a.Topic, a.Part)
-	if a.Condition.Set && l.end() != a.Condition.End {
-		return 0, fault.Newf("append", store.KindConflict, "the partition ends at offset %d", l.end())
+	if a.Condition.Set && l.endOffset() != a.Condition.End {
+		return 0, fault.Newf("append", store.KindConflict, "the partition ends at offset %d", l.endOffset())
 	}
 	if p := a.Producer; p != nil {
 		last, known := l.producers[p.Name]
@@ -84,22 +84,22 @@
 		case known && p.Epoch < last.epoch:
 			return 0, fault.Newf("append", store.KindFenced, "the producer has already appended with epoch %d", last.epoch)
 		case known && p.Epoch == last.epoch && p.Sequence == last.sequence:
-			return last.lastEnd, nil
+			return last.lastEndOffset, nil
 		case known && p.Epoch == last.epoch && p.Sequence != last.sequence+1:
 			return 0, fault.Newf("append", store.KindConflict, "the producer's next sequence number is %d", last.sequence+1)
 		}
 	}
 	for _, r := range a.Records {
-		r.Offset = l.end()
+		r.Offset = l.endOffset()
 		l.records = append(l.records, r)
 		l.newestByKey[r.Key] = r
 	}
 	if p := a.Producer; p != nil {
-		l.producers[p.Name] = producer{p.Epoch, p.Sequence, l.end()}
+		l.producers[p.Name] = producerState{p.Epoch, p.Sequence, l.endOffset()}
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
-	return l.end(), nil
+	return l.endOffset(), nil
 }
 
 // Drop removes all records of a partition, as the platform does when their retention
@@ -108,7 +108,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	l := s.logOf(t, part)
-	l.firstOffset, l.records = l.end(), nil
+	l.firstOffset, l.records = l.endOffset(), nil
 }
 
 // Records returns the records of a partition that have not been dropped.
@@ -119,8 +119,8 @@
 }
 
 // read returns the records from r.From to the end without waiting, and the
-// channel that is closed on the next append. The error is KindDropped when r.From
-// is before the first record kept.
+// channel that is closed on the next append. The error is KindDropped when the
+// record at r.From has been dropped.
 func (s *Store) read(r store.Read) (store.Batch, chan struct{}, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -129,7 +129,7 @@
 		return store.Batch{}, nil, fault.Newf("read", store.KindDropped, "the partition begins at offset %d", l.firstOffset)
 	}
 	from := min(r.From-l.firstOffset, int64(len(l.records)))
-	return store.Batch{Records: append([]store.Record(nil), l.records[from:]...), Next: l.end()}, s.changed, nil
+	return store.Batch{Records: append([]store.Record(nil), l.records[from:]...), Next: l.endOffset()}, s.changed, nil
 }
 
 // Link is one VM's connection to a Store. Tests use it to inject faults.
@@ -141,7 +141,8 @@
 	// refusedPartitions are the partitions, in every topic, whose calls fail with
 	// KindRefused.
 	refusedPartitions map[int]bool
-	// answersToLose is the number of following appends whose answers are lost.
+	// answersToLose is the number of upcoming appends whose answers are to be
+	// lost.
 	answersToLose int
 	// appendDelays delays the appends to a topic, in addition to callDelay.
 	appendDelays map[store.Topic]time.Duration
@@ -149,7 +150,8 @@
 	callDelay time.Duration
 }
 
-// NewLink returns a connection without faults.
+// NewLink returns a connection to a store. No faults are injected until a method
+// of the Link sets them.
 func NewLink(s *Store) *Link {
 	return &Link{Store: s, appendDelays: map[store.Topic]time.Duration{}, refusedPartitions: map[int]bool{}}
 }
@@ -249,8 +251,8 @@
 	return true
 }
 
-// Read implements store.Store. It returns no records when there are none after
-// r.Wait.
+// Read implements store.Store. The batch is empty if there are no records even
+// after r.Wait.
 func (l *Link) Read(ctx context.Context, r store.Read) (store.Batch, error) {
 	deadline := time.Now().Add(r.Wait)
 	for {
@@ -279,7 +281,7 @@
 	l.Store.mutex.Lock()
 	defer l.Store.mutex.Unlock()
 	partition := l.Store.logOf(t, part)
-	s := store.Snapshot{End: partition.end()}
+	s := store.Snapshot{End: partition.endOffset()}
 	for _, key := range slices.Sorted(maps.Keys(partition.newestByKey)) {
 		if r := partition.newestByKey[key]; len(r.Value) > 0 {
 			s.Records = append(s.Records, r)
--- a/internal/emulate/standin/log.go
+++ b/internal/emulate/standin/log.go
@@ -1,7 +1,8 @@
-// Package standin implements in-memory stand-ins for the platform's services: the
-// log service, the VM list and worker VMs. Tests, the quickstart and the load
-// program use them in place of the platform. They serve the same HTTP protocols,
-// and a control interface under /control that injects faults and reads records.
+// Package standin implements in-memory stand-ins for the platform's services:
+// the log service, the VM list and worker VMs. Tests, the quickstart and the
+// load program use them in place of the platform. They serve the same HTTP
+// protocols as the platform. Under the path /control they also let tests inject
+// faults and read what the stand-ins have recorded.
 package standin
 
 import (
@@ -33,7 +34,7 @@
 	outage bool
 	// loseReplies makes appends take effect and then fail.
 	loseReplies bool
-	appends     uint64
+	appendCount uint64
 }
 
 // stream is one stream of the log. Offsets start at 1.
@@ -81,7 +82,7 @@
 	if excess := len(s.records) - l.retainedRecords; excess > 0 {
 		s.records = append([]logservice.Record(nil), s.records[excess:]...)
 	}
-	l.appends++
+	l.appendCount++
 	close(s.changed)
 	s.changed = make(chan struct{})
 	if l.loseReplies {
@@ -90,8 +91,8 @@
 	return first, nil
 }
 
-// Read implements logservice.Log. It waits for records after the given offset for
-// at most wait and maxReadWait.
+// Read implements logservice.Log. If there are no records after the given
+// offset, it waits for some, for at most the shorter of wait and maxReadWait.
 func (l *Log) Read(ctx context.Context, name string, after uint64, limit int, wait time.Duration) (logservice.ReadReply, error) {
 	deadline := time.NewTimer(min(wait, maxReadWait))
 	defer deadline.Stop()
@@ -130,11 +131,11 @@
 	return reply, s.changed, nil
 }
 
-// Appends returns the number of append calls that took effect.
-func (l *Log) Appends() uint64 {
+// AppendCount returns the number of append calls that took effect.
+func (l *Log) AppendCount() uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.appends
+	return l.appendCount
 }
 
 // LogFault is the set of faults to simulate; the zero value means none.
@@ -158,8 +159,8 @@
 
 // LogStatus is the response of the control interface to /control/status.
 type LogStatus struct {
-	// Appends is the number of append calls that took effect.
-	Appends uint64 `json:"appends"`
+	// AppendCount is the number of append calls that took effect.
+	AppendCount uint64 `json:"appends"`
 }
 
 // Handler returns the HTTP handler of the log service and its control interface.
@@ -175,7 +176,7 @@
 		return f, nil
 	}))
 	r.Get("/control/status", func(w http.ResponseWriter, _ *http.Request) {
-		jsonhttp.Write(w, http.StatusOK, LogStatus{Appends: l.Appends()})
+		jsonhttp.Write(w, http.StatusOK, LogStatus{AppendCount: l.AppendCount()})
 	})
 	return r
 }
--- a/internal/emulate/standin/main.go
+++ b/internal/emulate/standin/main.go
@@ -19,14 +19,14 @@
 // FileSettings is the content of the stand-in program's settings file. Each role
 // uses only its own field.
 type FileSettings struct {
-	// VMs are the initial rows of the VM list, for the role vms.
+	// VMs are the initial entries of the VM list, for the role vms.
 	VMs []vmlist.VM `json:"vms"`
 	// Workers are the workers to emulate, for the role workers.
 	Workers []WorkerSettings `json:"workers"`
 }
 
-// Started is the JSON line that the program prints once it accepts connections.
-type Started struct {
+// StartedMessage is the JSON line that the program prints once it accepts connections.
+type StartedMessage struct {
 	// Address is the listen address of the log service or the VM list. For the role
 	// workers it is that of the control interface.
 	Address netip.AddrPort `json:"address"`
@@ -53,7 +53,7 @@
 	if err := f.Parse(args); err != nil {
 		return exitUsage
 	}
-	var s Server
+	var s ServerGroup
 	defer s.Close()
 	started, err := startRole(&s, *role, *listen, *file, *retained)
 	if err != nil {
@@ -69,27 +69,27 @@
 }
 
 // startRole starts the servers of a role and returns their addresses.
-func startRole(s *Server, role, listen, file string, retained int) (Started, error) {
+func startRole(s *ServerGroup, role, listen, file string, retained int) (StartedMessage, error) {
 	address, err := netip.ParseAddrPort(listen)
 	if err != nil {
-		return Started{}, err
+		return StartedMessage{}, err
 	}
 	var settings FileSettings
 	if file != "" {
 		data, err := os.ReadFile(file)
 		if err != nil {
-			return Started{}, err
+			return StartedMessage{}, err
 		}
 		if err := plan.DecodeStrict(data, &settings); err != nil {
-			return Started{}, err
+			return StartedMessage{}, err
 		}
 	}
-	var started Started
+	var started StartedMessage
 	switch role {
 	case "log":
 		started.Address, err = s.Serve(address, NewLog(retained).Handler())
 	case "vms":
-		started.Address, err = s.Serve(address, NewVMs(settings.VMs).Handler())
+		started.Address, err = s.Serve(address, NewVMList(settings.VMs).Handler())
 	case "workers":
 		var fleet *Fleet
 		if fleet, started.Workers, err = NewFleet(s, settings.Workers); err == nil {
--- a/internal/emulate/standin/serve.go
+++ b/internal/emulate/standin/serve.go
@@ -23,8 +23,8 @@
 	Listen netip.AddrPort `json:"listen"`
 }
 
-// Server runs one HTTP server for each handler until it is closed.
-type Server struct {
+// ServerGroup runs one HTTP server for each handler until it is closed.
+type ServerGroup struct {
 	servers []*http.Server
 }
 
@@ -32,7 +32,7 @@
 
 // Serve starts to serve a handler in the background and returns the listen
 // address. It returns an error when it cannot listen.
-func (s *Server) Serve(listen netip.AddrPort, handler http.Handler) (netip.AddrPort, error) {
+func (s *ServerGroup) Serve(listen netip.AddrPort, handler http.Handler) (netip.AddrPort, error) {
 	l, err := net.Listen("tcp", listen.String())
 	if err != nil {
 		return netip.AddrPort{}, err
@@ -44,7 +44,7 @@
 }
 
 // Close stops every server without waiting for open requests.
-func (s *Server) Close() {
+func (s *ServerGroup) Close() {
 	for _, h := range s.servers {
 		_ = h.Close()
 	}
@@ -56,9 +56,9 @@
 	Workers map[string]*Worker
 }
 
-// NewFleet starts a worker for each row and returns the fleet and the listen
-// addresses of the workers by name.
-func NewFleet(s *Server, rows []WorkerSettings) (*Fleet, map[string]netip.AddrPort, error) {
+// NewFleet starts a worker for each of the given settings. It returns the fleet
+// and a map from the names of the workers to their listen addresses.
+func NewFleet(s *ServerGroup, rows []WorkerSettings) (*Fleet, map[string]netip.AddrPort, error) {
 	f := &Fleet{Workers: map[string]*Worker{}}
 	addresses := map[string]netip.AddrPort{}
 	for _, r := range rows {
@@ -72,9 +72,9 @@
 	return f, addresses, nil
 }
 
-// FleetFault is the request of the control interface to set the faults of one
-// worker.
-type FleetFault struct {
+// WorkerFaultRequest is the body of a control request that sets the faults of
+// one worker.
+type WorkerFaultRequest struct {
 	Worker string      `json:"worker"`
 	Fault  WorkerFault `json:"fault"`
 }
@@ -94,7 +94,7 @@
 	r.Get("/control/history", func(w http.ResponseWriter, _ *http.Request) {
 		jsonhttp.Write(w, http.StatusOK, f.Histories())
 	})
-	r.Post("/control/fault", jsonhttp.Handler(func(_ context.Context, q FleetFault) (FleetFault, error) {
+	r.Post("/control/fault", jsonhttp.Handler(func(_ context.Context, q WorkerFaultRequest) (WorkerFaultRequest, error) {
 		w, ok := f.Workers[q.Worker]
 		if !ok {
 			return q, &jsonhttp.StatusError{Code: http.StatusNotFound, Message: "no such worker"}
--- a/internal/emulate/standin/vms.go
+++ b/internal/emulate/standin/vms.go
@@ -13,20 +13,20 @@
 	"github.com/almondpost/almondpost/internal/peer/vmlist"
 )
 
-// VMs is an in-memory VM list. It is safe for concurrent use.
-type VMs struct {
+// VMList is an in-memory VM list. It is safe for concurrent use.
+type VMList struct {
 	mutex sync.Mutex
 	rows  map[string]vmlist.VM
 	// names holds the keys of rows in the order in which they were added.
 	names  []string
 	outage bool
-	// version increases with each change of a row.
+	// version increases with each change of an entry.
 	version uint64
 }
 
-// NewVMs returns a VM list with the given rows.
-func NewVMs(rows []vmlist.VM) *VMs {
-	v := &VMs{rows: map[string]vmlist.VM{}}
+// NewVMList returns a VM list with the given entries.
+func NewVMList(rows []vmlist.VM) *VMList {
+	v := &VMList{rows: map[string]vmlist.VM{}}
 	for _, r := range rows {
 		v.Set(r)
 	}
@@ -34,7 +34,7 @@
 }
 
 // Set adds a VM or replaces the VM of the same name.
-func (v *VMs) Set(r vmlist.VM) {
+func (v *VMList) Set(r vmlist.VM) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if _, ok := v.rows[r.Name]; !ok {
@@ -44,8 +44,8 @@
 	v.version++
 }
 
-// Version returns a number that increases with each change of a row.
-func (v *VMs) Version() uint64 {
+// Version returns a number that increases with each change of an entry.
+func (v *VMList) Version() uint64 {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.version
@@ -53,7 +53,7 @@
 
 // List implements vmlist.Lister. It returns the VMs of a failure domain, or all
 // VMs when domain is empty, in the order in which they were added.
-func (v *VMs) List(_ context.Context, domain string) (vmlist.List, error) {
+func (v *VMList) List(_ context.Context, domain string) (vmlist.List, error) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if v.outage {
@@ -68,8 +68,8 @@
 	return l, nil
 }
 
-// VMsFault is the set of faults to simulate; the zero value means none.
-type VMsFault struct {
+// VMListFault is the set of faults to simulate; the zero value means none.
+type VMListFault struct {
 	// Outage makes every read of the list fail.
 	Outage bool `json:"outage"`
 }
@@ -82,7 +82,7 @@
 
 // MarkLeaving applies a LeavingRequest. It returns a StatusError with status 404
 // when the VM is not on the list.
-func (v *VMs) MarkLeaving(q LeavingRequest) error {
+func (v *VMList) MarkLeaving(q LeavingRequest) error {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	r, ok := v.rows[q.Name]
@@ -97,12 +97,12 @@
 
 // LeavingReply is the response to a LeavingRequest.
 type LeavingReply struct {
-	// Shown is when the list was changed.
-	Shown time.Time `json:"shown"`
+	// ShownAt is when the list was changed.
+	ShownAt time.Time `json:"shown"`
 }
 
 // Handler returns the HTTP handler of the VM list and its control interface.
-func (v *VMs) Handler() http.Handler {
+func (v *VMList) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/v1/vms", func(w http.ResponseWriter, q *http.Request) {
 		l, err := v.List(q.Context(), q.URL.Query().Get("domain"))
@@ -118,7 +118,7 @@
 		w.Header().Set("ETag", tag)
 		jsonhttp.Write(w, http.StatusOK, l)
 	})
-	r.Post("/control/fault", jsonhttp.Handler(func(_ context.Context, f VMsFault) (VMsFault, error) {
+	r.Post("/control/fault", jsonhttp.Handler(func(_ context.Context, f VMListFault) (VMListFault, error) {
 		v.mutex.Lock()
 		defer v.mutex.Unlock()
 		v.outage = f.Outage
@@ -130,7 +130,7 @@
 	}))
 	r.Post("/control/leaving", jsonhttp.Handler(func(_ context.Context, q LeavingRequest) (LeavingReply, error) {
 		err := v.MarkLeaving(q)
-		return LeavingReply{Shown: time.Now()}, err
+		return LeavingReply{ShownAt: time.Now()}, err
 	}))
 	return r
 }
--- a/internal/emulate/standin/worker.go
+++ b/internal/emulate/standin/worker.go
@@ -15,9 +15,9 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// Work is the JSON payload for stand-in workers. If a payload cannot be decoded, the
+// WorkPayload is the JSON payload for stand-in workers. If a payload cannot be decoded, the
 // attempt runs for its declared run time and succeeds.
-type Work struct {
+type WorkPayload struct {
 	// RunMilliseconds is the actual run time; the declared one may differ.
 	RunMilliseconds int64 `json:"run_milliseconds"`
 	// Nonce is returned in the answer, so that callers can check that the answer
@@ -41,13 +41,13 @@
 	endedRetention = 10 * time.Minute
 	// maxSyncWait limits how long one Sync waits for ended attempts.
 	maxSyncWait = 30 * time.Second
-	// checkpointTime is how long a checkpoint takes before the attempt is stopped.
-	checkpointTime = 50 * time.Millisecond
+	// checkpointDuration is how long a checkpoint takes before the attempt is stopped.
+	checkpointDuration = 50 * time.Millisecond
 )
 
-// Run is one started attempt in a worker's history. Tests and the load program
+// AttemptRun is one started attempt in a worker's history. Tests and the load program
 // compare the history with the outcomes that callers received.
-type Run struct {
+type AttemptRun struct {
 	Attempt    string    `json:"attempt"`
 	Worker     string    `json:"worker"`
 	Plan       string    `json:"plan"`
@@ -65,10 +65,10 @@
 type History struct {
 	Worker   string          `json:"worker"`
 	Capacity resource.Vector `json:"capacity"`
-	Runs     []Run           `json:"runs"`
-	// Overfilled counts the starts after which the declared sizes of the running
+	Runs     []AttemptRun    `json:"runs"`
+	// OverfilledStarts counts the starts after which the declared sizes of the running
 	// attempts exceeded the capacity.
-	Overfilled int `json:"overfilled"`
+	OverfilledStarts int `json:"overfilled"`
 }
 
 // Worker is one stand-in worker VM. It implements worker.Peer and is safe for
@@ -79,26 +79,28 @@
 	capacity resource.Vector
 
 	mutex sync.Mutex
-	// token is the highest fencing token that has adopted the worker.
+	// token is the fencing token of the last accepted Adopt. It is the highest one
+	// so far, because Adopt refuses lower ones.
 	token worker.Token
-	// leaseEnd is zero before the first adoption.
+	// leaseEnd is when the lease lapses. It is zero before the first adoption.
 	leaseEnd time.Time
 	// records holds running and recently ended attempts by their ID.
-	records map[string]*record
-	// sequence numbers the phase changes of all attempts.
-	sequence uint64
+	records map[string]*attemptState
+	// lastSequence is the sequence number of the latest phase change. All attempts
+	// share one sequence.
+	lastSequence uint64
 	// used is the total declared size of the running attempts.
 	used resource.Vector
 	// changed is closed and replaced on each change, to wake waiting Syncs.
-	changed    chan struct{}
-	history    []Run
-	overfilled int
-	failAll    bool
-	silent     bool
+	changed          chan struct{}
+	history          []AttemptRun
+	overfilledStarts int
+	failAll          bool
+	silent           bool
 }
 
-// record is the state of one attempt.
-type record struct {
+// attemptState is the state of one attempt.
+type attemptState struct {
 	worker.Record
 	// timer ends the attempt after its run time.
 	timer *time.Timer
@@ -107,8 +109,8 @@
 	endedAt      time.Time
 }
 
-// summary returns the record with its attempt reduced to the ID.
-func (r *record) summary() worker.Record {
+// summary returns the record for a reply. Its attempt contains only the ID.
+func (r *attemptState) summary() worker.Record {
 	b := r.Record
 	b.Attempt = worker.Attempt{ID: r.Attempt.ID}
 	return b
@@ -116,11 +118,11 @@
 
 // NewWorker returns an idle worker.
 func NewWorker(name, rack string, capacity resource.Vector) *Worker {
-	return &Worker{name: name, rack: rack, capacity: capacity, records: map[string]*record{}, changed: make(chan struct{})}
+	return &Worker{name: name, rack: rack, capacity: capacity, records: map[string]*attemptState{}, changed: make(chan struct{})}
 }
 
-// notifyWaiters wakes all waiting Syncs. The caller holds the mutex, as for every
-// unexported method of Worker except pollRecords and isSilent.
+// notifyWaiters wakes all waiting Syncs. The caller must hold the mutex. This
+// applies to all unexported methods of Worker except pollRecords and isSilent.
 func (w *Worker) notifyWaiters() {
 	close(w.changed)
 	w.changed = make(chan struct{})
@@ -128,14 +130,14 @@
 
 // setPhase sets the phase of an attempt and gives it the next sequence number. When
 // a running attempt ends, its resources are released.
-func (w *Worker) setPhase(r *record, p worker.Phase, reason string) {
+func (w *Worker) setPhase(r *attemptState, p worker.Phase, reason string) {
 	if r.Phase == worker.Running && p != worker.Running && r.historyIndex >= 0 {
 		w.used = w.used.Sub(r.Attempt.Size)
 		w.history[r.historyIndex].Ended = time.Now()
 		w.history[r.historyIndex].Phase = p
 	}
-	w.sequence++
-	r.Phase, r.Reason, r.Sequence = p, reason, w.sequence
+	w.lastSequence++
+	r.Phase, r.Reason, r.Sequence = p, reason, w.lastSequence
 	if p.Ended() {
 		r.endedAt = time.Now()
 		if r.timer != nil {
@@ -145,7 +147,7 @@
 	w.notifyWaiters()
 }
 
-// expireLease stops all running attempts if the lease has run out.
+// expireLease stops all running attempts if the lease has lapsed.
 func (w *Worker) expireLease() {
 	if w.leaseEnd.IsZero() || time.Now().Before(w.leaseEnd) {
 		return
@@ -167,8 +169,9 @@
 	}
 }
 
-// checkToken returns a StatusError with status 409 unless t is the token that has
-// adopted the worker. It first stops the attempts if the lease has run out.
+// checkToken returns a StatusError with status 409 unless t is the token of the
+// last accepted Adopt. If the lease has lapsed, it first stops the running
+// attempts.
 func (w *Worker) checkToken(t worker.Token) error {
 	w.expireLease()
 	if t != w.token {
@@ -206,7 +209,7 @@
 	w.token = q.Token
 	w.renewLease(q.Lease)
 	w.pruneRecords()
-	reply := worker.AdoptReply{Accepted: true, Current: w.token, Capacity: w.capacity, Rack: w.rack, Sequence: w.sequence}
+	reply := worker.AdoptReply{Accepted: true, Current: w.token, Capacity: w.capacity, Rack: w.rack, Sequence: w.lastSequence}
 	for _, r := range w.records {
 		listed := r.Record
 		listed.Attempt.Payload = nil
@@ -216,9 +219,10 @@
 	return reply, nil
 }
 
-// Start implements worker.Peer. If the attempt is known, it only returns its
-// record. It returns a StatusError with status 409 for another token than the
-// adopting one, and with status 422 when the lease has lapsed.
+// Start implements worker.Peer. If the attempt is known already, it only returns
+// the record of the attempt. It returns a StatusError with status 409 when the
+// token is not that of the last accepted Adopt, and with status 422 when the
+// lease has lapsed.
 func (w *Worker) Start(_ context.Context, q worker.StartRequest) (worker.Record, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -231,13 +235,13 @@
 	if !time.Now().Before(w.leaseEnd) {
 		return worker.Record{}, &jsonhttp.StatusError{Code: http.StatusUnprocessableEntity, Message: "lease lapsed"}
 	}
-	r := &record{Record: worker.Record{Attempt: q.Attempt, Phase: worker.Running}, historyIndex: len(w.history)}
+	r := &attemptState{Record: worker.Record{Attempt: q.Attempt, Phase: worker.Running}, historyIndex: len(w.history)}
 	w.records[q.Attempt.ID] = r
 	w.used = w.used.Add(q.Attempt.Size)
 	if !w.used.Fits(w.capacity) {
-		w.overfilled++
+		w.overfilledStarts++
 	}
-	w.history = append(w.history, Run{
+	w.history = append(w.history, AttemptRun{
 		Attempt: q.Attempt.ID, Worker: w.name, Plan: q.Attempt.Plan, Class: q.Attempt.Class,
 		Repeatable: q.Attempt.Repeatable, Started: time.Now(), Phase: worker.Running,
 		Size: q.Attempt.Size,
@@ -248,10 +252,10 @@
 }
 
 // scheduleEnd starts the timer after which an attempt finishes or fails.
-func (w *Worker) scheduleEnd(r *record) {
-	var work Work
+func (w *Worker) scheduleEnd(r *attemptState) {
+	var work WorkPayload
 	if err := json.Unmarshal(r.Attempt.Payload, &work); err != nil {
-		work = Work{RunMilliseconds: r.Attempt.RunTime.Milliseconds()}
+		work = WorkPayload{RunMilliseconds: r.Attempt.RunTime.Milliseconds()}
 	}
 	fail := work.Fail || w.failAll
 	runTime := time.Duration(work.RunMilliseconds) * time.Millisecond
@@ -278,8 +282,9 @@
 	})
 }
 
-// Sync implements worker.Peer. It renews the lease once and then waits until an
-// attempt after q.After has ended, for at most q.Wait and maxSyncWait.
+// Sync implements worker.Peer. It renews the lease once. Then it waits until
+// there is an ended attempt whose sequence number is above q.After, for at most
+// the shorter of q.Wait and maxSyncWait.
 func (w *Worker) Sync(ctx context.Context, q worker.SyncRequest) (worker.SyncReply, error) {
 	deadline := time.NewTimer(min(q.Wait, maxSyncWait))
 	defer deadline.Stop()
@@ -298,8 +303,9 @@
 	}
 }
 
-// pollRecords returns the records of the attempts that ended after q.After without
-// waiting, and the channel that is closed on the next change.
+// pollRecords returns, without waiting, the records of the ended attempts whose
+// sequence numbers are above q.After. It also returns the channel that is closed
+// on the next change. If renew is set, it renews the lease.
 func (w *Worker) pollRecords(q worker.SyncRequest, renew bool) (worker.SyncReply, <-chan struct{}, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -309,7 +315,7 @@
 	if renew {
 		w.renewLease(q.Lease)
 	}
-	reply := worker.SyncReply{Sequence: w.sequence, Used: w.used}
+	reply := worker.SyncReply{Sequence: w.lastSequence, Used: w.used}
 	for _, r := range w.records {
 		if r.Sequence > q.After && r.Phase.Ended() {
 			reply.Records = append(reply.Records, r.summary())
@@ -323,7 +329,7 @@
 // on a running attempt.
 func (w *Worker) Stop(_ context.Context, q worker.StopRequest) (worker.StopReply, error) {
 	if q.Mode == worker.Checkpoint {
-		time.Sleep(checkpointTime)
+		time.Sleep(checkpointDuration)
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -333,7 +339,7 @@
 	r, ok := w.records[q.Attempt]
 	switch {
 	case !ok:
-		r = &record{Record: worker.Record{Attempt: worker.Attempt{ID: q.Attempt}}, historyIndex: -1}
+		r = &attemptState{Record: worker.Record{Attempt: worker.Attempt{ID: q.Attempt}}, historyIndex: -1}
 		w.records[q.Attempt] = r
 		w.setPhase(r, worker.Fenced, "stopped_before_start")
 	case r.Phase == worker.Running && q.Mode != worker.Throttle:
@@ -369,7 +375,7 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.expireLease()
-	return History{Worker: w.name, Capacity: w.capacity, Runs: append([]Run(nil), w.history...), Overfilled: w.overfilled}
+	return History{Worker: w.name, Capacity: w.capacity, Runs: append([]AttemptRun(nil), w.history...), OverfilledStarts: w.overfilledStarts}
 }
 
 // Handler returns the HTTP handler of the worker protocol.
--- a/internal/node/app/entry.go
+++ b/internal/node/app/entry.go
@@ -30,9 +30,9 @@
 	// gcPercent makes the garbage collector run less often than the default of
 	// 100. An entry VM uses little memory, so this saves processor time.
 	gcPercent = 400
-	// memoryLimitBytes is the soft memory limit of the Go runtime. It is below
-	// what an entry VM may use, so that the garbage collector runs more often
-	// before that is reached.
+	// memoryLimitBytes is the soft memory limit of the Go runtime. It is lower
+	// than the memory that an entry VM may use, so that the garbage collector runs
+	// more often before an entry VM uses that much.
 	memoryLimitBytes = 200 << 20
 )
 
@@ -40,9 +40,9 @@
 // VM accepts connections. It names the listen addresses for callers and for
 // other entry VMs.
 type StartedMessage struct {
-	Name   string         `json:"name"`
-	Caller netip.AddrPort `json:"caller"`
-	Peer   netip.AddrPort `json:"peer"`
+	Name          string         `json:"name"`
+	CallerAddress netip.AddrPort `json:"caller"`
+	PeerAddress   netip.AddrPort `json:"peer"`
 }
 
 // settingsFlags adds the flag that names the settings file and the flags that
@@ -118,7 +118,7 @@
 	if err != nil {
 		return fault.New("entry", KindFailed, err)
 	}
-	line, _ := json.Marshal(StartedMessage{Name: s.Name, Caller: e.address, Peer: e.node.PeerAddress()})
+	line, _ := json.Marshal(StartedMessage{Name: s.Name, CallerAddress: e.address, PeerAddress: e.node.PeerAddress()})
 	_, _ = fmt.Fprintln(c.stdout, string(line))
 	<-ctx.Done()
 	e.shutdown()
--- a/internal/node/app/lists.go
+++ b/internal/node/app/lists.go
@@ -81,7 +81,8 @@
 	return err
 }
 
-// publishTimeout bounds the calls to the log service of one publication.
+// publishTimeout bounds all calls to the log service that one publish command
+// makes.
 const publishTimeout = 30 * time.Second
 
 func runPublish(c *invocation) error {
@@ -103,7 +104,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), publishTimeout)
 	defer cancel()
 	log := logservice.New(a, http.DefaultClient)
-	base, err := baseOffset(ctx, log, *basedOn)
+	base, err := resolveBaseOffset(ctx, log, *basedOn)
 	if err != nil {
 		return err
 	}
@@ -118,11 +119,12 @@
 	return err
 }
 
-// baseOffset returns the offset of the -based-on flag, or that of the newest
-// configuration in the log if the flag is negative.
-func baseOffset(ctx context.Context, log logservice.Log, basedOn int64) (uint64, error) {
-	if basedOn >= 0 {
-		return uint64(basedOn), nil
+// resolveBaseOffset returns the log offset of the configuration that a
+// publication is based on. This is the value of the flag -based-on or, if that
+// is negative, the offset of the newest configuration in the log.
+func resolveBaseOffset(ctx context.Context, log logservice.Log, flagValue int64) (uint64, error) {
+	if flagValue >= 0 {
+		return uint64(flagValue), nil
 	}
 	s, err := configuration.Load(ctx, log)
 	if err != nil {
--- a/internal/node/app/operator.go
+++ b/internal/node/app/operator.go
@@ -14,7 +14,7 @@
 	"github.com/almondpost/almondpost/internal/state/job"
 )
 
-// operatorTimeout bounds the HTTP calls of one operator command.
+// operatorTimeout bounds all HTTP calls that one operator command makes.
 const operatorTimeout = 30 * time.Second
 
 // entryFlag adds the flag with the address of an entry VM. The returned
--- a/internal/node/app/quickstart.go
+++ b/internal/node/app/quickstart.go
@@ -33,7 +33,7 @@
 // and the workers, several entry VMs, and example requests and jobs of
 // customers.
 type quickstart struct {
-	platform      standin.Server
+	platform      standin.ServerGroup
 	entryVMs      []*entryVM
 	output        io.Writer
 	logAddress    netip.AddrPort
@@ -91,7 +91,7 @@
 	for _, w := range rows {
 		vms = append(vms, vmlist.VM{Name: w.Name, Role: vmlist.Worker, Domain: w.Domain, Rack: w.Rack, Address: addresses[w.Name]})
 	}
-	list := standin.NewVMs(vms)
+	list := standin.NewVMList(vms)
 	q.logService = standin.NewLog(standin.DefaultRetainedRecords)
 	if q.logAddress, err = q.platform.Serve(loopback, q.logService.Handler()); err != nil {
 		return err
@@ -148,10 +148,10 @@
 	spec  request.Spec
 }
 
-// newSpec returns a request of a plan that the worker stand-in runs for the
-// given time.
-func newSpec(plan string, class plan.Class, run time.Duration) request.Spec {
-	payload, _ := json.Marshal(standin.Work{RunMilliseconds: run.Milliseconds(), Nonce: plan})
+// newRequestSpec returns a request under a plan. The stand-in worker runs it for
+// the given time.
+func newRequestSpec(plan string, class plan.Class, run time.Duration) request.Spec {
+	payload, _ := json.Marshal(standin.WorkPayload{RunMilliseconds: run.Milliseconds(), Nonce: plan})
 	return request.Spec{
 		Plan: plan, Class: class, Kind: plan, Repeatable: true, RunTimeMilliseconds: run.Milliseconds(), Payload: payload,
 		Size: resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 8192, Slots: 1, Connections: 1},
@@ -159,11 +159,11 @@
 }
 
 func (q *quickstart) runExamples(ctx context.Context) error {
-	letterSpec := newSpec("letters", plan.Normal, 200*time.Millisecond)
+	letterSpec := newRequestSpec("letters", plan.Normal, 200*time.Millisecond)
 	letterSpec.Repeatable, letterSpec.Key = false, ulid.Make().String()
 	requests := []exampleRequest{
-		{"hearthmark, an inspector's snag sort (urgent)", newSpec("snag-sorting", plan.Urgent, 300*time.Millisecond)},
-		{"lumiquote, an installer's fixture count (urgent)", newSpec("fixture-counts", plan.Urgent, 200*time.Millisecond)},
+		{"hearthmark, an inspector's snag sort (urgent)", newRequestSpec("snag-sorting", plan.Urgent, 300*time.Millisecond)},
+		{"lumiquote, an installer's fixture count (urgent)", newRequestSpec("fixture-counts", plan.Urgent, 200*time.Millisecond)},
 		{"hearthmark, a builder letter (not repeatable)", letterSpec},
 		{"hearthmark, the same letter sent again", letterSpec},
 	}
@@ -174,7 +174,7 @@
 	}
 	quotesJob := job.Spec{}
 	for range 6 {
-		quotesJob.Tasks = append(quotesJob.Tasks, newSpec("quotes", plan.Overnight, 500*time.Millisecond))
+		quotesJob.Tasks = append(quotesJob.Tasks, newRequestSpec("quotes", plan.Overnight, 500*time.Millisecond))
 	}
 	if err := q.runJob(ctx, "lumiquote, savings reports (overnight job)", quotesJob); err != nil {
 		return err
--- a/internal/node/app/script_test.go
+++ b/internal/node/app/script_test.go
@@ -24,7 +24,7 @@
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/script",
 		Setup: func(e *testscript.Env) error {
-			s := &standin.Server{}
+			s := &standin.ServerGroup{}
 			log := standin.NewLog(standin.DefaultRetainedRecords)
 			a, err := s.Serve(netip.MustParseAddrPort("127.0.0.1:0"), log.Handler())
 			if err != nil {
@@ -32,7 +32,7 @@
 			}
 			e.Defer(s.Close)
 			e.Setenv("LOG", a.String())
-			e.Values[logKey] = log
+			e.Values[logServiceKey] = log
 			return nil
 		},
 		Cmds: map[string]func(ts *testscript.TestScript, neg bool, args []string){
@@ -41,14 +41,15 @@
 	})
 }
 
-// logKey is the key of the log service in the values of a script.
-const logKey = "log"
+// logServiceKey is the key of a script's log service in the Values of its
+// testscript environment.
+const logServiceKey = "log"
 
 func setOutage(ts *testscript.TestScript, _ bool, args []string) {
 	if len(args) != 1 || args[0] != "on" && args[0] != "off" {
 		ts.Fatalf("usage: outage on|off")
 	}
-	log, ok := ts.Value(logKey).(*standin.Log)
+	log, ok := ts.Value(logServiceKey).(*standin.Log)
 	if !ok {
 		ts.Fatalf("the script has no log service")
 	}
