--- a/internal/emulate/cluster/cluster.go
+++ b/internal/emulate/cluster/cluster.go
@@ -53,13 +53,13 @@
 )
 
 // Programs holds the file paths of the built programs.
-type Programs struct{ Almondpost, Standin string }
+type Programs struct{ AlmondpostPath, StandinPath string }
 
 // Build compiles the programs into a folder. root is the root folder of the module.
 // A compile error is returned with the compiler's output.
 func Build(ctx context.Context, root, outputFolder string) (Programs, error) {
-	p := Programs{Almondpost: filepath.Join(outputFolder, "almondpost"), Standin: filepath.Join(outputFolder, "standin")}
-	for path, source := range map[string]string{p.Almondpost: ".", p.Standin: "./cmd/standin"} {
+	p := Programs{AlmondpostPath: filepath.Join(outputFolder, "almondpost"), StandinPath: filepath.Join(outputFolder, "standin")}
+	for path, source := range map[string]string{p.AlmondpostPath: ".", p.StandinPath: "./cmd/standin"} {
 		c := exec.CommandContext(ctx, "go", "build", "-o", path, source)
 		c.Dir = root
 		if out, err := c.CombinedOutput(); err != nil {
@@ -224,7 +224,7 @@
 		args = append(args, "-settings", path)
 	}
 	var started standin.StartedMessage
-	_, err := c.launch(name, c.programs.Standin, args, &started)
+	_, err := c.launch(name, c.programs.StandinPath, args, &started)
 	return started, err
 }
 
@@ -300,7 +300,7 @@
 		return nil, err
 	}
 	var addresses entryAddresses
-	p, err := c.launch("entry-"+name, c.programs.Almondpost, []string{"entry", "-settings", path}, &addresses)
+	p, err := c.launch("entry-"+name, c.programs.AlmondpostPath, []string{"entry", "-settings", path}, &addresses)
 	if err != nil {
 		return nil, err
 	}
@@ -325,7 +325,7 @@
 }
 
 // WaitReady waits until every live entry VM is ready and they have adopted every
-// worker. It returns KindTimeout after startTimeout.
+// worker. It returns KindTimeout after readyTimeout.
 func (c *Cluster) WaitReady(ctx context.Context) error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
--- a/internal/emulate/cluster/jobs_test.go
+++ b/internal/emulate/cluster/jobs_test.go
@@ -72,7 +72,7 @@
 		for _, r := range h.Runs {
 			name, _, _ := strings.Cut(r.Attempt, "/")
 			for _, other := range byTask[name] {
-				if (other.Ended.IsZero() || other.Ended.After(r.Started)) && (r.Ended.IsZero() || r.Ended.After(other.Started)) {
+				if (other.EndedAt.IsZero() || other.EndedAt.After(r.StartedAt)) && (r.EndedAt.IsZero() || r.EndedAt.After(other.StartedAt)) {
 					n++
 				}
 			}
@@ -187,11 +187,11 @@
 					continue
 				}
 				n++
-				if r.Started.After(lastStart) {
-					lastStart = r.Started
+				if r.StartedAt.After(lastStart) {
+					lastStart = r.StartedAt
 				}
-				if firstEnd.IsZero() || r.Ended.Before(firstEnd) {
-					firstEnd = r.Ended
+				if firstEnd.IsZero() || r.EndedAt.Before(firstEnd) {
+					firstEnd = r.EndedAt
 				}
 			}
 		}
--- a/internal/emulate/fleet/worker.go
+++ b/internal/emulate/fleet/worker.go
@@ -58,8 +58,9 @@
 // Worker with another Registration.Life. It is not safe for concurrent use.
 type Worker struct {
 	Registration backend.Registration
-	// Rate is the speed of the worker's clock relative to the time that callers pass.
-	Rate      float64
+	// ClockRate is the speed of the worker's clock relative to the time that
+	// callers pass.
+	ClockRate float64
 	startedAt time.Time
 	// highestToken is the highest fencing token received; lower ones are refused.
 	highestToken int64
@@ -82,16 +83,17 @@
 // maxLease limits how far beyond the current time an order can extend the lease.
 const maxLease = 6 * time.Second
 
-// New returns a worker that starts at now. rate is the value of Worker.Rate, and
-// profileOf returns how a task behaves. The observer must not be nil.
+// New returns a worker that starts at now. rate is the value of
+// Worker.ClockRate, and profileOf returns how a task behaves. The observer must
+// not be nil.
 func New(r backend.Registration, rate float64, now time.Time, profileOf func(work.TaskID) TaskProfile, o Observer) *Worker {
-	return &Worker{Registration: r, Rate: rate, startedAt: now, running: map[work.TaskID]*taskRun{}, highestRunNumbers: map[work.TaskID]int64{}, profileOf: profileOf, observer: o}
+	return &Worker{Registration: r, ClockRate: rate, startedAt: now, running: map[work.TaskID]*taskRun{}, highestRunNumbers: map[work.TaskID]int64{}, profileOf: profileOf, observer: o}
 }
 
 // Clock returns the time since the worker's start by its own clock, plus 1 ms,
 // because a clock of 0 means unknown in the worker protocol.
 func (w *Worker) Clock(now time.Time) time.Duration {
-	return time.Millisecond + time.Duration(float64(now.Sub(w.startedAt))*w.Rate)
+	return time.Millisecond + time.Duration(float64(now.Sub(w.startedAt))*w.ClockRate)
 }
 
 // Used returns the resources that the running tasks use in total.
--- a/internal/emulate/isolation/isolation.go
+++ b/internal/emulate/isolation/isolation.go
@@ -38,14 +38,14 @@
 	return slices.Contains(c.blocked, name)
 }
 
-// Client wraps an HTTP client. While name is blocked, a call waits until its
+// WrapClient wraps an HTTP client. While name is blocked, a call waits until its
 // context ends and returns the context's error, as if the network dropped every
 // packet. A response that arrives while name is blocked is discarded.
-func (c *Cut) Client(name string, base *http.Client) *http.Client {
+func (c *Cut) WrapClient(name string, base *http.Client) *http.Client {
 	return &http.Client{Transport: transport{c, name, base.Transport}}
 }
 
-// transport is the http.RoundTripper of the clients that Cut.Client returns.
+// transport is the http.RoundTripper of the clients that Cut.WrapClient returns.
 type transport struct {
 	cut  *Cut
 	name string
--- a/internal/emulate/load/call.go
+++ b/internal/emulate/load/call.go
@@ -84,7 +84,7 @@
 			c.requestIDs = append(c.requestIDs, o.ID)
 		}
 		if err == nil {
-			c.classify(o)
+			c.setResult(o)
 			break
 		}
 		c.reason = err.Error()
@@ -94,9 +94,9 @@
 	return c
 }
 
-// classify sets the result from an outcome. The call counts as answered only when
-// the answer is complete and contains the nonce of the call.
-func (c *call) classify(o request.Outcome) {
+// setResult sets the result according to an outcome. The call counts as answered
+// only when the answer is complete and contains the nonce of the call.
+func (c *call) setResult(o request.Outcome) {
 	c.reason = o.Reason
 	switch o.State {
 	case request.Done:
@@ -122,21 +122,21 @@
 func submitOnce(ctx context.Context, e *cluster.EntryVM, s request.Spec, cancel bool) (request.Outcome, error) {
 	base := fmt.Sprintf("http://%s/v1/requests", e.CallerAddress)
 	if !cancel {
-		return send(ctx, http.MethodPost, base, s)
+		return doRequest(ctx, http.MethodPost, base, s)
 	}
-	o, err := send(ctx, http.MethodPost, base+"?wait_milliseconds=0", s)
+	o, err := doRequest(ctx, http.MethodPost, base+"?wait_milliseconds=0", s)
 	if err != nil || o.State.Ended() {
 		return o, err
 	}
 	time.Sleep(cancelDelay)
-	if _, err := send(ctx, http.MethodDelete, base+"/"+o.ID, nil); err != nil {
+	if _, err := doRequest(ctx, http.MethodDelete, base+"/"+o.ID, nil); err != nil {
 		return o, err
 	}
-	return send(ctx, http.MethodGet, base+"/"+o.ID+"?wait_milliseconds=30000", nil)
+	return doRequest(ctx, http.MethodGet, base+"/"+o.ID+"?wait_milliseconds=30000", nil)
 }
 
-// send sends an HTTP request with a JSON body and decodes the outcome.
-func send(ctx context.Context, method, url string, body any) (o request.Outcome, err error) {
+// doRequest sends an HTTP request with a JSON body and decodes the outcome.
+func doRequest(ctx context.Context, method, url string, body any) (o request.Outcome, err error) {
 	var data []byte
 	if body != nil {
 		if data, err = json.Marshal(body); err != nil {
--- a/internal/emulate/load/control.go
+++ b/internal/emulate/load/control.go
@@ -15,7 +15,8 @@
 // processor times in /proc.
 const clockTicksPerSecond = 100
 
-// processUsage holds what the process of an entry VM uses.
+// processUsage holds the processor time, memory and network traffic of an entry
+// VM's process.
 type processUsage struct {
 	// processorTime is the user and system time since the start of the process.
 	processorTime time.Duration
--- a/internal/emulate/load/figures.go
+++ b/internal/emulate/load/figures.go
@@ -39,10 +39,10 @@
 	for _, id := range c.requestIDs {
 		list := runs[id]
 		total += len(list)
-		sort.Slice(list, func(i, j int) bool { return list[i].Started.Before(list[j].Started) })
+		sort.Slice(list, func(i, j int) bool { return list[i].StartedAt.Before(list[j].StartedAt) })
 		for i := 1; i < len(list); i++ {
 			before := list[i-1]
-			if before.Ended.IsZero() || before.Ended.After(list[i].Started) {
+			if before.EndedAt.IsZero() || before.EndedAt.After(list[i].StartedAt) {
 				n++
 			}
 		}
@@ -114,7 +114,7 @@
 // overlapDuration returns how long a run was active between the times from and
 // to.
 func overlapDuration(s standin.AttemptRun, from, to time.Time) time.Duration {
-	began, ended := s.Started, s.Ended
+	began, ended := s.StartedAt, s.EndedAt
 	if ended.IsZero() || ended.After(to) {
 		ended = to
 	}
--- a/internal/emulate/load/load.go
+++ b/internal/emulate/load/load.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// scenarioRun is the state of one scenarioRun of a scenario.
+// scenarioRun is the state of one run of a scenario.
 type scenarioRun struct {
 	cluster   *cluster.Cluster
 	scenario  Scenario
@@ -151,7 +151,8 @@
 	r.outOfRotation[name] = out
 }
 
-// requestRate returns the request requestRate of a group in the calm or the acting phase.
+// requestRate returns the rate of requests from a group in the calm or the
+// acting phase.
 func (r *scenarioRun) requestRate(g RequestGroup, acting bool) float64 {
 	if acting && r.scenario.FloodPlans[r.cluster.Deployment.Name] == g.Plan {
 		return g.PerSecond * floodFactor
--- a/internal/emulate/load/report.go
+++ b/internal/emulate/load/report.go
@@ -27,7 +27,7 @@
 	OverfilledStarts    int   `json:"over_filled"`
 	InvariantViolations int64 `json:"invariant_violations"`
 	// LateStarts counts the starts on a worker that happened more than
-	// leavingGrace after the VM list showed the worker as leaving.
+	// leavingGracePeriod after the VM list showed the worker as leaving.
 	LateStarts int `json:"late_starts_on_leaving"`
 	// LowestUrgentRate is the lowest rate of answers to urgent requests in any two
 	// seconds of the acting phase, as a fraction of their rate in the calm phase.
@@ -85,7 +85,8 @@
 	P99 float64 `json:"p99"`
 }
 
-// Packing is the mean use of the fleet as a fraction of its capacity.
+// Packing holds the mean use of the fleet in the acting phase as a fraction of
+// its capacity.
 type Packing struct {
 	// SlotUse is the fraction of the fleet's slots that is in use.
 	SlotUse float64 `json:"used_over_usable"`
@@ -103,12 +104,13 @@
 	BytesPerSecondMax float64 `json:"bytes_per_second_max"`
 }
 
-// leavingGrace is how long a worker may still get work after the VM list shows it
+// leavingGracePeriod is how long a worker may still get work after the VM list shows it
 // as leaving.
-const leavingGrace = 3 * time.Second
+const leavingGracePeriod = 3 * time.Second
 
-// buildReport evaluates the calls and the workers' histories. The caller adds the
-// seed, the control cost and the counters of the log and the entry VMs.
+// buildReport evaluates the calls and the workers' histories. The caller adds
+// the seed, the control cost, and the counters that it reads from the log
+// service and the entry VMs.
 func (r *scenarioRun) buildReport(histories []standin.History) Report {
 	out := Report{
 		Scenario: r.scenario.Name, Deployment: r.cluster.Deployment.Name, Seconds: time.Since(r.startedAt).Seconds(),
@@ -134,7 +136,7 @@
 		out.OverfilledStarts += h.OverfilledStarts
 		shownAt, leaving := r.measurements.leavingSince[h.Worker]
 		for _, s := range h.Runs {
-			if leaving && s.Started.Sub(shownAt) > leavingGrace {
+			if leaving && s.StartedAt.Sub(shownAt) > leavingGracePeriod {
 				out.LateStarts++
 			}
 		}
--- a/internal/emulate/load/scenario.go
+++ b/internal/emulate/load/scenario.go
@@ -56,8 +56,8 @@
 	return r.cluster.EntryVMs[r.random.IntN(len(r.cluster.EntryVMs))]
 }
 
-// killEntryVM kills a random entry VM, measures how long the others take to adopt its
-// workers, and starts a replacement.
+// killEntryVM kills a random entry VM, measures how long the others take to
+// adopt its workers, and starts a replacement.
 func killEntryVM(ctx context.Context, r *scenarioRun) error {
 	e := r.randomEntryVM()
 	e.Kill()
@@ -102,7 +102,7 @@
 	if _, err := configuration.Publish(ctx, r.cluster.Log, base.Offset, "load", base.Lists); err != nil {
 		return err
 	}
-	if err := r.waitConfiguration(ctx); err != nil {
+	if err := r.waitForConfiguration(ctx); err != nil {
 		return err
 	}
 	for _, e := range r.cluster.EntryVMs[1:] {
@@ -165,8 +165,8 @@
 	return r.cluster.SetLogFault(ctx, standin.LogFault{})
 }
 
-// partitionDomain partitions one failure domain from the others and from the platform for
-// cutTime.
+// partitionDomain separates one failure domain from the others and from the
+// platform for partitionTime.
 func partitionDomain(ctx context.Context, r *scenarioRun) error {
 	domains := r.cluster.Deployment.Domains
 	isolated := domains[r.random.IntN(len(domains))]
@@ -229,7 +229,7 @@
 		if err := r.publishConcurrently(ctx, base, round); err != nil {
 			return err
 		}
-		if err := r.waitConfiguration(ctx); err != nil {
+		if err := r.waitForConfiguration(ctx); err != nil {
 			return err
 		}
 	}
@@ -261,9 +261,9 @@
 	return nil
 }
 
-// waitConfiguration waits until every entry VM uses the newest configuration and
+// waitForConfiguration waits until every entry VM uses the newest configuration and
 // records the time that it took.
-func (r *scenarioRun) waitConfiguration(ctx context.Context) error {
+func (r *scenarioRun) waitForConfiguration(ctx context.Context) error {
 	began := time.Now()
 	store, err := configuration.Load(ctx, r.cluster.Log)
 	if err != nil {
--- a/internal/emulate/load/slope.go
+++ b/internal/emulate/load/slope.go
@@ -34,14 +34,14 @@
 const (
 	// slopeSettleTime is the pause between the start of the load and the measurement.
 	slopeSettleTime = 1500 * time.Millisecond
-	// slopeMeasureTime is the length of a measurement. Every periodic call is made
+	// slopeMeasurementTime is the length of a measurement. Every periodic call is made
 	// at least once in this time.
-	slopeMeasureTime = 8 * time.Second
+	slopeMeasurementTime = 8 * time.Second
 	// maxParallelMeasurements is the number of clusters that are measured at once.
 	maxParallelMeasurements = 3
 )
 
-// CostSample is the control cost at one cluster size, as the mean of the entry
+// CostSample holds the control cost at one cluster size, averaged over the entry
 // VMs.
 type CostSample struct {
 	WorkersPerEntry float64 `json:"workers_per_entry"`
@@ -108,7 +108,8 @@
 	return report, nil
 }
 
-// measureCostAtSize starts a cluster of one size and measures its mean control cost.
+// measureCostAtSize starts a cluster of one size and measures its control cost,
+// averaged over the entry VMs.
 func measureCostAtSize(ctx context.Context, programs cluster.Programs, folder string, size clusterSize, seed uint64) (CostSample, error) {
 	d, err := deployment.Load(examples.Files, "hearthmark")
 	if err != nil {
@@ -130,7 +131,7 @@
 	}
 	time.Sleep(slopeSettleTime)
 	before, began := r.usageByEntryVM(ctx), time.Now()
-	time.Sleep(slopeMeasureTime)
+	time.Sleep(slopeMeasurementTime)
 	after, elapsed := r.usageByEntryVM(ctx), time.Since(began).Seconds()
 	s := CostSample{
 		WorkersPerEntry: float64(size.workers) / float64(size.entryVMs),
--- a/internal/emulate/memory/fleet.go
+++ b/internal/emulate/memory/fleet.go
@@ -20,13 +20,13 @@
 	workers map[backend.Life]*fleet.Worker
 	// runTime is the run time of every task.
 	runTime time.Duration
-	// starts counts the started runs of each task.
-	starts map[work.TaskID]int
+	// startCounts counts the started runs of each task.
+	startCounts map[work.TaskID]int
 }
 
 // NewFleet returns a fleet without workers, on which every task takes runTime.
 func NewFleet(runTime time.Duration) *Fleet {
-	return &Fleet{workers: map[backend.Life]*fleet.Worker{}, runTime: runTime, starts: map[work.TaskID]int{}}
+	return &Fleet{workers: map[backend.Life]*fleet.Worker{}, runTime: runTime, startCounts: map[work.TaskID]int{}}
 }
 
 // Add starts a worker and registers it in the store's Workers topic under its ID.
@@ -54,11 +54,11 @@
 func (f *Fleet) Starts(t work.TaskID) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.starts[t]
+	return f.startCounts[t]
 }
 
 // Started implements fleet.Observer. The caller holds the mutex.
-func (f *Fleet) Started(_ *fleet.Worker, s backend.Start, _ time.Time) { f.starts[s.Task]++ }
+func (f *Fleet) Started(_ *fleet.Worker, s backend.Start, _ time.Time) { f.startCounts[s.Task]++ }
 
 // Ended implements fleet.Observer and does nothing.
 func (f *Fleet) Ended(*fleet.Worker, backend.End, time.Time) {}
--- a/internal/emulate/standin/log.go
+++ b/internal/emulate/standin/log.go
@@ -32,7 +32,7 @@
 	retainedRecords int
 	// outage makes every append and read fail.
 	outage bool
-	// loseReplies makes appends take effect and then fail.
+	// loseReplies makes appends return an error although they take effect.
 	loseReplies bool
 	appendCount uint64
 }
@@ -142,7 +142,7 @@
 type LogFault struct {
 	// Outage makes every append and read fail.
 	Outage bool `json:"outage"`
-	// LoseReplies makes appends take effect and then fail.
+	// LoseReplies makes appends return an error although they take effect.
 	LoseReplies bool `json:"lose_replies"`
 }
 
--- a/internal/emulate/standin/vms.go
+++ b/internal/emulate/standin/vms.go
@@ -74,7 +74,7 @@
 	Outage bool `json:"outage"`
 }
 
-// LeavingRequest sets or clears the leaving mark of a VM.
+// LeavingRequest sets or clears whether the VM list shows a VM as leaving.
 type LeavingRequest struct {
 	Name    string `json:"name"`
 	Leaving bool   `json:"leaving"`
@@ -97,7 +97,7 @@
 
 // LeavingReply is the response to a LeavingRequest.
 type LeavingReply struct {
-	// ShownAt is when the list was changed.
+	// ShownAt is when the VM list was changed.
 	ShownAt time.Time `json:"shown"`
 }
 
--- a/internal/emulate/standin/worker.go
+++ b/internal/emulate/standin/worker.go
@@ -15,8 +15,8 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// WorkPayload is the JSON payload for stand-in workers. If a payload cannot be decoded, the
-// attempt runs for its declared run time and succeeds.
+// WorkPayload is the JSON payload for stand-in workers. If a payload cannot be
+// decoded, the attempt runs for its declared run time and succeeds.
 type WorkPayload struct {
 	// RunMilliseconds is the actual run time; the declared one may differ.
 	RunMilliseconds int64 `json:"run_milliseconds"`
@@ -37,26 +37,27 @@
 }
 
 const (
-	// endedRetention is how long a worker keeps the records of ended attempts.
-	endedRetention = 10 * time.Minute
+	// endedAttemptRetention is how long a worker keeps the records of ended
+	// attempts.
+	endedAttemptRetention = 10 * time.Minute
 	// maxSyncWait limits how long one Sync waits for ended attempts.
 	maxSyncWait = 30 * time.Second
 	// checkpointDuration is how long a checkpoint takes before the attempt is stopped.
 	checkpointDuration = 50 * time.Millisecond
 )
 
-// AttemptRun is one started attempt in a worker's history. Tests and the load program
-// compare the history with the outcomes that callers received.
+// AttemptRun is one started attempt in a worker's history. Tests and the load
+// program compare the history with the outcomes that callers received.
 type AttemptRun struct {
 	Attempt    string    `json:"attempt"`
 	Worker     string    `json:"worker"`
 	Plan       string    `json:"plan"`
 	Class      string    `json:"class"`
 	Repeatable bool      `json:"repeatable"`
-	Started    time.Time `json:"started"`
-	// Ended is zero while the attempt runs.
-	Ended time.Time    `json:"ended"`
-	Phase worker.Phase `json:"phase"`
+	StartedAt  time.Time `json:"started"`
+	// EndedAt is zero while the attempt runs.
+	EndedAt time.Time    `json:"ended"`
+	Phase   worker.Phase `json:"phase"`
 	// Size is the amount of resources that the attempt declared.
 	Size resource.Vector `json:"size"`
 }
@@ -66,8 +67,8 @@
 	Worker   string          `json:"worker"`
 	Capacity resource.Vector `json:"capacity"`
 	Runs     []AttemptRun    `json:"runs"`
-	// OverfilledStarts counts the starts after which the declared sizes of the running
-	// attempts exceeded the capacity.
+	// OverfilledStarts counts the starts after which the declared sizes of the
+	// running attempts exceeded the worker's capacity.
 	OverfilledStarts int `json:"overfilled"`
 }
 
@@ -99,7 +100,7 @@
 	silent           bool
 }
 
-// attemptState is the state of one attempt.
+// attemptState is the record of an attempt and what the worker needs to end it.
 type attemptState struct {
 	worker.Record
 	// timer ends the attempt after its run time.
@@ -133,7 +134,7 @@
 func (w *Worker) setPhase(r *attemptState, p worker.Phase, reason string) {
 	if r.Phase == worker.Running && p != worker.Running && r.historyIndex >= 0 {
 		w.used = w.used.Sub(r.Attempt.Size)
-		w.history[r.historyIndex].Ended = time.Now()
+		w.history[r.historyIndex].EndedAt = time.Now()
 		w.history[r.historyIndex].Phase = p
 	}
 	w.lastSequence++
@@ -160,10 +161,10 @@
 }
 
 // pruneRecords deletes the records of attempts that ended longer ago than
-// endedRetention.
+// endedAttemptRetention.
 func (w *Worker) pruneRecords() {
 	for id, r := range w.records {
-		if r.Phase.Ended() && time.Since(r.endedAt) > endedRetention {
+		if r.Phase.Ended() && time.Since(r.endedAt) > endedAttemptRetention {
 			delete(w.records, id)
 		}
 	}
@@ -243,7 +244,7 @@
 	}
 	w.history = append(w.history, AttemptRun{
 		Attempt: q.Attempt.ID, Worker: w.name, Plan: q.Attempt.Plan, Class: q.Attempt.Class,
-		Repeatable: q.Attempt.Repeatable, Started: time.Now(), Phase: worker.Running,
+		Repeatable: q.Attempt.Repeatable, StartedAt: time.Now(), Phase: worker.Running,
 		Size: q.Attempt.Size,
 	})
 	w.setPhase(r, worker.Running, "")
--- a/internal/node/app/entry.go
+++ b/internal/node/app/entry.go
@@ -114,11 +114,11 @@
 	debug.SetMemoryLimit(memoryLimitBytes)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	e, err := startEntry(common.New(s, c.stderr))
+	e, err := startEntryVM(common.New(s, c.stderr))
 	if err != nil {
 		return fault.New("entry", KindFailed, err)
 	}
-	line, _ := json.Marshal(StartedMessage{Name: s.Name, CallerAddress: e.address, PeerAddress: e.node.PeerAddress()})
+	line, _ := json.Marshal(StartedMessage{Name: s.Name, CallerAddress: e.callerAddress, PeerAddress: e.node.PeerAddress()})
 	_, _ = fmt.Fprintln(c.stdout, string(line))
 	<-ctx.Done()
 	e.shutdown()
@@ -128,13 +128,13 @@
 // entryVM is a running entry VM: its node and the HTTP server for callers and
 // operators.
 type entryVM struct {
-	common  *common.Common
-	node    *daemon.Node
-	server  *http.Server
-	address netip.AddrPort
+	common        *common.Common
+	node          *daemon.Node
+	server        *http.Server
+	callerAddress netip.AddrPort
 }
 
-func startEntry(c *common.Common) (*entryVM, error) {
+func startEntryVM(c *common.Common) (*entryVM, error) {
 	registry := metrics.New()
 	registry.Publish("groups")
 	node, err := daemon.New(c, registry)
@@ -148,7 +148,7 @@
 	}
 	gateway := caller.New(node, c.Settings.BodyLimitBytes, c.Log)
 	e := &entryVM{common: c, node: node}
-	e.server, e.address = gateway.Server(e.addDebugRoutes), l.Addr().(*net.TCPAddr).AddrPort()
+	e.server, e.callerAddress = gateway.Server(e.addDebugRoutes), l.Addr().(*net.TCPAddr).AddrPort()
 	go func() { _ = e.server.Serve(l) }()
 	return e, nil
 }
--- a/internal/node/app/operator.go
+++ b/internal/node/app/operator.go
@@ -14,13 +14,13 @@
 	"github.com/almondpost/almondpost/internal/state/job"
 )
 
-// operatorTimeout bounds all HTTP calls that one operator command makes.
-const operatorTimeout = 30 * time.Second
+// operatorCommandTimeout bounds all HTTP calls that one operator command makes.
+const operatorCommandTimeout = 30 * time.Second
 
-// entryFlag adds the flag with the address of an entry VM. The returned
+// entryAddressFlag adds the flag with the address of an entry VM. The returned
 // function returns the base URL of that entry VM; it must be called after the
 // flags were parsed.
-func entryFlag(c *invocation) func() (string, error) {
+func entryAddressFlag(c *invocation) func() (string, error) {
 	text := c.flags.String("entry", "", "caller address of any entry VM")
 	return func() (string, error) {
 		a, err := netip.ParseAddrPort(*text)
@@ -32,7 +32,7 @@
 }
 
 func runReport(c *invocation) error {
-	entry := entryFlag(c)
+	entry := entryAddressFlag(c)
 	asJSON := c.flags.Bool("json", false, "print JSON")
 	svg := c.flags.String("svg", "", "SVG file to write a plot to")
 	if err := c.parse(); err != nil {
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), operatorCommandTimeout)
 	defer cancel()
 	var r report.Report
 	if err := callJSON(ctx, http.MethodGet, base+"/v1/report", nil, &r); err != nil {
@@ -73,7 +73,7 @@
 }
 
 func runJobs(c *invocation) error {
-	entry := entryFlag(c)
+	entry := entryAddressFlag(c)
 	id := c.flags.String("id", "", "ID of the job")
 	cancelJob := c.flags.Bool("cancel", false, "cancel the job")
 	if err := c.parse(); err != nil {
@@ -86,7 +86,7 @@
 	if *id == "" {
 		return fault.Newf("flags", KindUsage, "flag -id is required")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), operatorCommandTimeout)
 	defer cancel()
 	url := base + "/v1/jobs/" + *id
 	if *cancelJob {
--- a/internal/node/app/quickstart.go
+++ b/internal/node/app/quickstart.go
@@ -100,7 +100,7 @@
 		return err
 	}
 	for _, v := range d.Entries() {
-		e, err := q.startEntry(v, logs)
+		e, err := q.startEntryVM(v, logs)
 		if err != nil {
 			return err
 		}
@@ -114,13 +114,13 @@
 	return q.awaitReady(ctx)
 }
 
-func (q *quickstart) startEntry(v deployment.Entry, logs io.Writer) (*entryVM, error) {
+func (q *quickstart) startEntryVM(v deployment.Entry, logs io.Writer) (*entryVM, error) {
 	s := settings.Default()
 	s.Name, s.Domain, s.Log, s.VMList = v.Name, v.Domain, q.logAddress, q.vmListAddress
 	for _, e := range q.entryVMs {
 		s.Seeds = append(s.Seeds, e.node.PeerAddress())
 	}
-	e, err := startEntry(common.New(s, logs))
+	e, err := startEntryVM(common.New(s, logs))
 	if err == nil {
 		q.entryVMs = append(q.entryVMs, e)
 	}
@@ -189,7 +189,7 @@
 func (q *quickstart) runRequest(ctx context.Context, x exampleRequest, e *entryVM) error {
 	began := time.Now()
 	var o request.Outcome
-	if err := callJSON(ctx, http.MethodPost, fmt.Sprintf("http://%s/v1/requests", e.address), x.spec, &o); err != nil {
+	if err := callJSON(ctx, http.MethodPost, fmt.Sprintf("http://%s/v1/requests", e.callerAddress), x.spec, &o); err != nil {
 		return err
 	}
 	if o.State != request.Done || !o.IsAnswerIntact() {
@@ -202,7 +202,7 @@
 func (q *quickstart) runJob(ctx context.Context, title string, spec job.Spec) error {
 	began := time.Now()
 	var s job.Status
-	base := fmt.Sprintf("http://%s/v1/jobs", q.entryVMs[0].address)
+	base := fmt.Sprintf("http://%s/v1/jobs", q.entryVMs[0].callerAddress)
 	if err := callJSON(ctx, http.MethodPost, base, spec, &s); err != nil {
 		return err
 	}
@@ -218,7 +218,7 @@
 
 func (q *quickstart) printReport(ctx context.Context) error {
 	var r report.Report
-	if err := callJSON(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/report", q.entryVMs[0].address), nil, &r); err != nil {
+	if err := callJSON(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/report", q.entryVMs[0].callerAddress), nil, &r); err != nil {
 		return err
 	}
 	_, _ = fmt.Fprintln(q.output)
--- a/internal/node/daemon/job_run.go
+++ b/internal/node/daemon/job_run.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// attemptListRetention is the time from the start of an attempt for which its
-// worker is certain to list it. A margin for the difference between the clocks
-// of the former and the new holder is already subtracted.
+// attemptListRetention is how long after its start an attempt is certain to be
+// listed by its worker. A margin for the difference between the clocks of the
+// former and the new holder is already subtracted.
 const attemptListRetention = 90 * time.Second
 
 // endUntraceableTasks ends the tasks that must not run twice and whose outcome
@@ -71,9 +71,10 @@
 	return remaining
 }
 
-// recordStarts writes to the log that the tasks are about to start. It only does
-// so for tasks that must not run twice. It reports whether all tasks may start:
-// every record is in the log and this process holds the job.
+// recordStarts writes to the log that the tasks are about to start, but only for
+// those that must not run twice. It reports whether all tasks may start: every
+// record must have been applied to the table, and this process must hold the
+// job.
 func (j *Jobs) recordStarts(ctx context.Context, r *jobRun, id string, tasks []int, spec job.Spec) bool {
 	for _, i := range tasks {
 		if !spec.Tasks[i].Repeatable && !j.recordStart(ctx, r, id, i) {
@@ -84,8 +85,8 @@
 }
 
 // recordStart writes to the log that a task is about to start. It reports
-// whether the task may start: the record was applied and this process holds the
-// job.
+// whether the task may start: the record must have been applied to the table,
+// and this process must hold the job.
 func (j *Jobs) recordStart(ctx context.Context, r *jobRun, id string, task int) bool {
 	record := job.Record{Action: job.TaskStarted, By: j.self, Job: id, Task: task, At: time.Now()}
 	offset, ok := j.appendWithRetry(ctx, r, record.Encode())
--- a/internal/node/daemon/job_takeover.go
+++ b/internal/node/daemon/job_takeover.go
@@ -85,7 +85,8 @@
 }
 
 // takeOver writes to the log that this process takes over the jobs of a holder
-// that is gone. If several processes try, the first record in the log wins.
+// that is gone. If several processes do so, the first record in the log decides
+// which of them gets the jobs.
 func (j *Jobs) takeOver(h job.Holder) {
 	defer func() {
 		j.mutex.Lock()
--- a/internal/node/daemon/jobs.go
+++ b/internal/node/daemon/jobs.go
@@ -17,13 +17,13 @@
 	// jobRetryInterval is the pause before a read or append is retried, and the
 	// interval of takeoverLoop.
 	jobRetryInterval = 300 * time.Millisecond
-	// jobLease is the time from a read of the log for which this process may
-	// assume that it still holds its jobs.
+	// jobLease is how long after a read of the log this process may assume that it
+	// still holds its jobs.
 	jobLease = entry.HolderLease
-	// takeoverGracePeriod is the time from a takeover after which the former
-	// holder cannot cause a start any more. It consists of the holder's lease, the
-	// time for which an owner keeps a queued attempt that its holder does not
-	// poll, and a margin.
+	// takeoverGracePeriod is how long a former holder may still cause starts after
+	// its jobs were taken over. It consists of the holder's lease, the time for
+	// which an owner keeps a queued attempt that its holder does not poll, and a
+	// margin.
 	takeoverGracePeriod = jobLease + entry.HolderLease + time.Second
 	// maxTickGap is the longest normal gap between two rounds of takeoverLoop.
 	// After a longer one, this process is considered to have been frozen, for
@@ -84,15 +84,15 @@
 		node: n, self: job.Holder{Name: n.Settings.Name, Incarnation: n.incarnation}, table: job.New(),
 		running: map[string]*jobRun{}, changed: make(chan struct{}), takingOver: map[job.Holder]bool{},
 	}
-	go j.followStream()
+	go j.followJobStream()
 	go j.takeoverLoop()
 	return j
 }
 
 func (j *Jobs) streamName() string { return job.Stream(j.node.Settings.Domain) }
 
-// followStream reads the job stream and applies its records to the table.
-func (j *Jobs) followStream() {
+// followJobStream reads the job stream and applies its records to the table.
+func (j *Jobs) followJobStream() {
 	// The first reads return at once, so that jobs are accepted soon after
 	// the start.
 	wait := time.Duration(0)
--- a/internal/node/daemon/keyed_requests.go
+++ b/internal/node/daemon/keyed_requests.go
@@ -22,7 +22,7 @@
 		return r.refuseUnclaimed(w, err)
 	}
 	if !result.Won {
-		outcome := r.outcomeOfHolder(ctx, result)
+		outcome := r.awaitHolderOutcome(ctx, result)
 		if outcome.Reason != reasonHolderUnreachable {
 			return outcome
 		}
@@ -100,10 +100,10 @@
 	}
 }
 
-// outcomeOfHolder waits for the end of the request that holds a key and returns
+// awaitHolderOutcome waits for the end of the request that holds a key and returns
 // its outcome. If the outcome cannot be fetched, the reason is
 // reasonHolderUnreachable.
-func (r *Requests) outcomeOfHolder(ctx context.Context, result claim.Result) request.Outcome {
+func (r *Requests) awaitHolderOutcome(ctx context.Context, result claim.Result) request.Outcome {
 	var outcome request.Outcome
 	if len(result.Outcome) > 0 && json.Unmarshal(result.Outcome, &outcome) == nil {
 		return outcome
--- a/internal/node/daemon/node.go
+++ b/internal/node/daemon/node.go
@@ -118,7 +118,7 @@
 	counters := &traffic.Counters{}
 	counters.Publish("traffic_bytes")
 	cut := isolation.New()
-	platform := cut.Client(isolation.Platform, traffic.Client(&counters.Platform))
+	platform := cut.WrapClient(isolation.Platform, traffic.Client(&counters.Platform))
 	workers := traffic.Client(&counters.Workers)
 	n := &Node{
 		Common: c, incarnation: uint64(time.Now().UnixMilli()), context: ctx, cancel: cancel,
--- a/internal/node/daemon/requests.go
+++ b/internal/node/daemon/requests.go
@@ -32,8 +32,8 @@
 	// are looked up when the entry VM of a request is gone.
 	maxOrphanAttempts = 8
 	pruneInterval     = 2 * time.Second
-	// holderFetchPause is the pause between fetches of the outcome of the request that
-	// holds an idempotency key.
+	// holderFetchPause is the pause between two attempts to fetch the outcome of
+	// the request that holds an idempotency key.
 	holderFetchPause = 200 * time.Millisecond
 )
 
