--- a/internal/emulate/cluster/cluster.go
+++ b/internal/emulate/cluster/cluster.go
@@ -69,7 +69,7 @@
 	return p, nil
 }
 
-// Process is a program that was started.
+// Process is a process of the cluster, which may have ended.
 type Process struct {
 	Name    string
 	command *exec.Cmd
--- a/internal/emulate/load/report.go
+++ b/internal/emulate/load/report.go
@@ -44,8 +44,8 @@
 	// TakeoverSeconds is the time from the kill of an entry VM until every worker was
 	// adopted again.
 	TakeoverSeconds float64 `json:"takeover_seconds,omitempty"`
-	// Reasons counts the calls whose result is not answered. Each key is a result
-	// and a reason, separated by a colon.
+	// Reasons counts the calls that were not answered. Each key is the result and
+	// the reason of these calls, separated by a colon.
 	Reasons map[string]int `json:"reasons,omitempty"`
 	// LostIDs are the IDs of lost requests, to search for in the logs.
 	LostIDs []string `json:"lost_ids,omitempty"`
--- a/internal/emulate/load/slope.go
+++ b/internal/emulate/load/slope.go
@@ -37,7 +37,8 @@
 	// slopeMeasurementTime is the length of a measurement. Every periodic call is made
 	// at least once in this time.
 	slopeMeasurementTime = 8 * time.Second
-	// maxParallelMeasurements is the number of clusters that are measured at once.
+	// maxParallelMeasurements is the maximum number of clusters that are measured
+	// at the same time.
 	maxParallelMeasurements = 3
 )
 
--- a/internal/node/app/entry.go
+++ b/internal/node/app/entry.go
@@ -153,8 +153,8 @@
 	return e, nil
 }
 
-// cutRequest is the body of POST /debug/cut: the failure domains, or
-// "platform", that fault injection cuts off.
+// cutRequest is the body of POST /debug/cut. It names the failure domains that
+// this entry VM can no longer reach; "platform" stands for the platform.
 type cutRequest struct {
 	Names []string `json:"names"`
 }
--- a/internal/node/daemon/job_run.go
+++ b/internal/node/daemon/job_run.go
@@ -121,8 +121,8 @@
 	return found
 }
 
-// newWork describes one task to the runner. The task runs in this failure
-// domain only and starts only while this process holds the job.
+// newWork returns the description of one task for the runner. The task runs in
+// this failure domain only and starts only while this process holds the job.
 func (j *Jobs) newWork(r *jobRun, id string, task int, spec request.Spec) request.Work {
 	return request.Work{
 		ID: job.TaskID(id, task), Customer: j.node.configuration.Current().Index.Customer(spec.Plan), Spec: spec, Submitted: time.Now(),
--- a/internal/node/daemon/jobs.go
+++ b/internal/node/daemon/jobs.go
@@ -50,7 +50,7 @@
 	// mutex guards the fields below.
 	mutex sync.Mutex
 	table *job.Table
-	// running holds the run of each job that this process holds, by job ID.
+	// running maps the ID of each job that this process holds to its run.
 	running map[string]*jobRun
 	// leaseConfirmedAt is when the last read that reached the end of the job
 	// stream was sent. The lease on the jobs of this process begins at that time.
--- a/internal/node/daemon/members.go
+++ b/internal/node/daemon/members.go
@@ -14,9 +14,9 @@
 	// crossDomainFanout is the number of members of other failure domains that
 	// get a heartbeat in each round.
 	crossDomainFanout = 1
-	// roundsPerFullHeartbeat is the number of heartbeat rounds of which one sends
-	// full heartbeats. The other rounds leave out the domain and the address,
-	// which members know already.
+	// One of every roundsPerFullHeartbeat heartbeat rounds sends full heartbeats.
+	// The other rounds leave out the domain and the address, which members know
+	// already.
 	roundsPerFullHeartbeat = 10
 )
 
--- a/internal/node/daemon/requests.go
+++ b/internal/node/daemon/requests.go
@@ -117,13 +117,13 @@
 	return request.Outcome{ID: id, State: request.NotRun, Reason: reason, RetryAfterMilliseconds: retryAfter.Milliseconds()}
 }
 
-// Reasons and retry hints in the outcomes of requests that were refused or
+// Reasons and retry delays in the outcomes of requests that were refused or
 // whose outcome is unknown.
 const (
-	reasonPayloadLimit    = "payload_limit"
-	reasonTooManyOpen     = "too_many_open"
-	reasonNoConfiguration = "no_configuration"
-	reasonUnknownPlan     = "unknown_plan"
+	reasonPayloadLimit        = "payload_limit"
+	reasonTooManyOpenRequests = "too_many_open"
+	reasonNoConfiguration     = "no_configuration"
+	reasonUnknownPlan         = "unknown_plan"
 	// reasonHolderUnreachable means that the entry VM which held the request, its
 	// key or its job is gone, so it is unknown whether the request ran.
 	reasonHolderUnreachable = "holder_unreachable"
@@ -167,8 +167,8 @@
 	return id, nil
 }
 
-// checkAdmission returns the reason for refusing a request and a retry hint, or
-// an empty reason if the request is admitted.
+// checkAdmission returns the reason for refusing a request and the time after
+// which the caller may retry. The reason is empty if the request is admitted.
 func (r *Requests) checkAdmission(spec request.Spec) (reason string, retryAfter time.Duration) {
 	n := r.node
 	version := n.configuration.Current()
@@ -178,7 +178,7 @@
 	case version.Index.Customer(spec.Plan) == "":
 		return reasonUnknownPlan, 0
 	case r.OpenCount() >= n.Settings.OpenLimit:
-		return reasonTooManyOpen, retryAfterShort
+		return reasonTooManyOpenRequests, retryAfterShort
 	case r.openPayloadBytes.Load()+int64(len(spec.Payload)) > n.Settings.PayloadLimitBytes:
 		return reasonPayloadLimit, retryAfterShort
 	}
