--- a/internal/node/app/entry.go
+++ b/internal/node/app/entry.go
@@ -30,9 +30,9 @@
 	// gcPercent makes the garbage collector run less often than the default of
 	// 100. An entry VM uses little memory, so this saves processor time.
 	gcPercent = 400
-	// memoryLimitBytes is the soft memory limit of the Go runtime. It is below
-	// what an entry VM may use, so that the garbage collector runs more often
-	// before that is reached.
+	// memoryLimitBytes is the soft memory limit of the Go runtime. It is lower
+	// than the memory that an entry VM may use, so that the garbage collector runs
+	// more often before an entry VM uses that much.
 	memoryLimitBytes = 200 << 20
 )
 
@@ -40,9 +40,9 @@
 // VM accepts connections. It names the listen addresses for callers and for
 // other entry VMs.
 type StartedMessage struct {
-	Name   string         `json:"name"`
-	Caller netip.AddrPort `json:"caller"`
-	Peer   netip.AddrPort `json:"peer"`
+	Name          string         `json:"name"`
+	CallerAddress netip.AddrPort `json:"caller"`
+	PeerAddress   netip.AddrPort `json:"peer"`
 }
 
 // settingsFlags adds the flag that names the settings file and the flags that
@@ -114,11 +114,11 @@
 	debug.SetMemoryLimit(memoryLimitBytes)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	e, err := startEntry(common.New(s, c.stderr))
+	e, err := startEntryVM(common.New(s, c.stderr))
 	if err != nil {
 		return fault.New("entry", KindFailed, err)
 	}
-	line, _ := json.Marshal(StartedMessage{Name: s.Name, Caller: e.address, Peer: e.node.PeerAddress()})
+	line, _ := json.Marshal(StartedMessage{Name: s.Name, CallerAddress: e.callerAddress, PeerAddress: e.node.PeerAddress()})
 	_, _ = fmt.Fprintln(c.stdout, string(line))
 	<-ctx.Done()
 	e.shutdown()
@@ -128,13 +128,13 @@
 // entryVM is a running entry VM: its node and the HTTP server for callers and
 // operators.
 type entryVM struct {
-	common  *common.Common
-	node    *daemon.Node
-	server  *http.Server
-	address netip.AddrPort
+	common        *common.Common
+	node          *daemon.Node
+	server        *http.Server
+	callerAddress netip.AddrPort
 }
 
-func startEntry(c *common.Common) (*entryVM, error) {
+func startEntryVM(c *common.Common) (*entryVM, error) {
 	registry := metrics.New()
 	registry.Publish("groups")
 	node, err := daemon.New(c, registry)
@@ -148,13 +148,13 @@
 	}
 	gateway := caller.New(node, c.Settings.BodyLimitBytes, c.Log)
 	e := &entryVM{common: c, node: node}
-	e.server, e.address = gateway.Server(e.addDebugRoutes), l.Addr().(*net.TCPAddr).AddrPort()
+	e.server, e.callerAddress = gateway.Server(e.addDebugRoutes), l.Addr().(*net.TCPAddr).AddrPort()
 	go func() { _ = e.server.Serve(l) }()
 	return e, nil
 }
 
-// cutRequest is the body of POST /debug/cut: the failure domains, or
-// "platform", that fault injection cuts off.
+// cutRequest is the body of POST /debug/cut. It names the failure domains that
+// this entry VM can no longer reach; "platform" stands for the platform.
 type cutRequest struct {
 	Names []string `json:"names"`
 }
