--- a/internal/decide/allocator/allocator_test.go
+++ b/internal/decide/allocator/allocator_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestEnqueueReturnsReasonForRefusal(t *testing.T) {
+func TestEnqueueRefusesWithAReason(t *testing.T) {
 	limited := newEntitlement("limited", 0.5)
 	limited.MaxTask = resource.Vector{Milliprocessors: 500, MemoryMebibytes: 512, Slots: 1, Connections: 1}
 	limited.Classes = []plan.Class{plan.Normal}
