--- a/internal/decide/allocator/allocator.go
+++ b/internal/decide/allocator/allocator.go
@@ -61,9 +61,9 @@
 	Plan    string
 	Class   plan.Class
 	Size    resource.Vector
-	// Spread names a group of tasks that should run on different racks. It is
+	// SpreadGroup names a group of tasks that should run on different racks. It is
 	// empty for a task without a group.
-	Spread string
+	SpreadGroup string
 	// Repeatable is true if the task may be preempted and run again later.
 	Repeatable bool
 	// RunTime is the declared run time of the task.
--- a/internal/decide/allocator/next.go
+++ b/internal/decide/allocator/next.go
@@ -161,7 +161,7 @@
 		return Assignment{}, false
 	}
 	err := a.ledger.Reserve(w.Name, ledger.Reservation{
-		Attempt: t.Attempt, Size: t.Size, Plan: t.Plan, ClassRank: rank, SpreadGroup: t.Spread, Preemptible: t.Repeatable,
+		Attempt: t.Attempt, Size: t.Size, Plan: t.Plan, ClassRank: rank, SpreadGroup: t.SpreadGroup, Preemptible: t.Repeatable,
 	})
 	invariant.Check(err == nil, "reservation_refused", "reserve capacity for attempt %s: %v", t.Attempt, err)
 	if err != nil {
@@ -185,12 +185,12 @@
 		return nil
 	}
 	if q.blockedHeadByClass[rank] == head && !wasAtLimit {
-		w, complete := a.policy.ChooseFreed(a.ledger, q.blockedAtFreedCount[rank], t.Size, t.Spread)
+		w, complete := a.policy.ChooseFreed(a.ledger, q.blockedAtFreedCount[rank], t.Size, t.SpreadGroup)
 		if complete {
 			return w
 		}
 	}
-	return a.policy.Choose(a.ledger, t.Size, t.Spread)
+	return a.policy.Choose(a.ledger, t.Size, t.SpreadGroup)
 }
 
 // Advertisement is the load that an entry VM reports to the other entry VMs.
@@ -237,12 +237,12 @@
 	if a.draining || !account.Permits(t.Size) || a.ledger.Reservation(t.Attempt) != nil {
 		return "", false
 	}
-	w := a.policy.Choose(a.ledger, t.Size, t.Spread)
+	w := a.policy.Choose(a.ledger, t.Size, t.SpreadGroup)
 	if w == nil {
 		return "", false
 	}
 	err := a.ledger.Reserve(w.Name, ledger.Reservation{
-		Attempt: t.Attempt, Size: t.Size, Plan: t.Plan, ClassRank: t.Class.Rank(), SpreadGroup: t.Spread,
+		Attempt: t.Attempt, Size: t.Size, Plan: t.Plan, ClassRank: t.Class.Rank(), SpreadGroup: t.SpreadGroup,
 	})
 	if err != nil {
 		return "", false
--- a/internal/node/owner/calls.go
+++ b/internal/node/owner/calls.go
@@ -70,7 +70,7 @@
 		return nil, fault.Newf("admit", allocator.KindQueueFull, "the payloads of attempts already take %d bytes, so this payload would exceed the limit", o.payloadBytes)
 	}
 	task := &allocator.Task{
-		Attempt: t.Attempt, Plan: t.Plan, Class: t.Class, Size: t.Size, Spread: t.Spread,
+		Attempt: t.Attempt, Plan: t.Plan, Class: t.Class, Size: t.Size, SpreadGroup: t.Spread,
 		Repeatable: t.Repeatable, RunTime: t.RunTime, Resumed: t.Resumed,
 	}
 	if t.Remaining > 0 {
--- a/internal/node/owner/gang.go
+++ b/internal/node/owner/gang.go
@@ -65,7 +65,7 @@
 func (o *Owner) reserveTask(t entry.Task, until time.Time) bool {
 	o.advanceMeter(time.Now())
 	worker, ok := o.alloc.ReserveNow(&allocator.Task{
-		Attempt: t.Attempt, Plan: t.Plan, Class: t.Class, Size: t.Size, Spread: t.Spread, RunTime: t.RunTime,
+		Attempt: t.Attempt, Plan: t.Plan, Class: t.Class, Size: t.Size, SpreadGroup: t.Spread, RunTime: t.RunTime,
 	})
 	if !ok {
 		return false
