--- a/internal/decide/allocator/allocator.go
+++ b/internal/decide/allocator/allocator.go
@@ -88,8 +88,8 @@
 	Waited time.Duration
 }
 
-// Refusal is a waiting task that was dropped before it ran.
-type Refusal struct {
+// DroppedTask is a waiting task that was dropped before it ran.
+type DroppedTask struct {
 	Task   *Task
 	Reason Kind
 }
@@ -250,11 +250,11 @@
 // DropUnplaceable drops and returns the waiting tasks that would not fit any
 // worker, not even an empty one. This happens after the removal of all workers
 // that were large enough for them.
-func (a *Allocator) DropUnplaceable() []Refusal {
-	var out []Refusal
+func (a *Allocator) DropUnplaceable() []DroppedTask {
+	var out []DroppedTask
 	for _, i := range a.waitingByAttempt {
 		if !a.ledger.FitsAnyWorker(i.Value.Size) {
-			out = append(out, Refusal{Task: i.Value, Reason: KindNoWorkers})
+			out = append(out, DroppedTask{Task: i.Value, Reason: KindNoWorkers})
 		}
 	}
 	for _, r := range out {
@@ -270,11 +270,11 @@
 
 // Drain drops and returns all waiting tasks. The allocator refuses new tasks
 // from then on.
-func (a *Allocator) Drain() []Refusal {
+func (a *Allocator) Drain() []DroppedTask {
 	a.draining = true
-	var out []Refusal
+	var out []DroppedTask
 	for _, i := range a.waitingByAttempt {
-		out = append(out, Refusal{Task: i.Value, Reason: KindDraining})
+		out = append(out, DroppedTask{Task: i.Value, Reason: KindDraining})
 	}
 	for _, r := range out {
 		a.dropWaiting(r.Task.Attempt)
@@ -286,7 +286,7 @@
 // with the reason for refusing it. When Limits.Waiting tasks are already
 // waiting, a less urgent task is dropped and returned as shed; if there is
 // none, the new task is refused.
-func (a *Allocator) Enqueue(now time.Time, t *Task) (shed *Refusal, err error) {
+func (a *Allocator) Enqueue(now time.Time, t *Task) (shed *DroppedTask, err error) {
 	q, err := a.admit(now, t)
 	if err != nil {
 		return nil, err
@@ -352,7 +352,7 @@
 // the one with this rank, or returns nil when there is none. It takes the
 // newest task of the least urgent class, from the plan with the most waiting
 // tasks of that class.
-func (a *Allocator) shedLessUrgent(rank int) *Refusal {
+func (a *Allocator) shedLessUrgent(rank int) *DroppedTask {
 	for c := len(plan.Classes) - 1; c > rank; c-- {
 		var longest *planQueues
 		for _, q := range a.activeQueues {
@@ -363,7 +363,7 @@
 		if longest != nil {
 			t := longest.queueByClass[c].Tail().Value
 			a.dropWaiting(t.Attempt)
-			return &Refusal{Task: t, Reason: KindShed}
+			return &DroppedTask{Task: t, Reason: KindShed}
 		}
 	}
 	return nil
@@ -390,13 +390,13 @@
 
 // Expire drops and returns the waiting tasks that can no longer complete by
 // their deadline, and the urgent ones that have waited for Limits.UrgentWait.
-func (a *Allocator) Expire(now time.Time) []Refusal {
-	var out []Refusal
+func (a *Allocator) Expire(now time.Time) []DroppedTask {
+	var out []DroppedTask
 	for _, q := range a.activeQueues {
 		for c := range q.queueByClass {
 			q.queueByClass[c].RemoveExpired(now, func(i *admission.Item[*Task]) {
 				delete(a.waitingByAttempt, i.Value.Attempt)
-				out = append(out, Refusal{Task: i.Value, Reason: KindDeadlineOver})
+				out = append(out, DroppedTask{Task: i.Value, Reason: KindDeadlineOver})
 			})
 		}
 	}
--- a/internal/node/owner/owner.go
+++ b/internal/node/owner/owner.go
@@ -382,7 +382,7 @@
 }
 
 // applyRefusal ends an attempt that the allocator dropped from its queue.
-func (o *Owner) applyRefusal(r allocator.Refusal) {
+func (o *Owner) applyRefusal(r allocator.DroppedTask) {
 	if a := o.attempts[r.Task.Attempt]; a != nil {
 		o.setStatus(a, entry.Status{State: entry.NotRun, Reason: string(r.Reason)})
 	}
