--- a/internal/node/daemon/job_run.go
+++ b/internal/node/daemon/job_run.go
@@ -88,7 +88,7 @@
 // whether the task may start: the record must have been applied to the table,
 // and this process must hold the job.
 func (j *Jobs) recordStart(ctx context.Context, r *jobRun, id string, task int) bool {
-	record := job.Record{Action: job.TaskStarted, By: j.self, Job: id, Task: task, At: time.Now()}
+	record := job.Record{Action: job.TaskStarted, By: j.self, Job: id, Task: task, StartedAt: time.Now()}
 	offset, ok := j.appendWithRetry(ctx, r, record.Encode())
 	if !ok || !j.awaitOffset(ctx, offset) {
 		return false
--- a/internal/state/job/table.go
+++ b/internal/state/job/table.go
@@ -76,8 +76,8 @@
 	Outcome *request.Outcome `json:"outcome,omitempty"`
 	// From is the former holder, whose jobs a takeover reassigns to By.
 	From *Holder `json:"from,omitempty"`
-	// At is the start time of a task, by the clock of the writer.
-	At time.Time `json:"at,omitzero"`
+	// StartedAt is the start time of a task, by the clock of the writer.
+	StartedAt time.Time `json:"at,omitzero"`
 	// Generation, Outcomes and StartTimes are the state of a job in a snapshot.
 	// AsOfOffset is the offset up to which the writer of the snapshot had read the
 	// stream.
@@ -173,7 +173,7 @@
 		t.acceptJob(record)
 	case TaskStarted:
 		if j := t.jobs[record.Job]; j != nil && record.Task >= 0 && record.Task < len(j.Started) && j.Holder == record.By && j.Started[record.Task].IsZero() {
-			j.Started[record.Task] = record.At
+			j.Started[record.Task] = record.StartedAt
 		}
 	case TaskEnded:
 		t.endTask(record, r.Offset)
--- a/internal/state/job/table_test.go
+++ b/internal/state/job/table_test.go
@@ -165,11 +165,11 @@
 	table := job.New()
 	for i, r := range []job.Record{
 		{Action: job.Accepted, By: a, Job: "j", Spec: newSpec(3)},
-		{Action: job.TaskStarted, By: a, Job: "j", Task: 1, At: baseTime},
+		{Action: job.TaskStarted, By: a, Job: "j", Task: 1, StartedAt: baseTime},
 		{Action: job.TakenOver, By: b, From: &a},
-		{Action: job.TaskStarted, By: a, Job: "j", Task: 2, At: baseTime},
-		{Action: job.TaskStarted, By: b, Job: "j", Task: 9, At: baseTime},
-		{Action: job.TaskStarted, By: b, Job: "j", Task: 1, At: baseTime.Add(time.Hour)},
+		{Action: job.TaskStarted, By: a, Job: "j", Task: 2, StartedAt: baseTime},
+		{Action: job.TaskStarted, By: b, Job: "j", Task: 9, StartedAt: baseTime},
+		{Action: job.TaskStarted, By: b, Job: "j", Task: 1, StartedAt: baseTime.Add(time.Hour)},
 	} {
 		is.NoErr(table.Apply(logservice.Record{Offset: uint64(i + 1), Data: r.Encode()}))
 	}
