--- a/internal/node/daemon/job_takeover.go
+++ b/internal/node/daemon/job_takeover.go
@@ -95,7 +95,7 @@
 	}()
 	ctx, cancel := context.WithTimeout(j.node.context, appendTimeout)
 	defer cancel()
-	record := job.Record{Action: job.TakenOver, By: j.self, From: &h}
+	record := job.Record{Action: job.TakenOver, By: j.self, FormerHolder: &h}
 	offset, err := j.node.recorder.Append(ctx, j.streamName(), record.Encode())
 	j.node.Log.Info("jobs_taken_over", "from", h.Name, "offset", offset, "ok", err == nil)
 	if err == nil {
@@ -118,7 +118,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	record := job.Record{Action: job.TakenOver, By: successor, From: &j.self}
+	record := job.Record{Action: job.TakenOver, By: successor, FormerHolder: &j.self}
 	offset, err := j.node.recorder.Append(ctx, j.streamName(), record.Encode())
 	return err == nil && j.awaitOffset(ctx, offset)
 }
--- a/internal/state/job/table.go
+++ b/internal/state/job/table.go
@@ -74,8 +74,8 @@
 	// Task is the index of the task that starts or has ended.
 	Task    int              `json:"task,omitempty"`
 	Outcome *request.Outcome `json:"outcome,omitempty"`
-	// From is the former holder, whose jobs a takeover reassigns to By.
-	From *Holder `json:"from,omitempty"`
+	// FormerHolder is the former holder, whose jobs a takeover reassigns to By.
+	FormerHolder *Holder `json:"from,omitempty"`
 	// StartedAt is the start time of a task, by the clock of the writer.
 	StartedAt time.Time `json:"at,omitzero"`
 	// Generation, Outcomes and StartTimes are the state of a job in a snapshot.
@@ -260,11 +260,11 @@
 
 // takeOver assigns the unfinished jobs of the holder From to the holder By.
 func (t *Table) takeOver(r Record) {
-	if r.From == nil {
+	if r.FormerHolder == nil {
 		return
 	}
 	for _, j := range t.jobs {
-		if j.Holder == *r.From && j.PendingTasks > 0 {
+		if j.Holder == *r.FormerHolder && j.PendingTasks > 0 {
 			j.Holder = r.By
 			j.Generation++
 		}
--- a/internal/state/job/table_test.go
+++ b/internal/state/job/table_test.go
@@ -65,7 +65,7 @@
 				}
 			case 3:
 				from := newHolder(rapid.IntRange(0, 5).Draw(rt, "from"))
-				appendRecord(job.Record{Action: job.TakenOver, By: by, From: &from})
+				appendRecord(job.Record{Action: job.TakenOver, By: by, FormerHolder: &from})
 				for k, h := range holders {
 					if h == from && !hasEnded(k, outcomeIDs) {
 						holders[k] = by
@@ -148,7 +148,7 @@
 	// The writer of the snapshot had not read the takeover, so the snapshot names
 	// the former holder and is ignored.
 	withTakeover := job.New()
-	apply(withTakeover, 3, job.Record{Action: job.TakenOver, By: b, From: &a})
+	apply(withTakeover, 3, job.Record{Action: job.TakenOver, By: b, FormerHolder: &a})
 	apply(withTakeover, 4, snapshots[0])
 	is.Equal(withTakeover.Job("j"), nil)
 
@@ -166,7 +166,7 @@
 	for i, r := range []job.Record{
 		{Action: job.Accepted, By: a, Job: "j", Spec: newSpec(3)},
 		{Action: job.TaskStarted, By: a, Job: "j", Task: 1, StartedAt: baseTime},
-		{Action: job.TakenOver, By: b, From: &a},
+		{Action: job.TakenOver, By: b, FormerHolder: &a},
 		{Action: job.TaskStarted, By: a, Job: "j", Task: 2, StartedAt: baseTime},
 		{Action: job.TaskStarted, By: b, Job: "j", Task: 9, StartedAt: baseTime},
 		{Action: job.TaskStarted, By: b, Job: "j", Task: 1, StartedAt: baseTime.Add(time.Hour)},
