--- a/internal/node/daemon/job_run.go
+++ b/internal/node/daemon/job_run.go
@@ -27,7 +27,7 @@
 		}
 	}
 	spec := job.Spec{Gang: k.Spec.Gang, Tasks: append([]request.Spec(nil), k.Spec.Tasks...)}
-	started := append([]time.Time(nil), k.Started...)
+	started := append([]time.Time(nil), k.StartTimes...)
 	j.mutex.Unlock()
 	found := map[string]request.LocatedAttempt{}
 	if r.generation > 1 {
@@ -96,7 +96,7 @@
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	k := j.table.Job(id)
-	return k != nil && !k.Started[task].IsZero() && k.Holder == j.self
+	return k != nil && !k.StartTimes[task].IsZero() && k.Holder == j.self
 }
 
 // startGang reserves capacity for all given tasks at once, starts them and
--- a/internal/state/job/table.go
+++ b/internal/state/job/table.go
@@ -106,10 +106,10 @@
 	// Outcomes has one element per task, which is nil until the task has ended.
 	// Only the first outcome that is recorded for a task counts.
 	Outcomes []*request.Outcome
-	// Started has one element per task: the earliest time at which a non-repeatable
+	// StartTimes has one element per task: the earliest time at which a non-repeatable
 	// task may have started, by the clock of its holder. The element is zero before
 	// that, and always zero for a repeatable task.
-	Started []time.Time
+	StartTimes []time.Time
 	// PendingTasks is the number of tasks that have not ended.
 	PendingTasks int
 	Cancelled    bool
@@ -172,8 +172,8 @@
 	case Accepted:
 		t.acceptJob(record)
 	case TaskStarted:
-		if j := t.jobs[record.Job]; j != nil && record.Task >= 0 && record.Task < len(j.Started) && j.Holder == record.By && j.Started[record.Task].IsZero() {
-			j.Started[record.Task] = record.StartedAt
+		if j := t.jobs[record.Job]; j != nil && record.Task >= 0 && record.Task < len(j.StartTimes) && j.Holder == record.By && j.StartTimes[record.Task].IsZero() {
+			j.StartTimes[record.Task] = record.StartedAt
 		}
 	case TaskEnded:
 		t.endTask(record, r.Offset)
@@ -197,7 +197,7 @@
 	}
 	t.jobs[r.Job] = &Job{
 		ID: r.Job, Spec: *r.Spec, Holder: r.By, Generation: 1,
-		Outcomes: make([]*request.Outcome, len(r.Spec.Tasks)), Started: make([]time.Time, len(r.Spec.Tasks)), PendingTasks: len(r.Spec.Tasks),
+		Outcomes: make([]*request.Outcome, len(r.Spec.Tasks)), StartTimes: make([]time.Time, len(r.Spec.Tasks)), PendingTasks: len(r.Spec.Tasks),
 	}
 }
 
@@ -233,7 +233,7 @@
 	if t.jobs[r.Job] != nil || r.Spec == nil || len(r.Outcomes) != len(r.Spec.Tasks) || len(r.StartTimes) != len(r.Spec.Tasks) || t.takeoverOffset > r.AsOfOffset {
 		return
 	}
-	j := &Job{ID: r.Job, Spec: *r.Spec, Holder: r.By, Generation: r.Generation, Outcomes: r.Outcomes, Started: r.StartTimes}
+	j := &Job{ID: r.Job, Spec: *r.Spec, Holder: r.By, Generation: r.Generation, Outcomes: r.Outcomes, StartTimes: r.StartTimes}
 	for _, o := range r.Outcomes {
 		if o == nil {
 			j.PendingTasks++
@@ -252,7 +252,7 @@
 		outcomes := append([]*request.Outcome(nil), j.Outcomes...)
 		out = append(out, Record{
 			Action: Snapshot, By: h, Job: j.ID, Spec: &spec, Generation: j.Generation,
-			Outcomes: outcomes, StartTimes: append([]time.Time(nil), j.Started...), AsOfOffset: t.appliedOffset,
+			Outcomes: outcomes, StartTimes: append([]time.Time(nil), j.StartTimes...), AsOfOffset: t.appliedOffset,
 		})
 	}
 	return out
--- a/internal/state/job/table_test.go
+++ b/internal/state/job/table_test.go
@@ -173,6 +173,6 @@
 	} {
 		is.NoErr(table.Apply(logservice.Record{Offset: uint64(i + 1), Data: r.Encode()}))
 	}
-	is.Equal(table.Job("j").Started, []time.Time{{}, baseTime, {}})
+	is.Equal(table.Job("j").StartTimes, []time.Time{{}, baseTime, {}})
 	is.Equal(table.Snapshots(b)[0].StartTimes, []time.Time{{}, baseTime, {}})
 }
