--- a/internal/node/daemon/members.go
+++ b/internal/node/daemon/members.go
@@ -50,7 +50,7 @@
 func (n *Node) sendHeartbeats() {
 	load, epoch := n.owner.Advertise(), n.owner.Epoch()
 	n.mutex.Lock()
-	n.view.SetSelf(membership.Advert{Free: load.FreeFraction, Waiting: load.TotalWaiting(), Workers: load.Workers}, epoch, n.configuration.Current().Offset, n.leaving)
+	n.view.SetSelf(membership.Advert{FreeFraction: load.FreeFraction, Waiting: load.TotalWaiting(), Workers: load.Workers}, epoch, n.configuration.Current().Offset, n.leaving)
 	self := n.view.Self()
 	targets := n.heartbeatTargets()
 	n.heartbeatRounds++
--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -24,7 +24,7 @@
 	for _, m := range n.view.Members() {
 		targets = append(targets, request.Target{
 			Name: m.Name, Epoch: m.Epoch, Domain: m.Domain,
-			FreeFraction: m.Advert.Free, Waiting: m.Advert.Waiting,
+			FreeFraction: m.Advert.FreeFraction, Waiting: m.Advert.Waiting,
 			Usable:    m.State == membership.Alive && m.Advert.Workers > 0,
 			Reachable: m.State != membership.Removed,
 		})
--- a/internal/state/membership/view.go
+++ b/internal/state/membership/view.go
@@ -33,9 +33,9 @@
 
 // Advert is the load that a member advertises in its heartbeats.
 type Advert struct {
-	// Free is the free fraction, from 0 to 1, of the most used resource on the
+	// FreeFraction is the free fraction, from 0 to 1, of the most used resource on the
 	// member's workers.
-	Free float64 `json:"f,omitempty"`
+	FreeFraction float64 `json:"f,omitempty"`
 	// Waiting is the number of tasks in the member's queues.
 	Waiting int `json:"q,omitempty"`
 	// Workers is the number of workers that the member has adopted.
