--- a/internal/node/daemon/members.go
+++ b/internal/node/daemon/members.go
@@ -132,7 +132,7 @@
 			n.handleMembersChange()
 			n.assignWorkers()
 		}
-		if h.Offset > n.configuration.Current().Offset {
+		if h.ConfigurationOffset > n.configuration.Current().Offset {
 			n.fetchConfiguration(h)
 		}
 	}
--- a/internal/state/membership/view.go
+++ b/internal/state/membership/view.go
@@ -57,9 +57,9 @@
 	Address netip.AddrPort `json:"a,omitzero"`
 	Advert  Advert         `json:"l"`
 	Leaving bool           `json:"x,omitempty"`
-	// Offset is the log offset of the newest configuration that the member has
+	// ConfigurationOffset is the log offset of the newest configuration that the member has
 	// accepted.
-	Offset uint64 `json:"o"`
+	ConfigurationOffset uint64 `json:"o"`
 }
 
 // IsBrief reports whether the heartbeat lacks the domain and the address.
@@ -106,7 +106,7 @@
 
 // SetSelf updates the parts of this VM's heartbeat that change while it runs.
 func (v *View) SetSelf(load Advert, epoch, offset uint64, leaving bool) {
-	v.self.Advert, v.self.Epoch, v.self.Offset, v.self.Leaving = load, epoch, offset, leaving
+	v.self.Advert, v.self.Epoch, v.self.ConfigurationOffset, v.self.Leaving = load, epoch, offset, leaving
 }
 
 // Observe updates the view with a heartbeat that was received at now. It reports
