--- a/internal/node/daemon/members.go
+++ b/internal/node/daemon/members.go
@@ -29,7 +29,7 @@
 	for {
 		n.sendHeartbeats()
 		n.mutex.Lock()
-		changed := n.view.Tick(time.Now())
+		changed := n.view.UpdateStates(time.Now())
 		n.mutex.Unlock()
 		if changed {
 			n.handleMembersChange()
--- a/internal/state/membership/view.go
+++ b/internal/state/membership/view.go
@@ -135,10 +135,10 @@
 	return changed
 }
 
-// Tick updates the states of silent members and drops those that are silent for
+// UpdateStates updates the states of silent members and drops those that are silent for
 // longer than Timing.ForgetAfter. It reports whether the state of any remaining
 // member changed.
-func (v *View) Tick(now time.Time) bool {
+func (v *View) UpdateStates(now time.Time) bool {
 	changed := false
 	for name, m := range v.members {
 		silence := now.Sub(m.LastHeartbeat)
--- a/internal/state/membership/view_test.go
+++ b/internal/state/membership/view_test.go
@@ -37,7 +37,7 @@
 			is := is.New(t)
 			v := membership.New(newHeartbeat("self", 1), timing)
 			v.Observe(baseTime, newHeartbeat("other", 1))
-			v.Tick(baseTime.Add(s.silence))
+			v.UpdateStates(baseTime.Add(s.silence))
 			m, _ := v.Member("other")
 			is.Equal(m.State, s.state)
 			is.Equal(len(v.Owners()), s.ownerCount)
