--- a/internal/emulate/load/figures.go
+++ b/internal/emulate/load/figures.go
@@ -89,7 +89,7 @@
 // acting phase without the first rampTime.
 func (r *scenarioRun) measurePacking(histories []standin.History) Packing {
 	var capacity resource.Vector
-	var used [resource.Kinds]float64
+	var used [resource.KindCount]float64
 	from, to := r.startedAt.Add(calmPhase+rampTime), r.startedAt.Add(calmPhase+actingPhase)
 	for _, h := range histories {
 		capacity = capacity.Add(h.Capacity)
--- a/internal/state/resource/vector.go
+++ b/internal/state/resource/vector.go
@@ -4,8 +4,8 @@
 
 import "fmt"
 
-// Kinds is the number of resource kinds in a Vector.
-const Kinds = 5
+// KindCount is the number of resource kinds in a Vector.
+const KindCount = 5
 
 // MaxAmount is the largest valid amount of one resource. It is low enough that sums
 // over a whole fleet cannot overflow an int64.
@@ -28,11 +28,11 @@
 }
 
 // KindNames holds the name of each resource kind, in the order of Amounts.
-var KindNames = [Kinds]string{"milliprocessors", "memory_mebibytes", "accelerators", "slots", "connections"}
+var KindNames = [KindCount]string{"milliprocessors", "memory_mebibytes", "accelerators", "slots", "connections"}
 
 // Amounts returns the amounts in the order of KindNames.
-func (v Vector) Amounts() [Kinds]int64 {
-	return [Kinds]int64{v.Milliprocessors, v.MemoryMebibytes, v.Accelerators, v.Slots, v.Connections}
+func (v Vector) Amounts() [KindCount]int64 {
+	return [KindCount]int64{v.Milliprocessors, v.MemoryMebibytes, v.Accelerators, v.Slots, v.Connections}
 }
 
 // Add returns v + o.
@@ -102,7 +102,7 @@
 func (v Vector) DominantFraction(total Vector) float64 {
 	amounts, totals := v.Amounts(), total.Amounts()
 	fraction := 0.0
-	for i := range Kinds {
+	for i := range KindCount {
 		if amounts[i] <= 0 {
 			continue
 		}
