--- a/internal/operate/report/report.go
+++ b/internal/operate/report/report.go
@@ -50,7 +50,7 @@
 	// Started counts the started tasks.
 	Started int64 `json:"started"`
 	// Waiting maps each class to the counts of its started tasks by waiting time.
-	Waiting map[string]usage.Buckets `json:"waiting"`
+	Waiting map[string]usage.WaitingHistogram `json:"waiting"`
 }
 
 const secondsPerHour = 3600
--- a/internal/state/usage/usage.go
+++ b/internal/state/usage/usage.go
@@ -18,12 +18,12 @@
 	10 * time.Second, time.Minute, time.Hour,
 }
 
-// Buckets is a histogram of the times that tasks waited for their start. Its
+// WaitingHistogram is a histogram of the times that tasks waited for their start. Its
 // bounds are WaitingBucketBounds.
-type Buckets [len(WaitingBucketBounds) + 1]int64
+type WaitingHistogram [len(WaitingBucketBounds) + 1]int64
 
 // Add counts one task by its waiting time.
-func (b *Buckets) Add(waited time.Duration) {
+func (b *WaitingHistogram) Add(waited time.Duration) {
 	for i, bound := range WaitingBucketBounds {
 		if waited <= bound {
 			b[i]++
@@ -55,7 +55,7 @@
 	// Started is the number of tasks that started.
 	Started int64 `json:"started"`
 	// Waiting holds, for each class, the waiting times of the started tasks.
-	Waiting map[string]Buckets `json:"waiting"`
+	Waiting map[string]WaitingHistogram `json:"waiting"`
 }
 
 // Merge adds the sums of another period or pool.
@@ -73,7 +73,7 @@
 			sum[i] += b[i]
 		}
 		if s.Waiting == nil {
-			s.Waiting = map[string]Buckets{}
+			s.Waiting = map[string]WaitingHistogram{}
 		}
 		s.Waiting[class] = sum
 	}
@@ -159,7 +159,7 @@
 	s.Customer, s.Plan = customer, plan
 	s.Started++
 	if s.Waiting == nil {
-		s.Waiting = map[string]Buckets{}
+		s.Waiting = map[string]WaitingHistogram{}
 	}
 	b := s.Waiting[class]
 	b.Add(waited)
@@ -172,7 +172,7 @@
 	p := m.currentPeriod
 	p.Plans = make(map[string]Sums, len(m.currentPeriod.Plans))
 	for name, s := range m.currentPeriod.Plans {
-		waiting := make(map[string]Buckets, len(s.Waiting))
+		waiting := make(map[string]WaitingHistogram, len(s.Waiting))
 		for class, b := range s.Waiting {
 			waiting[class] = b
 		}
