--- a/internal/operate/report/report.go
+++ b/internal/operate/report/report.go
@@ -63,7 +63,7 @@
 	if !logAnswered {
 		r.Note = "the log gave no answer: earlier periods are missing"
 	}
-	sums := map[string]usage.Sums{}
+	sums := map[string]usage.PlanUsage{}
 	for _, p := range periods {
 		if r.Begin.IsZero() || p.Begin.Before(r.Begin) {
 			r.Begin = p.Begin
@@ -94,7 +94,7 @@
 
 // newRow converts the usage sums of a plan to a row; price is the price of a
 // VM-hour.
-func newRow(s usage.Sums, price float64) Row {
+func newRow(s usage.PlanUsage, price float64) Row {
 	row := Row{
 		Customer: s.Customer, Plan: s.Plan,
 		PromisedVMHours: s.Promised / secondsPerHour, UsedVMHours: s.Used / secondsPerHour,
--- a/internal/state/usage/usage.go
+++ b/internal/state/usage/usage.go
@@ -33,10 +33,10 @@
 	b[len(WaitingBucketBounds)]++
 }
 
-// Sums is the usage of one plan over a period. Amounts are in VM-seconds: the
+// PlanUsage is the usage of one plan over a period. Amounts are in VM-seconds: the
 // plan's dominant share of the pool times the number of workers in the pool,
 // integrated over time.
-type Sums struct {
+type PlanUsage struct {
 	Customer string `json:"customer"`
 	Plan     string `json:"plan"`
 	// Promised is the plan's guaranteed capacity. Borrowed is the use above it,
@@ -59,7 +59,7 @@
 }
 
 // Merge adds the sums of another period or pool.
-func (s *Sums) Merge(o Sums) {
+func (s *PlanUsage) Merge(o PlanUsage) {
 	s.Promised += o.Promised
 	s.Used += o.Used
 	s.Borrowed += o.Borrowed
@@ -87,8 +87,8 @@
 	End   time.Time `json:"end"`
 	// PoolSeconds is the number of workers in the pool integrated over the period,
 	// in VM-seconds.
-	PoolSeconds float64         `json:"pool_vm_seconds"`
-	Plans       map[string]Sums `json:"plans"`
+	PoolSeconds float64              `json:"pool_vm_seconds"`
+	Plans       map[string]PlanUsage `json:"plans"`
 }
 
 // Meter integrates the usage of one pool over time.
@@ -111,7 +111,7 @@
 
 // beginPeriod begins a new period without usage.
 func (m *Meter) beginPeriod(from string, now time.Time) {
-	m.currentPeriod = Period{From: from, Begin: now, End: now, Plans: map[string]Sums{}}
+	m.currentPeriod = Period{From: from, Begin: now, End: now, Plans: map[string]PlanUsage{}}
 	m.peakUseByPlan = map[string]float64{}
 }
 
@@ -170,7 +170,7 @@
 // Current returns a copy of the current period.
 func (m *Meter) Current() Period {
 	p := m.currentPeriod
-	p.Plans = make(map[string]Sums, len(m.currentPeriod.Plans))
+	p.Plans = make(map[string]PlanUsage, len(m.currentPeriod.Plans))
 	for name, s := range m.currentPeriod.Plans {
 		waiting := make(map[string]WaitingHistogram, len(s.Waiting))
 		for class, b := range s.Waiting {
