--- a/internal/decide/allocator/next.go
+++ b/internal/decide/allocator/next.go
@@ -200,15 +200,15 @@
 	// of the pool.
 	FreeFraction float64
 	Workers      int
-	// Waiting is the number of waiting tasks, indexed by the rank of their
+	// WaitingByClass is the number of waiting tasks, indexed by the rank of their
 	// class.
-	Waiting [len(plan.Classes)]int
+	WaitingByClass [len(plan.Classes)]int
 }
 
 // TotalWaiting returns the number of waiting tasks of all classes.
 func (a Advertisement) TotalWaiting() int {
 	n := 0
-	for _, w := range a.Waiting {
+	for _, w := range a.WaitingByClass {
 		n += w
 	}
 	return n
@@ -222,7 +222,7 @@
 	}
 	for _, q := range a.activeQueues {
 		for c := range q.queueByClass {
-			out.Waiting[c] += q.queueByClass[c].Len()
+			out.WaitingByClass[c] += q.queueByClass[c].Len()
 		}
 	}
 	return out
--- a/internal/node/daemon/node.go
+++ b/internal/node/daemon/node.go
@@ -293,7 +293,7 @@
 	expvar.Publish("owner", expvar.Func(func() any {
 		load := n.owner.Advertise()
 		return ownerVariables{
-			Workers: load.Workers, FreeFraction: load.FreeFraction, WaitingByClass: load.Waiting[:], OpenRequests: n.requests.OpenCount(), ConfigurationOffset: n.configuration.Current().Offset,
+			Workers: load.Workers, FreeFraction: load.FreeFraction, WaitingByClass: load.WaitingByClass[:], OpenRequests: n.requests.OpenCount(), ConfigurationOffset: n.configuration.Current().Offset,
 		}
 	}))
 }
