--- a/internal/node/daemon/job_run.go
+++ b/internal/node/daemon/job_run.go
@@ -88,7 +88,7 @@
 // whether the task may start: the record must have been applied to the table,
 // and this process must hold the job.
 func (j *Jobs) recordStart(ctx context.Context, r *jobRun, id string, task int) bool {
-	record := job.Record{Action: job.TaskStarted, By: j.self, Job: id, Task: task, StartedAt: time.Now()}
+	record := job.Record{Action: job.TaskStarted, By: j.self, Job: id, TaskIndex: task, StartedAt: time.Now()}
 	offset, ok := j.appendWithRetry(ctx, r, record.Encode())
 	if !ok || !j.awaitOffset(ctx, offset) {
 		return false
@@ -171,7 +171,7 @@
 		outcome.Reason = reasonAnswerNotKept
 		outcome.Answer = nil
 	}
-	record := job.Record{Action: job.TaskEnded, By: j.self, Job: id, Task: task, Outcome: &outcome}
+	record := job.Record{Action: job.TaskEnded, By: j.self, Job: id, TaskIndex: task, Outcome: &outcome}
 	j.appendWithRetry(context.Background(), r, record.Encode())
 }
 
--- a/internal/state/job/table.go
+++ b/internal/state/job/table.go
@@ -71,9 +71,9 @@
 	By   Holder `json:"by"`
 	Job  string `json:"job,omitempty"`
 	Spec *Spec  `json:"spec,omitempty"`
-	// Task is the index of the task that starts or has ended.
-	Task    int              `json:"task,omitempty"`
-	Outcome *request.Outcome `json:"outcome,omitempty"`
+	// TaskIndex is the index of the task that starts or has ended.
+	TaskIndex int              `json:"task,omitempty"`
+	Outcome   *request.Outcome `json:"outcome,omitempty"`
 	// FormerHolder is the former holder, whose jobs a takeover reassigns to By.
 	FormerHolder *Holder `json:"from,omitempty"`
 	// StartedAt is the start time of a task, by the clock of the writer.
@@ -172,8 +172,8 @@
 	case Accepted:
 		t.acceptJob(record)
 	case TaskStarted:
-		if j := t.jobs[record.Job]; j != nil && record.Task >= 0 && record.Task < len(j.StartTimes) && j.Holder == record.By && j.StartTimes[record.Task].IsZero() {
-			j.StartTimes[record.Task] = record.StartedAt
+		if j := t.jobs[record.Job]; j != nil && record.TaskIndex >= 0 && record.TaskIndex < len(j.StartTimes) && j.Holder == record.By && j.StartTimes[record.TaskIndex].IsZero() {
+			j.StartTimes[record.TaskIndex] = record.StartedAt
 		}
 	case TaskEnded:
 		t.endTask(record, r.Offset)
@@ -205,11 +205,11 @@
 // and the task has none yet. It drops the payload, which is no longer needed.
 func (t *Table) endTask(r Record, offset uint64) {
 	j := t.jobs[r.Job]
-	if j == nil || r.Outcome == nil || r.Task < 0 || r.Task >= len(j.Outcomes) || j.Outcomes[r.Task] != nil || j.Holder != r.By {
+	if j == nil || r.Outcome == nil || r.TaskIndex < 0 || r.TaskIndex >= len(j.Outcomes) || j.Outcomes[r.TaskIndex] != nil || j.Holder != r.By {
 		return
 	}
-	j.Outcomes[r.Task] = r.Outcome
-	j.Spec.Tasks[r.Task].Payload = nil
+	j.Outcomes[r.TaskIndex] = r.Outcome
+	j.Spec.Tasks[r.TaskIndex].Payload = nil
 	j.PendingTasks--
 	if j.PendingTasks == 0 {
 		j.EndedOffset = offset
--- a/internal/state/job/table_test.go
+++ b/internal/state/job/table_test.go
@@ -58,7 +58,7 @@
 			case 1, 2:
 				task := rapid.IntRange(0, 2).Draw(rt, "task")
 				o := &request.Outcome{ID: fmt.Sprint(i), State: request.Done}
-				appendRecord(job.Record{Action: job.TaskEnded, By: by, Job: id, Task: task, Outcome: o})
+				appendRecord(job.Record{Action: job.TaskEnded, By: by, Job: id, TaskIndex: task, Outcome: o})
 				taskID := job.TaskID(id, task)
 				if _, done := outcomeIDs[taskID]; !done && holders[id] == by {
 					outcomeIDs[taskID] = o.ID
@@ -136,7 +136,7 @@
 		is.NoErr(t.Apply(logservice.Record{Offset: offset, Data: r.Encode()}))
 	}
 	apply(complete, 1, job.Record{Action: job.Accepted, By: a, Job: "j", Spec: newSpec(2)})
-	apply(complete, 2, job.Record{Action: job.TaskEnded, By: a, Job: "j", Task: 1, Outcome: &request.Outcome{State: request.Done}})
+	apply(complete, 2, job.Record{Action: job.TaskEnded, By: a, Job: "j", TaskIndex: 1, Outcome: &request.Outcome{State: request.Done}})
 	snapshots := complete.Snapshots(a)
 	is.Equal(len(snapshots), 1)
 
@@ -165,11 +165,11 @@
 	table := job.New()
 	for i, r := range []job.Record{
 		{Action: job.Accepted, By: a, Job: "j", Spec: newSpec(3)},
-		{Action: job.TaskStarted, By: a, Job: "j", Task: 1, StartedAt: baseTime},
+		{Action: job.TaskStarted, By: a, Job: "j", TaskIndex: 1, StartedAt: baseTime},
 		{Action: job.TakenOver, By: b, FormerHolder: &a},
-		{Action: job.TaskStarted, By: a, Job: "j", Task: 2, StartedAt: baseTime},
-		{Action: job.TaskStarted, By: b, Job: "j", Task: 9, StartedAt: baseTime},
-		{Action: job.TaskStarted, By: b, Job: "j", Task: 1, StartedAt: baseTime.Add(time.Hour)},
+		{Action: job.TaskStarted, By: a, Job: "j", TaskIndex: 2, StartedAt: baseTime},
+		{Action: job.TaskStarted, By: b, Job: "j", TaskIndex: 9, StartedAt: baseTime},
+		{Action: job.TaskStarted, By: b, Job: "j", TaskIndex: 1, StartedAt: baseTime.Add(time.Hour)},
 	} {
 		is.NoErr(table.Apply(logservice.Record{Offset: uint64(i + 1), Data: r.Encode()}))
 	}
