--- a/internal/decide/placement/packing_test.go
+++ b/internal/decide/placement/packing_test.go
@@ -123,7 +123,7 @@
 }
 
 func TestMain(m *testing.M) {
-	invariant.SetFatal(true)
+	invariant.SetPanicOnViolation(true)
 	m.Run()
 }
 
--- a/internal/emulate/seeded/seeded.go
+++ b/internal/emulate/seeded/seeded.go
@@ -20,6 +20,6 @@
 		_ = flag.Set("rapid.seed", "1")
 		_ = flag.Set("rapid.checks", strconv.Itoa(checks))
 	}
-	invariant.SetFatal(true)
+	invariant.SetPanicOnViolation(true)
 	os.Exit(m.Run())
 }
--- a/internal/operate/invariant/invariant.go
+++ b/internal/operate/invariant/invariant.go
@@ -14,8 +14,8 @@
 	panicOnViolation atomic.Bool
 )
 
-// SetFatal sets whether later violations panic.
-func SetFatal(on bool) { panicOnViolation.Store(on) }
+// SetPanicOnViolation sets whether later violations panic.
+func SetPanicOnViolation(on bool) { panicOnViolation.Store(on) }
 
 // Check reports a violation of the named invariant when ok is false. The message is
 // formatted only when the violation panics.
