--- a/internal/node/app/explain.go
+++ b/internal/node/app/explain.go
@@ -26,7 +26,7 @@
 		defer func() { _ = f.Close() }()
 		logs = append(logs, f)
 	}
-	if err := explain.Job(c.stdout, c.flags.Arg(0), logs); err != nil {
+	if err := explain.PrintJobHistory(c.stdout, c.flags.Arg(0), logs); err != nil {
 		return fault.New("explain", KindFailed, err)
 	}
 	return nil
--- a/internal/operate/explain/explain.go
+++ b/internal/operate/explain/explain.go
@@ -42,10 +42,10 @@
 // contextEvents are events that name no job but affect all jobs.
 var contextEvents = []string{"claim_gained", "claim_lost", "take_over_done", "store_lost", "store_regained", "drain_started", "configuration_accepted"}
 
-// Job prints the events of a job in chronological order, with the time since the
+// PrintJobHistory prints the events of a job in chronological order, with the time since the
 // first one. It includes the contextEvents between the first and the last event of
 // the job.
-func Job(w io.Writer, id string, logs []io.Reader) error {
+func PrintJobHistory(w io.Writer, id string, logs []io.Reader) error {
 	var jobLines, contextLines []logLine
 	for _, l := range logs {
 		if err := readLog(l, id, &jobLines, &contextLines); err != nil {
