--- a/internal/node/daemon/job_run.go
+++ b/internal/node/daemon/job_run.go
@@ -151,7 +151,7 @@
 		}
 		// The job was accepted, so a task that was refused for a temporary reason
 		// or interrupted is offered again.
-		shouldRetry := outcome.State == request.NotRun && !request.IsPermanent(outcome.Reason) || outcome.Reason == entry.ReasonInterrupted
+		shouldRetry := outcome.State == request.NotRun && !request.IsPermanentRefusal(outcome.Reason) || outcome.Reason == entry.ReasonInterrupted
 		if shouldRetry && ctx.Err() == nil {
 			w.ExistingAttempt = entry.FoundAttempt{}
 			w.FirstAttempt = outcome.NextAttempt
--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -281,9 +281,9 @@
 	reasonAbandoned = "abandoned"
 )
 
-// IsPermanent reports whether a task that was refused for the given reason
+// IsPermanentRefusal reports whether a task that was refused for the given reason
 // would be refused again later.
-func IsPermanent(reason string) bool {
+func IsPermanentRefusal(reason string) bool {
 	switch reason {
 	case entry.ReasonCancelled, string(allocator.KindUnknownPlan), string(allocator.KindClassNotAllowed),
 		string(allocator.KindPlanLimit), string(allocator.KindDeadlineUnreachable), string(allocator.KindDeadlineOver),
@@ -301,7 +301,7 @@
 	if reason == string(allocator.KindTooLarge) {
 		return false
 	}
-	return reason == string(allocator.KindShed) || IsPermanent(reason)
+	return reason == string(allocator.KindShed) || IsPermanentRefusal(reason)
 }
 
 // remainingTime returns the time until the deadline, or zero when there is no
