--- a/internal/node/daemon/node.go
+++ b/internal/node/daemon/node.go
@@ -135,7 +135,7 @@
 		return nil, err
 	}
 	dial := func(v vmlist.VM) worker.Peer { return worker.New(v.Address, workers) }
-	n.owner = owner.New(ctx, c.Settings.Name, n.incarnation, owner.DefaultTiming, owner.Limits{Waiting: c.Settings.WaitingLimit, PayloadBytes: c.Settings.PayloadLimitBytes}, dial, startObserver{registry}, c.Log)
+	n.owner = owner.New(ctx, c.Settings.Name, n.incarnation, owner.DefaultTiming, owner.Limits{MaxWaiting: c.Settings.WaitingLimit, PayloadBytes: c.Settings.PayloadLimitBytes}, dial, startObserver{registry}, c.Log)
 	n.configuration = configuration.New(n.handleConfigurationChange)
 	n.recorder = recorder.New(ctx, n.logService, totalAppendsPerSecond)
 	n.claims = claim.New(n.recorder, n.logService, time.Now)
--- a/internal/node/owner/owner.go
+++ b/internal/node/owner/owner.go
@@ -68,8 +68,8 @@
 
 // Limits bounds the memory that an owner uses for attempts.
 type Limits struct {
-	// Waiting is the maximum number of waiting attempts.
-	Waiting int
+	// MaxWaiting is the maximum number of waiting attempts.
+	MaxWaiting int
 	// PayloadBytes is the maximum total size of the payloads of attempts that
 	// have not ended.
 	PayloadBytes int64
@@ -156,7 +156,7 @@
 		name: name, epoch: incarnation, lastTick: time.Now(), timing: t, dial: dial, observer: o, log: log, ctx: ctx,
 		wake:               make(chan struct{}, 1),
 		firstWorkerAdopted: make(chan struct{}, 1),
-		alloc:              allocator.New(placement.Balanced{}, allocator.Limits{Waiting: limits.Waiting, UrgentWait: t.UrgentWait}),
+		alloc:              allocator.New(placement.Balanced{}, allocator.Limits{Waiting: limits.MaxWaiting, UrgentWait: t.UrgentWait}),
 		attempts:           map[string]*attempt{}, sessions: map[string]*session{}, payloadLimit: limits.PayloadBytes, ejectionTracker: ejection.New(), usageMeter: usage.New(name, time.Now()), fencedTasks: map[string]fencedTask{},
 	}
 	go w.loop()
--- a/internal/node/owner/owner_test.go
+++ b/internal/node/owner/owner_test.go
@@ -116,7 +116,7 @@
 func startOwner(is *is.I, w worker.Peer, observer owner.Observer) (*owner.Owner, context.CancelFunc) {
 	is.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	o := owner.New(ctx, "o", 1, owner.DefaultTiming, owner.Limits{Waiting: 10, PayloadBytes: 1000}, func(vmlist.VM) worker.Peer { return w }, observer, logr.Discard())
+	o := owner.New(ctx, "o", 1, owner.DefaultTiming, owner.Limits{MaxWaiting: 10, PayloadBytes: 1000}, func(vmlist.VM) worker.Peer { return w }, observer, logr.Discard())
 	x, err := plan.NewIndex(plan.Lists{
 		Customers:    plan.Customers{Customers: []plan.Customer{{Name: "c", Plans: []string{"p"}}}},
 		Entitlements: plan.Entitlements{Plans: []plan.Entitlement{{Plan: "p", PromisedShare: 1, LimitShare: 1, QueueLimit: 10, Classes: plan.Classes[:]}}},
--- a/internal/node/request/resolve_test.go
+++ b/internal/node/request/resolve_test.go
@@ -88,7 +88,7 @@
 		net := &fakeNetwork{random: rand.New(rand.NewPCG(1, 1)), history: h, reliable: true}
 		w := &fakeWorker{network: net, name: "w", records: map[string]*worker.Record{}, changed: make(chan struct{})}
 		ctx, cancel := context.WithCancel(context.Background())
-		o := owner.New(ctx, "o", 1, owner.DefaultTiming, owner.Limits{Waiting: 10, PayloadBytes: 1 << 20}, func(vmlist.VM) worker.Peer { return workerLink{w, "o"} }, noopObserver{}, logr.Discard())
+		o := owner.New(ctx, "o", 1, owner.DefaultTiming, owner.Limits{MaxWaiting: 10, PayloadBytes: 1 << 20}, func(vmlist.VM) worker.Peer { return workerLink{w, "o"} }, noopObserver{}, logr.Discard())
 		x, err := plan.NewIndex(plan.Lists{
 			Customers:    plan.Customers{Customers: []plan.Customer{{Name: "c", Plans: []string{"p"}}}},
 			Entitlements: plan.Entitlements{Plans: []plan.Entitlement{{Plan: "p", PromisedShare: 1, LimitShare: 1, QueueLimit: 10, Classes: plan.Classes[:]}}},
--- a/internal/node/request/runner_test.go
+++ b/internal/node/request/runner_test.go
@@ -398,7 +398,7 @@
 		}
 		return nil
 	}
-	o := owner.New(ctx, name, d.lastIncarnation, owner.DefaultTiming, owner.Limits{Waiting: 1000, PayloadBytes: 1 << 20}, dial, noopObserver{}, logr.Discard())
+	o := owner.New(ctx, name, d.lastIncarnation, owner.DefaultTiming, owner.Limits{MaxWaiting: 1000, PayloadBytes: 1 << 20}, dial, noopObserver{}, logr.Discard())
 	o.SetPlans(x)
 	d.owners[name], d.incarnations[name], d.stopFuncs[name] = o, d.lastIncarnation, cancel
 }
