--- a/internal/node/daemon/node.go
+++ b/internal/node/daemon/node.go
@@ -118,8 +118,8 @@
 	counters := &traffic.Counters{}
 	counters.Publish("traffic_bytes")
 	cut := isolation.New()
-	platform := cut.WrapClient(isolation.Platform, traffic.Client(&counters.Platform))
-	workers := traffic.Client(&counters.Workers)
+	platform := cut.WrapClient(isolation.Platform, traffic.NewHTTPClient(&counters.Platform))
+	workers := traffic.NewHTTPClient(&counters.Workers)
 	n := &Node{
 		Common: c, incarnation: uint64(time.Now().UnixMilli()), context: ctx, cancel: cancel,
 		logService: logservice.New(c.Settings.Log, platform),
--- a/internal/operate/traffic/traffic.go
+++ b/internal/operate/traffic/traffic.go
@@ -76,8 +76,8 @@
 	maxIdleConnsPerHost = 16
 )
 
-// Client returns an HTTP client whose connections count their bytes in counter.
-func Client(counter *Counter) *http.Client {
+// NewHTTPClient returns an HTTP client whose connections count their bytes in counter.
+func NewHTTPClient(counter *Counter) *http.Client {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: keepAliveInterval}
 	return &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: maxIdleConnsPerHost,
