--- a/internal/cell/work/job.go
+++ b/internal/cell/work/job.go
@@ -123,32 +123,32 @@
 		return fault.Newf("validate", KindInvalid, format, args...)
 	}
 	if len(j.Steps) == 0 || len(j.Steps) > MaxSteps {
-		return invalid("a job must have 1 to %d steps, not %d", MaxSteps, len(j.Steps))
+		return invalid("a job has 1 to %d steps, not %d", MaxSteps, len(j.Steps))
 	}
 	tasks := 0
 	for i := range j.Steps {
 		s := &j.Steps[i]
 		if s.Count < 1 {
-			return invalid("step %d has %d tasks, must have at least 1", i, s.Count)
+			return invalid("step %d has %d tasks", i, s.Count)
 		}
 		tasks += s.Count
 		if tasks > MaxTasks {
-			return invalid("a job must have at most %d tasks", MaxTasks)
+			return invalid("a job has at most %d tasks", MaxTasks)
 		}
 		if problem := s.Size.Validate(); problem != "" {
 			return invalid("step %d: %s", i, problem)
 		}
 		if s.Estimate < 0 || s.MostPerWorker < 0 || s.DisruptionBudget < 0 || s.Target < 0 {
-			return invalid("step %d: estimate, limit of tasks per worker, disruption budget and target must not be negative", i)
+			return invalid("step %d has a negative number", i)
 		}
 		for _, a := range s.After {
 			if a < 0 || a >= i {
-				return invalid("step %d depends on step %d, which is not an earlier one", i, a)
+				return invalid("step %d comes after step %d, which is not an earlier one", i, a)
 			}
 		}
 	}
 	if j.Repeat != nil && (j.Repeat.Count < 1 || j.Repeat.Interval < 0) {
-		return invalid("a repeated job must have a count of at least 1 and an interval that is not negative")
+		return invalid("a repeated job needs a count of at least 1 and an interval that is not negative")
 	}
 	return nil
 }
