--- a/internal/cell/queue/table.go
+++ b/internal/cell/queue/table.go
@@ -1,5 +1,5 @@
-// Package queue holds the configuration that operators publish: the queues to
-// which callers submit jobs, and the services whose workers run the tasks.
+// Package queue holds the configuration that operators publish: the queues to which
+// callers submit jobs, and the services whose workers run the tasks of these jobs.
 package queue
 
 import (
@@ -17,69 +17,70 @@
 	Prefix string
 	// Service is the name of the service whose workers run the tasks.
 	Service string
-	// Priority orders queues; 0 is the most urgent.
+	// Priority orders the queues: jobs of a queue with a lower number are placed
+	// first. 0 is the most urgent.
 	Priority int
-	// MaxAttempts is the number of failures of a task after which its job
+	// MaxAttempts is the number of failed runs of one task after which the whole job
 	// fails; 0 means no limit.
 	MaxAttempts int
-	// Stretch and Objective define how soon a job should complete: Stretch
-	// times the declared run time of its critical path, plus Objective.
+	// Stretch and Objective define the time within which a job should complete:
+	// Stretch times the declared run time of its critical path, plus Objective.
 	Stretch   float64
 	Objective time.Duration
 	// Timeout is the time within which a caller gets an answer; 0 means no
 	// limit.
 	Timeout time.Duration
-	// Advice is nil if tasks may run on any worker of the service. Otherwise an
-	// adviser must be asked which workers a step may use.
+	// Advice is nil if tasks may run on any worker of the service. Otherwise the
+	// scheduler must ask an adviser service which workers a step may use.
 	Advice *AdviceCost
 }
 
-// AdviceCost describes the requests to an adviser: a service that returns which
-// of the given workers may run a step, with a ticket for each of them. A
-// request is expected to take Fixed, plus PerWorker for each worker in it.
-// Tickets expire after Validity.
+// AdviceCost describes how long requests to the adviser take. The adviser is a
+// service that returns which of the given workers may run a step, with a ticket for
+// each of them. A request is expected to take Fixed, plus PerWorker for each worker
+// in it. A ticket expires when it is older than Validity.
 type AdviceCost struct {
 	Fixed     time.Duration
 	PerWorker time.Duration
 	Validity  time.Duration
 }
 
-// RequestDuration returns the expected duration of a request to the adviser about a number
-// of workers.
+// RequestDuration returns the time that a request about this number of workers is
+// expected to take.
 func (c *AdviceCost) RequestDuration(workers int) time.Duration {
 	return c.Fixed + time.Duration(workers)*c.PerWorker
 }
 
-// LateFactor is the multiple of Allowance after which the result of a job has
-// no more value to its caller.
-const LateFactor = 3
+// AllowancesUntilUseless is the multiple of Allowance after which the result of a job
+// is useless to its caller.
+const AllowancesUntilUseless = 3
 
-// Allowance returns the time within which a job should complete, given the
+// Allowance returns the time within which a job should complete. criticalPath is the
 // declared run time of its critical path.
 func (q *Queue) Allowance(criticalPath time.Duration) time.Duration {
 	return time.Duration(q.Stretch*float64(criticalPath)) + q.Objective
 }
 
-// Service is a pool of workers.
+// Service is a pool of workers that run tasks for the same queues.
 type Service struct {
 	Name string
-	// ChecksRoom is set when workers refuse tasks that do not fit their free
-	// capacity.
+	// ChecksRoom is set when the workers themselves refuse tasks that do not fit into
+	// their free capacity.
 	ChecksRoom bool
-	// Standby is set when no workers of the service are switched on.
+	// Standby is set when all workers of the service are switched off.
 	Standby bool
 }
 
 // Table is one version of the configuration.
 type Table struct {
-	// Version increases with each change.
+	// Version is higher in each later version of the configuration.
 	Version  int64
 	Queues   []Queue
 	Services map[string]Service
 	// MaxBody is the largest size of a request body in bytes; 0 means no limit.
 	MaxBody int64
-	// Text is the configuration as it was published. Entry VMs pass it on to
-	// each other.
+	// Text is the configuration as the operator published it. Entry VMs pass this
+	// text on to each other.
 	Text []byte
 
 	// indexOnce guards byName and byHost, which are built from Queues on first
--- a/internal/cell/scheduler/advice.go
+++ b/internal/cell/scheduler/advice.go
@@ -12,66 +12,76 @@
 )
 
 const (
-	// maxWorkersPerRequest limits the workers named in one request.
+	// maxWorkersPerRequest is the largest number of workers that one request for
+	// advice may name.
 	maxWorkersPerRequest = 30
-	// minTicketValidity is the remaining validity that a ticket needs to be used. It
-	// covers storing the placement and sending the order.
+	// minTicketValidity is how long a ticket must still be valid for a task to be
+	// placed with it. In this time the placement is stored and the start order is
+	// sent.
 	minTicketValidity = 120 * time.Millisecond
-	// requestOverlap is how long before the expected answer a VM gets its next
-	// request. It covers the network round trip.
+	// requestOverlap is how long before the expected answer to its current request a
+	// VM is sent the next one. It covers the network round trip.
 	requestOverlap = 15 * time.Millisecond
-	// requestTimeoutMargin is added to the expected time of a request to get its
-	// timeout.
+	// requestTimeoutMargin is the time by which the timeout of a request exceeds the
+	// time that the request is expected to take.
 	requestTimeoutMargin = 400 * time.Millisecond
-	// failedRequestPause is how long a VM gets no request after one that failed:
-	// about as long as the adviser still works on the requests that the VM has sent
-	// to it.
+	// failedRequestPause is how long a VM is sent no request after one of its
+	// requests failed. The adviser works for about that long on the requests that the
+	// VM has already sent to it.
 	failedRequestPause = 600 * time.Millisecond
-	// maxServiceShare is the largest share of the VMs that may be busy with requests
-	// for one service, so that its slow requests do not delay those of other
-	// services.
-	maxServiceShare = 0.7
-	// slowRequestTime is the time from which on a request keeps a VM busy for longer
-	// than urgent jobs can wait. At most maxSlowShare of the VMs are busy with such
-	// requests.
-	slowRequestTime = 300 * time.Millisecond
-	maxSlowShare    = 0.5
-	// shortRequestTime is the time up to which a request delays no others, so that
-	// it is not limited.
-	shortRequestTime = 60 * time.Millisecond
-	// maxStepsAhead limits the steps of a service that request advice while there is
-	// no room for them.
-	maxStepsAhead = 6
-	// requestLead is how long before its expected opening a step requests advice.
-	requestLead = 500 * time.Millisecond
+	// maxVMSharePerService is the largest share of the VMs that may be busy with
+	// requests for one service. It keeps the slow requests of one service from
+	// delaying those of other services.
+	maxVMSharePerService = 0.7
+	// A request that takes minSlowRequestTime or longer is slow: it keeps a VM busy
+	// for longer than urgent jobs can wait. At most the share
+	// maxVMShareForSlowRequests of the VMs may be busy with slow requests.
+	minSlowRequestTime        = 300 * time.Millisecond
+	maxVMShareForSlowRequests = 0.5
+	// A request that takes at most maxShortRequestTime is short. Short requests delay
+	// no others, so their number is not limited.
+	maxShortRequestTime = 60 * time.Millisecond
+	// maxStepsWithoutRoom is the largest number of steps of one service that may
+	// request advice while no worker has enough free capacity for their tasks.
+	maxStepsWithoutRoom = 6
+	// A step that is not open yet requests advice early enough for the answer to
+	// arrive adviceLeadTime before the step is expected to open.
+	adviceLeadTime = 500 * time.Millisecond
 )
 
-// advice holds the answers of the adviser for a step.
+// advice holds the answers of the adviser about one step, and the workers reserved
+// for the step.
 type advice struct {
-	// tickets maps the approved workers to their tickets, which may have expired.
+	// tickets maps the workers that the adviser has approved to their tickets. A
+	// ticket in it may have expired.
 	tickets map[*worker]ticket
-	// answered holds every worker that the adviser has approved or rejected.
+	// answered contains every worker that the adviser has either approved or
+	// rejected.
 	answered map[*worker]bool
-	// awaited holds the workers named in requests in flight.
-	awaited map[*worker]bool
-	// reserved lists the workers that the last plan reserved for the step.
-	// reservedFreeIn is the expected time from that plan until they have room.
-	reserved       []*worker
-	reservedFreeIn time.Duration
+	// awaitingAnswer contains the workers named in requests that the adviser has not
+	// answered yet.
+	awaitingAnswer map[*worker]bool
+	// reservedWorkers lists the workers that the last scheduling pass reserved for
+	// the step. reservedFreeIn is the time, from that pass on, after which all of
+	// them (for a gang) or the first of them (for other steps) should have enough
+	// free capacity.
+	reservedWorkers []*worker
+	reservedFreeIn  time.Duration
 }
 
-// ticket allows a start on one worker; text is the ticket as the adviser issued it.
+// ticket permits a task of the step to start on one worker. text is the ticket as the
+// adviser issued it.
 type ticket struct {
-	text    string
-	expires time.Time
+	text      string
+	expiresAt time.Time
 }
 
 func (a *advice) ticketText(w *worker) string { return a.tickets[w].text }
 
-// expireTicket marks the ticket for a worker as expired.
+// expireTicket makes the ticket for a worker unusable, if there is one.
 func (a *advice) expireTicket(w *worker) {
 	if t, ok := a.tickets[w]; ok {
-		t.expires = time.Time{}
+		t.expiresAt = time.Time{}
 		a.tickets[w] = t
 	}
 }
@@ -79,10 +89,11 @@
 // hasValidTicket reports whether a ticket for a worker can be used now.
 func (a *advice) hasValidTicket(w *worker, now time.Time) bool {
 	t, ok := a.tickets[w]
-	return ok && t.expires.Sub(now) > minTicketValidity
+	return ok && t.expiresAt.Sub(now) > minTicketValidity
 }
 
-// AdviceRequest is a request for advice that an entry VM has to send to the adviser service.
+// AdviceRequest is a request for advice about Step. The caller of the scheduler must
+// have the entry VM named VM send it to the adviser.
 type AdviceRequest struct {
 	Number  int64
 	VM      string
@@ -91,50 +102,54 @@
 	Timeout time.Duration
 }
 
-// adviceDispatcher distributes requests for advice over the entry VMs. A VM sends
+// adviceDispatcher distributes requests for advice over the entry VMs. Each VM sends
 // its requests to the adviser one at a time.
 type adviceDispatcher struct {
 	vms map[string]*adviceVM
-	// pending maps the steps that need tickets, as of the last plan, to their
-	// queues.
-	pending    map[*step]*queue.Queue
-	inFlight   map[int64]inFlightRequest
-	lastNumber int64
-	// approvedShares maps a queue to the moving average of the share of workers that
-	// the adviser approved in each answer.
-	approvedShares map[string]float64
+	// pendingSteps maps each step to its queue. It contains the steps that needed
+	// tickets in the last scheduling pass and have not requested them since.
+	pendingSteps      map[*step]*queue.Queue
+	inFlight          map[int64]inFlightRequest
+	lastRequestNumber int64
+	// approvalRates maps the name of a queue to a moving average: the share of the
+	// workers named in a request that the adviser approves.
+	approvalRates map[string]float64
 }
 
-// defaultApprovedShare is assumed for queues without an answer yet.
-const defaultApprovedShare = 0.4
+// defaultApprovalRate is the approval rate assumed for a queue until the adviser has
+// answered its first request.
+const defaultApprovalRate = 0.4
 
-// approvedShare returns the expected share of approved workers in a request.
-func (a *adviceDispatcher) approvedShare(queueName string) float64 {
-	if share, ok := a.approvedShares[queueName]; ok {
+// approvalRate returns the share of the workers in a request that the adviser is
+// expected to approve.
+func (a *adviceDispatcher) approvalRate(queueName string) float64 {
+	if share, ok := a.approvalRates[queueName]; ok {
 		return share
 	}
-	return defaultApprovedShare
+	return defaultApprovalRate
 }
 
-// recordApprovedShare updates the average of a queue with the share of one answer.
-func (a *adviceDispatcher) recordApprovedShare(queueName string, share float64) {
-	a.approvedShares[queueName] = a.approvedShare(queueName) + averageWeight*(share-a.approvedShare(queueName))
+// recordApprovalRate updates the moving average of a queue with the share of workers
+// that one answer approved.
+func (a *adviceDispatcher) recordApprovalRate(queueName string, share float64) {
+	a.approvalRates[queueName] = a.approvalRate(queueName) + movingAverageWeight*(share-a.approvalRate(queueName))
 }
 
-// adviceVM is an entry VM that can request advice.
+// adviceVM is the state of an entry VM that can request advice.
 type adviceVM struct {
-	// requestsInFlight counts the requests sent to the VM, which handles them one
-	// after the other. busyUntil is when it is expected to have answered the last.
+	// requestsInFlight counts the unanswered requests sent to the VM, which handles
+	// them one after the other. busyUntil is the time at which the last of them is
+	// expected to be answered.
 	requestsInFlight int
 	busyUntil        time.Time
-	pauseUntil       time.Time
+	pausedUntil      time.Time
 }
 
-// requestSpec is a request to send: the workers to ask about, and how long the
+// requestSpec describes a request to send: the workers to ask about, and how long the
 // adviser needs for them.
 type requestSpec struct {
-	workers []*worker
-	cost    *queue.AdviceCost
+	workers    []*worker
+	adviceCost *queue.AdviceCost
 }
 
 type inFlightRequest struct {
@@ -143,15 +158,16 @@
 	workers []*worker
 	// expectedTime is how long the adviser needs for the request.
 	expectedTime time.Duration
-	sent         time.Time
-	expires      time.Time
+	sentAt       time.Time
+	expiresAt    time.Time
 }
 
 func newAdviceDispatcher() adviceDispatcher {
-	return adviceDispatcher{vms: map[string]*adviceVM{}, pending: map[*step]*queue.Queue{}, inFlight: map[int64]inFlightRequest{}, approvedShares: map[string]float64{}}
+	return adviceDispatcher{vms: map[string]*adviceVM{}, pendingSteps: map[*step]*queue.Queue{}, inFlight: map[int64]inFlightRequest{}, approvalRates: map[string]float64{}}
 }
 
-// SetAdviceVMs replaces the list of entry VMs that can request advice.
+// SetAdviceVMs sets the entry VMs that can request advice. VMs that are not in names
+// are removed.
 func (s *Scheduler) SetAdviceVMs(names []string) {
 	for _, n := range names {
 		if s.dispatcher.vms[n] == nil {
@@ -163,25 +179,25 @@
 			delete(s.dispatcher.vms, n)
 		}
 	}
-	s.planNeeded = true
+	s.schedulingNeeded = true
 }
 
-func (a *adviceDispatcher) dequeue(st *step) { delete(a.pending, st) }
+func (a *adviceDispatcher) dequeue(st *step) { delete(a.pendingSteps, st) }
 
-// enqueue adds a step that needs tickets. Steps of queues that need no advice are
-// ignored.
+// enqueue adds a step that needs tickets. It does nothing if the queue needs no
+// advice.
 func (a *adviceDispatcher) enqueue(st *step, q *queue.Queue) {
 	if q.Advice != nil {
-		a.pending[st] = q
+		a.pendingSteps[st] = q
 	}
 }
 
-// idleVM returns the VM that can take a request and has been idle for longest; ok
-// is false if there is none.
+// idleVM returns the VM that can take a request and has been idle the longest. ok is
+// false if every VM is busy or paused.
 func (a *adviceDispatcher) idleVM(now time.Time) (name string, ok bool) {
 	var longestIdle *adviceVM
 	for n, v := range a.vms {
-		if !now.After(v.pauseUntil) || (v.requestsInFlight > 0 && v.busyUntil.Sub(now) >= requestOverlap) {
+		if !now.After(v.pausedUntil) || (v.requestsInFlight > 0 && v.busyUntil.Sub(now) >= requestOverlap) {
 			continue
 		}
 		if longestIdle == nil || cmp.Or(v.busyUntil.Compare(longestIdle.busyUntil), cmp.Compare(n, name)) < 0 {
@@ -191,33 +207,33 @@
 	return name, longestIdle != nil
 }
 
-// sendRequest sends a request for a step through an entry VM.
+// sendRequest has an entry VM send a request for advice about a step.
 func (s *Scheduler) sendRequest(st *step, q requestSpec, vm string, now time.Time) {
 	a := &s.dispatcher
-	delete(a.pending, st)
-	a.lastNumber++
-	v, cost := a.vms[vm], q.cost.RequestDuration(len(q.workers))
+	delete(a.pendingSteps, st)
+	a.lastRequestNumber++
+	v, cost := a.vms[vm], q.adviceCost.RequestDuration(len(q.workers))
 	if v.requestsInFlight == 0 {
 		v.busyUntil = now
 	}
 	timeout := max(v.busyUntil.Sub(now), 0) + cost + requestTimeoutMargin
 	v.requestsInFlight++
 	v.busyUntil = v.busyUntil.Add(cost)
-	if st.advice.awaited == nil {
-		st.advice.awaited = map[*worker]bool{}
+	if st.advice.awaitingAnswer == nil {
+		st.advice.awaitingAnswer = map[*worker]bool{}
 	}
-	a.inFlight[a.lastNumber] = inFlightRequest{step: st, vm: vm, workers: q.workers, expectedTime: cost, sent: now, expires: now.Add(timeout + requestTimeoutMargin)}
+	a.inFlight[a.lastRequestNumber] = inFlightRequest{step: st, vm: vm, workers: q.workers, expectedTime: cost, sentAt: now, expiresAt: now.Add(timeout + requestTimeoutMargin)}
 	ids := make([]string, len(q.workers))
 	for i, w := range q.workers {
 		w.requestsInFlight++
-		st.advice.awaited[w] = true
+		st.advice.awaitingAnswer[w] = true
 		ids[i] = w.registration.Life.ID
 	}
-	s.effects.AdviceRequests = append(s.effects.AdviceRequests, AdviceRequest{Number: a.lastNumber, VM: vm, Step: st.id, Workers: ids, Timeout: timeout})
+	s.effects.AdviceRequests = append(s.effects.AdviceRequests, AdviceRequest{Number: a.lastRequestNumber, VM: vm, Step: st.id, Workers: ids, Timeout: timeout})
 }
 
-// AdviceAnswered handles the answer to a request. failed means that there was no
-// answer.
+// AdviceAnswered handles the answer to the request with a number. If failed is true,
+// the request was not answered.
 func (s *Scheduler) AdviceAnswered(number int64, answer backend.Advice, failed bool, now time.Time) {
 	o, ok := s.dispatcher.inFlight[number]
 	if !ok {
@@ -226,15 +242,15 @@
 	delete(s.dispatcher.inFlight, number)
 	for _, w := range o.workers {
 		w.requestsInFlight--
-		delete(o.step.advice.awaited, w)
+		delete(o.step.advice.awaitingAnswer, w)
 	}
 	s.dispatcher.finishRequest(o.vm, failed, now)
-	s.planNeeded = true
+	s.schedulingNeeded = true
 	if failed {
 		s.log.Info("advice_failed", "job", o.step.id.Job, "step", o.step.id.Step, "vm", o.vm)
 		return
 	}
-	s.addObservation("advice", o.step.job, now.Sub(o.sent))
+	s.addObservation("advice", o.step.job, now.Sub(o.sentAt))
 	a := &o.step.advice
 	if a.answered == nil {
 		a.answered, a.tickets = map[*worker]bool{}, map[*worker]ticket{}
@@ -242,16 +258,16 @@
 	for _, w := range o.workers {
 		a.answered[w] = true
 		if text, approved := answer.Tickets[w.registration.Life.ID]; approved {
-			a.tickets[w] = ticket{text: text, expires: now.Add(answer.Validity)}
+			a.tickets[w] = ticket{text: text, expiresAt: now.Add(answer.Validity)}
 		}
 	}
-	s.dispatcher.recordApprovedShare(o.step.job.spec.Queue, float64(len(answer.Tickets))/float64(len(o.workers)))
-	s.log.Info("advice_received", "job", o.step.id.Job, "step", o.step.id.Step, "vm", o.vm, "asked", len(o.workers), "good", len(answer.Tickets), "took_ms", now.Sub(o.sent).Milliseconds())
-	s.planUrgentJob(o.step.job, now)
+	s.dispatcher.recordApprovalRate(o.step.job.spec.Queue, float64(len(answer.Tickets))/float64(len(o.workers)))
+	s.log.Info("advice_received", "job", o.step.id.Job, "step", o.step.id.Step, "vm", o.vm, "asked", len(o.workers), "good", len(answer.Tickets), "took_ms", now.Sub(o.sentAt).Milliseconds())
+	s.scheduleUrgentJob(o.step.job, now)
 }
 
-// finishRequest updates a VM after one of its requests was answered or has failed. The
-// expected times of its other requests are counted from now.
+// finishRequest updates the state of a VM after one of its requests was answered or
+// failed. The VM is then expected to start on its next request now.
 func (a *adviceDispatcher) finishRequest(name string, failed bool, now time.Time) {
 	v := a.vms[name]
 	if v == nil {
@@ -265,14 +281,14 @@
 		}
 	}
 	if failed {
-		v.pauseUntil = now.Add(failedRequestPause)
+		v.pausedUntil = now.Add(failedRequestPause)
 	}
 }
 
-// expireRequests treats requests that have timed out as failed.
+// expireRequests handles requests that have timed out in the same way as failed ones.
 func (s *Scheduler) expireRequests(now time.Time) {
 	for _, number := range slices.Sorted(maps.Keys(s.dispatcher.inFlight)) {
-		if o := s.dispatcher.inFlight[number]; now.After(o.expires) {
+		if o := s.dispatcher.inFlight[number]; now.After(o.expiresAt) {
 			s.AdviceAnswered(number, backend.Advice{}, true, now)
 		}
 	}
--- a/internal/cell/scheduler/advice_test.go
+++ b/internal/cell/scheduler/advice_test.go
@@ -16,15 +16,15 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// adviceTestTable has one queue with slow requests for advice and one with short
-// requests.
+// adviceTestTable has two queues: requests for advice are slow for the queue "long"
+// and fast for the queue "short".
 var adviceTestTable = &queue.Table{Version: 1, Queues: []queue.Queue{
 	{Name: "long", Service: "bench", Priority: 1, Stretch: 2, Objective: time.Second, Advice: &queue.AdviceCost{Fixed: 600 * time.Millisecond, Validity: 2 * time.Second}},
 	{Name: "short", Service: "desk", Priority: 2, Stretch: 2, Objective: time.Second, Advice: &queue.AdviceCost{Fixed: 20 * time.Millisecond, Validity: 2 * time.Second}},
 }}
 
-// newAdvisedScheduler returns a scheduler with six workers of two services, each of
-// which has answered a hold.
+// newAdvisedScheduler returns a scheduler with three workers for each of two
+// services. Each worker has answered a hold.
 func newAdvisedScheduler(now time.Time, vms int) *scheduler.Scheduler {
 	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, HoldWait: time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
 	s.SetTable(adviceTestTable)
@@ -37,8 +37,8 @@
 	return s
 }
 
-// After an outage all jobs request advice at once, and the slow requests come
-// first.
+// After an outage all jobs request advice at once, the ones with slow requests first.
+// The slow requests must not keep all VMs busy.
 func TestLongQuestionsLeaveVMsForShortOnes(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
@@ -56,8 +56,8 @@
 	is.Equal(requests, map[string]int{"long": 4, "shor": 4})
 }
 
-// approveAllRequests answers the requests in flight with tickets for all workers,
-// and returns the number of workers named in them.
+// approveAllRequests answers all unanswered requests for advice with tickets for all
+// workers named in them. It returns the number of these workers.
 func approveAllRequests(s *scheduler.Scheduler, at time.Time) (workers int) {
 	for _, a := range s.TakeEffects().AdviceRequests {
 		answer := backend.Advice{Tickets: map[string]string{}, Validity: 2 * time.Second}
@@ -70,24 +70,25 @@
 	return workers
 }
 
-// A gang needs all three workers of its service, and a request takes a large part
-// of the time for which a ticket is valid. All three tickets have to be refreshed
-// together, or they are never all valid at once.
+// A gang needs all three workers of its service, and a request takes a large part of
+// the time for which a ticket is valid. All three tickets must be renewed together,
+// or they would never all be valid at once.
 func TestTicketsOfAGangAreValidAtOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
 	s := newAdvisedScheduler(now, 1)
-	s.Submit(&work.Job{ID: "gang", Queue: "long", Accepted: now, Steps: []work.Step{{Count: 3, Gang: true, Size: workerSize, Estimate: time.Second}}}, now)
+	s.Submit(&work.Job{ID: "gang", Queue: "long", Accepted: now, Steps: []work.Step{{Count: 3, Gang: true, Size: workerCapacity, Estimate: time.Second}}}, now)
 	s.Plan(now)
 	now = now.Add(600 * time.Millisecond)
 	is.Equal(approveAllRequests(s, now), 3)
-	// The workers are silent for a while, so the gang cannot start.
+	// The gang cannot start, because the workers have been silent for too long.
 	now = now.Add(1500 * time.Millisecond)
 	s.Plan(now)
-	is.Equal(approveAllRequests(s, now.Add(600*time.Millisecond)), 3) // The tickets would expire before the answer.
+	is.Equal(approveAllRequests(s, now.Add(600*time.Millisecond)), 3) // The tickets are still valid but would expire before the answer.
 }
 
-// A gang needs more approved workers than one request brings.
+// A gang needs tickets for more workers than one request can bring, so it must have
+// several requests in flight at the same time.
 func TestQuestionsForAWideGangGoSideBySide(t *testing.T) {
 	scenarios := []struct {
 		testName string
@@ -111,8 +112,8 @@
 	}
 }
 
-// Long requests have used up their share of the VMs. Then urgent jobs of the same
-// service are submitted, some of them too late to complete in time.
+// Slow requests keep the largest permitted share of the VMs busy. Then urgent jobs of
+// the same service are submitted, some of them too late to complete in time.
 func TestShortQuestionsOfABurst(t *testing.T) {
 	table := &queue.Table{Version: 2, Queues: []queue.Queue{
 		{Name: "long", Service: "desk", Priority: 2, Stretch: 2, Objective: time.Second, Advice: &queue.AdviceCost{Fixed: 200 * time.Millisecond, Validity: 2 * time.Second}},
@@ -121,8 +122,8 @@
 	scenarios := []struct {
 		testName string
 		vms      int
-		// ages are those of the urgent jobs, which have about two seconds to complete
-		// in time.
+		// ages are the times since the urgent jobs were accepted. Each job has about
+		// two seconds to complete in time.
 		ages     []time.Duration
 		expected []string
 	}{
@@ -144,7 +145,7 @@
 				s.Submit(&work.Job{ID: fmt.Sprintf("short-%d", i), Queue: "short", Accepted: now.Add(-age), Steps: []work.Step{{Count: 1, Size: taskSize, Estimate: time.Second}}}, now)
 			}
 			if sc.vms == 8 {
-				s.SetAdviceVMs([]string{"vm-0", "vm-1", "vm-2", "vm-3", "vm-4", "vm-5"}) // One of the VMs is idle.
+				s.SetAdviceVMs([]string{"vm-0", "vm-1", "vm-2", "vm-3", "vm-4", "vm-5"}) // Only one VM is still idle.
 			}
 			s.Plan(now)
 			var requested []string
@@ -156,8 +157,8 @@
 	}
 }
 
-// An urgent job that is submitted between two plans is handled at once. Other jobs
-// wait for the next plan.
+// An urgent job that is submitted between two scheduling passes must be scheduled at
+// once. Other jobs wait for the next pass.
 func TestUrgentJobsDoNotWaitForAPlan(t *testing.T) {
 	scenarios := []struct {
 		testName string
--- a/internal/cell/scheduler/bench_test.go
+++ b/internal/cell/scheduler/bench_test.go
@@ -12,12 +12,13 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// BenchmarkPlan measures a plan while all workers are full and many jobs wait.
+// BenchmarkPlan measures a scheduling pass while all workers are full and many jobs
+// wait.
 func BenchmarkPlan(b *testing.B) {
 	for _, workers := range []int{50, 350, 1100, 3000} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			sm := newSimulation(1, faults{})
-			sm.addWorkers(workers, workerSize)
+			sm.addWorkers(workers, workerCapacity)
 			l := sm.electLeader()
 			for i := range workers * 2 {
 				j := &work.Job{ID: fmt.Sprintf("job-%d", i), Queue: "advised", Steps: []work.Step{{Count: 6, Size: taskSize, Estimate: time.Second}}}
@@ -32,17 +33,17 @@
 	}
 }
 
-// workloadEntry is a queue of a large fleet with the shape and the rate of its
-// jobs.
-type workloadEntry struct {
-	queue     queue.Queue
-	perSecond float64
-	step      work.Step
+// queueWorkload is a queue of a large fleet, with the only step of its jobs and the
+// rate at which they arrive.
+type queueWorkload struct {
+	queue         queue.Queue
+	jobsPerSecond float64
+	step          work.Step
 }
 
 // workload is the load of a large fleet with two services. All its queues need
 // advice.
-var workload = []workloadEntry{
+var workload = []queueWorkload{
 	{queue.Queue{Name: "sort", Service: "desk", Priority: 0, MaxAttempts: 3, Stretch: 1.5, Objective: 250 * time.Millisecond, Advice: &queue.AdviceCost{Fixed: 27 * time.Millisecond, PerWorker: 390 * time.Microsecond, Validity: 2 * time.Second}},
 		54.6, work.Step{Count: 19, Size: resource.Vector{Milliprocessors: 17000, MemoryMebibytes: 31000}, Estimate: 700 * time.Millisecond, MostPerWorker: 2}},
 	{queue.Queue{Name: "draft", Service: "desk", Priority: 2, MaxAttempts: 4, Stretch: 4, Objective: 3 * time.Second, Advice: &queue.AdviceCost{Fixed: 182 * time.Millisecond, PerWorker: 2600 * time.Microsecond, Validity: 2 * time.Second}},
@@ -53,15 +54,15 @@
 		8, work.Step{Count: 32, Size: resource.Vector{Milliprocessors: 11000, MemoryMebibytes: 46000, Accelerators: 1}, Estimate: 3 * time.Second, MostPerWorker: 3}},
 }
 
-// newLargeSimulation returns a cell with 1,100 workers of two services and 147
-// entry VMs.
+// newLargeSimulation returns a simulation of a cell with 1,100 workers of two
+// services and 147 entry VMs.
 func newLargeSimulation() *simulation {
 	sm := newSimulation(1, faults{})
 	sm.table = &queue.Table{Version: 1}
 	for i := range workload {
 		sm.table.Queues = append(sm.table.Queues, workload[i].queue)
 	}
-	sm.adviceVMs, sm.useQueueAdviceTimes = nil, true
+	sm.adviceVMs, sm.useDeclaredAdviceTimes = nil, true
 	for i := range 147 {
 		sm.adviceVMs = append(sm.adviceVMs, fmt.Sprintf("vm-%d", i))
 	}
@@ -78,18 +79,19 @@
 	return sm
 }
 
-// submitWorkload submits the jobs that arrive within a duration.
+// submitWorkload submits as many jobs as arrive in a period of length d.
 func (sm *simulation) submitWorkload(d time.Duration) {
 	for i := range workload {
 		k := &workload[i]
-		for n := range int(k.perSecond * d.Seconds()) {
-			j := &work.Job{ID: fmt.Sprintf("%s-%d-%d", k.queue.Name, sm.lastSequence, n), Queue: k.queue.Name, Steps: []work.Step{k.step}}
+		for n := range int(k.jobsPerSecond * d.Seconds()) {
+			j := &work.Job{ID: fmt.Sprintf("%s-%d-%d", k.queue.Name, sm.lastEventSequence, n), Queue: k.queue.Name, Steps: []work.Step{k.step}}
 			sm.submit(j, fleet.TaskProfile{RunTime: k.step.Estimate})
 		}
 	}
 }
 
-// BenchmarkBacklog measures a plan for a large fleet with a backlog of jobs.
+// BenchmarkBacklog measures a scheduling pass for a large fleet with a backlog of
+// jobs.
 func BenchmarkBacklog(b *testing.B) {
 	for _, backlog := range []time.Duration{10 * time.Second, 50 * time.Second} {
 		b.Run(fmt.Sprintf("of=%s", backlog), func(b *testing.B) {
@@ -107,7 +109,7 @@
 }
 
 // BenchmarkHandIn measures the submission of an urgent job to a large fleet while
-// others wait.
+// other jobs wait.
 func BenchmarkHandIn(b *testing.B) {
 	sm := newLargeSimulation()
 	l := sm.electLeader()
--- a/internal/cell/scheduler/choose.go
+++ b/internal/cell/scheduler/choose.go
@@ -8,72 +8,72 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// canRun reports whether a worker has the label and the total capacity that tasks
-// of a step need.
-func canRun(w *worker, st *step) bool {
+// isCapable reports whether a worker could run a task of a step if it were empty: it
+// has the label that the step demands, and enough total capacity.
+func isCapable(w *worker, st *step) bool {
 	return w.registration.HasLabel(st.spec.Label) && st.spec.ReservedCapacity().Fits(w.registration.Capacity)
 }
 
-// maxAnswerDelay is how much longer than holdWait a worker may be silent and still
-// get new work.
+// maxAnswerDelay is added to holdWait. A worker that has been silent for longer than
+// the sum gets no new tasks.
 const maxAnswerDelay = 400 * time.Millisecond
 
-// chooseWorker returns the best worker for a task, or nil if none has room.
-// gangRacks counts, by rack, the members of the task's gang that are already
-// placed.
-func (s *Scheduler) chooseWorker(st *step, q *queue.Queue, t *task, reserved *reservations, gangRacks map[string]int, now time.Time) *worker {
-	c := workerSelection{scheduler: s, task: t, reserved: reserved, gangRacks: gangRacks, room: st.spec.ReservedCapacity(), now: now, expectedEnd: now.Add(s.runTimes.expectedOccupancy(st))}
+// chooseWorker returns the best worker for a task, or nil if no suitable worker has
+// enough free capacity. gangMembersByRack counts the already placed members of the
+// gang to which the task belongs.
+func (s *Scheduler) chooseWorker(st *step, q *queue.Queue, t *task, reserved *reservations, gangMembersByRack map[string]int, now time.Time) *worker {
+	c := workerSelection{scheduler: s, task: t, reserved: reserved, gangMembersByRack: gangMembersByRack, taskCapacity: st.spec.ReservedCapacity(), now: now, expectedEnd: now.Add(s.runTimes.expectedOccupancy(st))}
 	if q.Advice == nil {
 		for _, w := range s.poolOf(q.Service).readyWorkers {
 			c.consider(w)
 		}
 		return c.best
 	}
-	// In a large pool, the workers with tickets are few, so only these are searched.
+	// Of a large pool, only a few workers have tickets. Searching just these is faster.
 	for w := range st.advice.tickets {
-		if w.ready && w.accepts(q) && st.advice.hasValidTicket(w, now) {
+		if w.ready && w.acceptsTasksOf(q) && st.advice.hasValidTicket(w, now) {
 			c.consider(w)
 		}
 	}
 	return c.best
 }
 
-// workerSelection finds the best of several workers for a task.
+// workerSelection searches for the best worker for a task.
 type workerSelection struct {
-	scheduler *Scheduler
-	task      *task
-	reserved  *reservations
-	gangRacks map[string]int
-	room      resource.Vector
-	// expectedEnd is when the task is expected to end if it starts now.
+	scheduler         *Scheduler
+	task              *task
+	reserved          *reservations
+	gangMembersByRack map[string]int
+	taskCapacity      resource.Vector
+	// expectedEnd is when the task is expected to end if it starts at now.
 	now, expectedEnd time.Time
 	best             *worker
 	bestScore        float64
 }
 
-// consider selects a worker if it may take the task and is better than the best one
-// so far.
+// consider makes a worker the best one found so far if it may run the task and has a
+// higher score.
 func (c *workerSelection) consider(w *worker) {
 	st := c.task.step
-	if !c.room.Fits(w.free()) || !w.registration.HasLabel(st.spec.Label) || c.reserved.blocks(w, st.job, c.expectedEnd) || !belowTaskLimit(w, st) || w.hasOrphanOf(c.task.id) {
+	if !c.taskCapacity.Fits(w.freeCapacity()) || !w.registration.HasLabel(st.spec.Label) || c.reserved.blocksTask(w, st.job, c.expectedEnd) || !belowTaskLimit(w, st) || w.hasOrphanOf(c.task.id) {
 		return
 	}
-	score := c.scheduler.score(w, st, c.task, c.gangRacks)
+	score := c.scheduler.scoreWorker(w, st, c.task, c.gangMembersByRack)
 	if c.now.Before(w.slowUntil) {
-		score -= penaltySlow
+		score -= slowWorkerPenalty
 	}
 	if c.best == nil || score > c.bestScore || (score == c.bestScore && compareLives(w.registration.Life, c.best.registration.Life) < 0) {
 		c.best, c.bestScore = w, score
 	}
 }
 
-// belowTaskLimit reports whether MostPerWorker allows one more task of a step on a
-// worker.
-func belowTaskLimit(w *worker, st *step) bool { return taskLimitLeft(w, st) > 0 }
+// belowTaskLimit reports whether a worker may get one more task of a step under the
+// limit in MostPerWorker.
+func belowTaskLimit(w *worker, st *step) bool { return remainingTaskLimit(w, st) > 0 }
 
-// taskLimitLeft returns how many more tasks of a step MostPerWorker allows on a
-// worker.
-func taskLimitLeft(w *worker, st *step) int {
+// remainingTaskLimit returns how many more tasks of a step a worker may get under the
+// limit in MostPerWorker.
+func remainingTaskLimit(w *worker, st *step) int {
 	if st.spec.MostPerWorker == 0 {
 		return work.MaxTasks
 	}
@@ -91,43 +91,47 @@
 	return max(st.spec.MostPerWorker-n, 0)
 }
 
-// The bonuses and penalties in the score of a worker. The score without them is the
-// fraction of the worker's capacity that would be in use, from 0 to 1.
+// The bonuses and penalties in the score of a worker. Without them, the score is the
+// fraction of the worker's capacity that would be in use with the task, from 0 to 1.
 const (
-	// bonusRack is for the rack that holds the data, or other members of the gang.
-	bonusRack = 4.0
-	// penaltyFailed is for the worker on which the task failed last.
-	penaltyFailed = 3.0
-	// penaltySlow is for workers that are slow at the moment.
-	penaltySlow = 6.0
-	// penaltyInterference is for placing filling tasks beside serving tasks, or the
-	// reverse.
-	penaltyInterference = 2.0
+	// rackBonus is for a worker in the rack that holds the input data, or in a rack
+	// with other members of the gang.
+	rackBonus = 4.0
+	// failedTaskPenalty is for the worker on which the last failed run of the task
+	// was.
+	failedTaskPenalty = 3.0
+	// slowWorkerPenalty is for a worker that counts as slow at the moment.
+	slowWorkerPenalty = 6.0
+	// interferencePenalty is for placing a filling task on a worker with serving
+	// tasks, or a serving task on a worker with filling tasks.
+	interferencePenalty = 2.0
 )
 
-// score rates a worker for a task. The fullest worker with room is the best, so
-// that whole workers stay free for large tasks.
-func (s *Scheduler) score(w *worker, st *step, t *task, gangRacks map[string]int) float64 {
-	score := w.used.Add(st.spec.ReservedCapacity()).DominantFraction(w.registration.Capacity)
+// scoreWorker rates a worker for a task; the highest score is the best. Without
+// bonuses and penalties, the fullest worker that still has enough free capacity gets
+// the highest score, so that entire workers stay free for large tasks.
+func (s *Scheduler) scoreWorker(w *worker, st *step, t *task, gangMembersByRack map[string]int) float64 {
+	score := w.usedCapacity.Add(st.spec.ReservedCapacity()).DominantFraction(w.registration.Capacity)
 	if st.spec.Rack != "" && w.rack() == st.spec.Rack {
-		score += bonusRack
+		score += rackBonus
 	}
-	if st.spec.SameRack && gangRacks[w.rack()] > 0 {
-		score += bonusRack
+	if st.spec.SameRack && gangMembersByRack[w.rack()] > 0 {
+		score += rackBonus
 	}
-	if t.avoidedWorker == w.registration.Life.ID {
-		score -= penaltyFailed
+	if t.lastFailedWorker == w.registration.Life.ID {
+		score -= failedTaskPenalty
 	}
-	if interferes(w, st) {
-		score -= penaltyInterference
+	if wouldInterfere(w, st) {
+		score -= interferencePenalty
 	}
 	return score
 }
 
-// interferes reports whether a worker has filling tasks while the step has serving
-// ones, or the reverse. A filling task uses processor time that other tasks leave
-// over; a serving task has a latency target.
-func interferes(w *worker, st *step) bool {
+// wouldInterfere reports whether tasks of a step would disturb tasks on a worker: the
+// step has filling tasks and the worker serving ones, or the reverse. A filling task
+// uses the processor time that other tasks leave idle; a serving task has a latency
+// target.
+func wouldInterfere(w *worker, st *step) bool {
 	if !st.spec.Fills && st.spec.Target == 0 {
 		return false
 	}
--- a/internal/cell/scheduler/commit.go
+++ b/internal/cell/scheduler/commit.go
@@ -10,34 +10,35 @@
 	"github.com/almondpost/almondpost/internal/peer/store"
 )
 
-// Commit is a set of progress records to store in one append, with the changes that
-// become effective when it is stored.
+// Commit is a set of progress records that are stored in one append, together with
+// the changes to the scheduler that take effect once they are stored.
 type Commit struct {
-	// Records are the records to store. They may be empty if ends were handled that
-	// change no job.
+	// Records are the records to store. The list may be empty: then the ends of runs
+	// were handled, but no job has changed.
 	Records   []store.Record
 	startedAt time.Time
-	// tasks are the tasks whose placements are in the records.
-	tasks []*task
-	// ends maps a worker to the number of its last end whose effect is in the
-	// records.
-	ends map[*worker]int64
-	// states maps a job to its state in the records.
-	states map[*job]work.State
+	// placedTasks are the tasks that the records name with their new worker.
+	placedTasks []*task
+	// Workers number the ends of their runs. lastEnds maps a worker to the number of
+	// the last end whose effect is in the records.
+	lastEnds map[*worker]int64
+	// jobStates maps each job to the state that its record contains.
+	jobStates map[*job]work.State
 }
 
-// NextCommit returns the progress to store next, or nil if nothing has changed. The
-// caller stores one commit at a time, in the order in which they were returned.
+// NextCommit returns the next commit to store, or nil if nothing has changed. The
+// caller must store the commits one at a time, in the order in which NextCommit
+// returned them.
 func (s *Scheduler) NextCommit(now time.Time) *Commit {
-	c := &Commit{startedAt: now, ends: map[*worker]int64{}, states: map[*job]work.State{}}
+	c := &Commit{startedAt: now, lastEnds: map[*worker]int64{}, jobStates: map[*job]work.State{}}
 	for _, id := range slices.Sorted(maps.Keys(s.dirtyJobs)) {
 		j := s.dirtyJobs[id]
 		c.Records = append(c.Records, store.Record{Key: id, Value: work.Encode(j.progress())})
-		c.states[j] = j.state
+		c.jobStates[j] = j.state
 		for _, t := range j.unstoredPlacements() {
 			t.inCommit = true
 			t.leaseDeadline = t.worker.leaseDeadline(now, s.leadershipEnd(), s.timing)
-			c.tasks = append(c.tasks, t)
+			c.placedTasks = append(c.placedTasks, t)
 		}
 	}
 	clear(s.dirtyJobs)
@@ -47,75 +48,79 @@
 	s.expiredJobs = nil
 	for _, w := range s.workers {
 		if w.lastHandledEnd > w.lastStoredEnd {
-			c.ends[w] = w.lastHandledEnd
+			c.lastEnds[w] = w.lastHandledEnd
 		}
 	}
-	if len(c.Records) == 0 && len(c.ends) == 0 {
+	if len(c.Records) == 0 && len(c.lastEnds) == 0 {
 		return nil
 	}
 	return c
 }
 
-// Committed handles a stored commit: it orders the starts whose placements are now
-// stored. A commit without records needs no append, so it does not confirm that
-// this VM is still the leader.
+// Committed must be called once a commit is stored. It orders the starts whose
+// placements are now stored. A commit without records needs no append, so it does not
+// confirm that this VM is still the leader.
 func (s *Scheduler) Committed(c *Commit, now time.Time) {
 	if len(c.Records) > 0 {
-		s.lastConfirmed = c.startedAt
+		s.lastConfirmedAppend = c.startedAt
 	}
-	for j, state := range c.states {
+	for j, state := range c.jobStates {
 		if !j.storedState.Ended() {
 			j.storedState = state
 		}
 	}
-	for w, number := range c.ends {
+	for w, number := range c.lastEnds {
 		w.lastStoredEnd = number
 	}
-	for _, t := range c.tasks {
+	for _, t := range c.placedTasks {
 		if t.phase == phasePlaced && t.inCommit {
 			s.orderStart(t, c.startedAt, now)
 		}
 	}
 }
 
-// AppendConfirmed records that the store has accepted an append of this leader other than
-// a commit. appendStart is when the append began.
-func (s *Scheduler) AppendConfirmed(appendStart time.Time) { s.lastConfirmed = appendStart }
+// AppendConfirmed must be called when the store has accepted an append of this leader
+// that is not a commit. appendStart is when the append began.
+func (s *Scheduler) AppendConfirmed(appendStart time.Time) { s.lastConfirmedAppend = appendStart }
 
-// leadershipEnd is when this leader stops extending leases unless another append is
-// accepted.
-func (s *Scheduler) leadershipEnd() time.Time { return s.lastConfirmed.Add(s.timing.LeadershipLease) }
+// leadershipEnd returns the time until which this leader may extend leases if the
+// store accepts no further append.
+func (s *Scheduler) leadershipEnd() time.Time {
+	return s.lastConfirmedAppend.Add(s.timing.LeadershipLease)
+}
 
-// orderStart orders the start of a task whose placement is stored. The task is
-// requeued instead if its worker cannot be used any more or the commit is too old.
+// orderStart orders the worker of a task to start it, once the placement is stored.
+// If the worker cannot be used any more or the commit is too old, the task is
+// requeued instead.
 func (s *Scheduler) orderStart(t *task, commitStart, now time.Time) {
 	w := t.worker
 	t.inCommit = false
-	if w.lost || w.tokenUnconfirmed() || now.Sub(commitStart) > maxOrderDelay {
-		s.log.Info("start_withdrawn", "task", t.id.String(), "run", t.run, "worker", w.registration.Life.ID, "age_ms", now.Sub(commitStart).Milliseconds())
+	if w.removed || w.tokenUnconfirmed() || now.Sub(commitStart) > maxStartDelay {
+		s.log.Info("start_withdrawn", "task", t.id.String(), "run", t.runNumber, "worker", w.registration.Life.ID, "age_ms", now.Sub(commitStart).Milliseconds())
 		s.requeue(t)
-		s.stopGang(t, now)
+		s.stopOtherGangMembers(t, now)
 		return
 	}
-	t.phase, t.startToken, t.startedAt = phaseOrdered, w.token, now
+	t.phase, t.startToken, t.startedAt = phaseStartOrdered, w.token, now
 	w.extendLease(commitStart, s.timing)
-	if j := t.step.job; !j.anyTaskOrdered {
-		j.anyTaskOrdered = true
+	if j := t.step.job; !j.anyStartOrdered {
+		j.anyStartOrdered = true
 		s.addObservation("first_start", j, now.Sub(j.submittedAt))
 	}
-	s.log.Info("start_ordered", "task", t.id.String(), "run", t.run, "worker", w.registration.Life.ID, "token", t.startToken, "waited_ms", now.Sub(t.step.openedAt).Milliseconds())
+	s.log.Info("start_ordered", "task", t.id.String(), "run", t.runNumber, "worker", w.registration.Life.ID, "token", t.startToken, "waited_ms", now.Sub(t.step.openedAt).Milliseconds())
 	s.effects.Starts = append(s.effects.Starts, Order[backend.Start]{Worker: w.registration.Life, Order: backend.Start{
-		Task: t.id, Run: t.run, Payload: t.step.job.spec.Payload, Deadline: t.leaseDeadline, Token: t.startToken,
+		Task: t.id, Run: t.runNumber, Payload: t.step.job.spec.Payload, Deadline: t.leaseDeadline, Token: t.startToken,
 		Checkpoint: t.checkpoint, Ticket: t.step.advice.ticketText(w),
 	}})
 }
 
-// maxOrderDelay is the age of a commit from which on its starts are not ordered any
-// more. It is shorter than the lease, so that no order takes effect after the time
-// that a successor waits.
-const maxOrderDelay = 3 * time.Second
+// maxStartDelay is the largest age of a commit at which its starts are still ordered.
+// It is shorter than the lease, so that no start takes effect after the time for
+// which the next leader waits.
+const maxStartDelay = 3 * time.Second
 
-// unstoredPlacements returns the placed tasks of a job that are in no commit yet.
+// unstoredPlacements returns the tasks of a job that are placed on a worker, but
+// whose placement is in no commit yet.
 func (j *job) unstoredPlacements() []*task {
 	var tasks []*task
 	for _, o := range j.occurrences {
@@ -146,8 +151,8 @@
 	return p
 }
 
-// progress returns the part of the progress record that describes a step; the bool
-// is false if there is nothing to record.
+// progress returns the part of the progress record that describes a step. The bool is
+// false if there is nothing to store about the step.
 func (st *step) progress() (work.StepProgress, bool) {
 	sp := work.StepProgress{Occurrence: st.id.Occurrence, Step: st.id.Step}
 	ended := st.job.state.Ended()
@@ -156,10 +161,10 @@
 		return sp, true
 	}
 	for _, t := range st.tasks {
-		if t.run == 0 || (ended && !t.onWorker()) {
+		if t.runNumber == 0 || (ended && !t.onWorker()) {
 			continue
 		}
-		tp := work.TaskProgress{Index: t.id.Index, Done: t.phase == phaseDone, Run: t.run, Failed: t.failedRuns, Checkpoint: t.checkpoint}
+		tp := work.TaskProgress{Index: t.id.Index, Done: t.phase == phaseDone, Run: t.runNumber, Failed: t.failedRuns, Checkpoint: t.checkpoint}
 		if t.worker != nil {
 			tp.Worker, tp.Born = t.worker.registration.Life.ID, t.worker.registration.Life.Born
 		}
--- a/internal/cell/scheduler/commit_test.go
+++ b/internal/cell/scheduler/commit_test.go
@@ -14,12 +14,12 @@
 	"github.com/almondpost/almondpost/internal/peer/backend"
 )
 
-// addHeldWorkers adds n workers, distributed over the services in turn, each of
-// which has answered a hold.
+// addHeldWorkers adds n workers and assigns them to the services in turn. Each worker
+// has answered a hold.
 func addHeldWorkers(s *scheduler.Scheduler, n int, now time.Time, services ...string) []backend.Registration {
 	var list []backend.Registration
 	for i := range n {
-		list = append(list, backend.Registration{Life: backend.Life{ID: fmt.Sprintf("worker-%d", i), Born: 1}, Service: services[i%len(services)], Capacity: workerSize})
+		list = append(list, backend.Registration{Life: backend.Life{ID: fmt.Sprintf("worker-%d", i), Born: 1}, Service: services[i%len(services)], Capacity: workerCapacity})
 	}
 	s.SetWorkers(list, now)
 	for _, r := range list {
@@ -29,8 +29,8 @@
 	return list
 }
 
-// A worker restarts while the placement of a task on it is being stored. The task
-// is placed again, and must not start on the strength of the first record.
+// A worker restarts while the placement of a task on it is being stored. The task is
+// placed again, and must not start before this second placement is stored.
 func TestStartWaitsForItsOwnRecord(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
@@ -53,7 +53,7 @@
 	s.SetWorkers(list, now)
 	s.Plan(now)
 	s.Committed(first, now)
-	is.Equal(len(s.TakeEffects().Starts), 0) // The record of the second placement is not stored.
+	is.Equal(len(s.TakeEffects().Starts), 0) // The second placement is not stored yet.
 
 	second := s.NextCommit(now)
 	is.True(second != nil)
--- a/internal/cell/scheduler/dispatch.go
+++ b/internal/cell/scheduler/dispatch.go
@@ -11,117 +11,121 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// dispatchRequests sends the pending requests for advice to idle VMs, in the order
-// of the jobs.
-func (s *Scheduler) dispatchRequests(order []*job, now time.Time) {
-	if len(s.dispatcher.pending) == 0 {
+// dispatchRequests sends requests for the steps that need tickets to idle VMs. Steps
+// of jobs that come first in sortedJobs are served first.
+func (s *Scheduler) dispatchRequests(sortedJobs []*job, now time.Time) {
+	if len(s.dispatcher.pendingSteps) == 0 {
 		return
 	}
 	idle, ok := s.dispatcher.idleVM(now)
-	stepsAhead := map[string]int{}
+	stepsWithoutRoom := map[string]int{}
 	limits := s.newRequestLimits()
-	for _, j := range order {
+	for _, j := range sortedJobs {
 		if !ok {
 			return
 		}
 		for _, o := range j.occurrences {
 			for _, st := range o.steps {
-				q := s.dispatcher.pending[st]
-				if q == nil || !ok || !limits.allow(q) || (st.open && !s.worthRequesting(st, q, stepsAhead)) {
+				q := s.dispatcher.pendingSteps[st]
+				if q == nil || !ok || !limits.allows(q) || (st.open && !s.worthRequesting(st, q, stepsWithoutRoom)) {
 					continue
 				}
 				if workers := s.workersForRequest(st, q, now); len(workers) > 0 {
 					s.sendRequest(st, requestSpec{workers, q.Advice}, idle, now)
 					idle, ok = s.dispatcher.idleVM(now)
-					limits.add(q)
+					limits.countInFlight(q)
 				}
 			}
 		}
 	}
 }
 
-// requestLimits limits how many VMs are busy with requests for one service, and
-// with slow requests, so that some stay free for other services and shorter
+// requestLimits limits the number of VMs that are busy with requests for one service,
+// and with slow requests. The other VMs stay free for other services and for faster
 // requests.
 //
 // After an outage all jobs request advice at once. Without the limits, the slow
-// requests of a few large jobs keep every VM busy while hundreds of urgent jobs
-// wait for an answer that takes a thirtieth of the time.
+// requests of a few large jobs keep every VM busy, while hundreds of urgent jobs wait
+// for answers that take a thirtieth of the time.
 type requestLimits struct {
-	// byService and slow count the requests in flight. Short requests are neither
-	// counted nor limited.
-	byService             map[string]int
-	slow                  int
-	maxByService, maxSlow int
+	// inFlightByService and slowInFlight count the unanswered requests. Short
+	// requests are neither counted nor limited.
+	inFlightByService      map[string]int
+	slowInFlight           int
+	maxPerService, maxSlow int
 }
 
-// newRequestLimits returns the limits with the requests in flight already counted.
+// newRequestLimits returns the limits. The requests that are unanswered now are
+// already counted.
 func (s *Scheduler) newRequestLimits() *requestLimits {
 	vms := float64(len(s.dispatcher.vms))
-	l := &requestLimits{byService: map[string]int{}, maxByService: max(int(maxServiceShare*vms), 1), maxSlow: max(int(maxSlowShare*vms), 1)}
+	l := &requestLimits{inFlightByService: map[string]int{}, maxPerService: max(int(maxVMSharePerService*vms), 1), maxSlow: max(int(maxVMShareForSlowRequests*vms), 1)}
 	for _, o := range s.dispatcher.inFlight {
 		if q := s.table.Queue(o.step.job.spec.Queue); q != nil {
-			l.add(q)
+			l.countInFlight(q)
 		}
 	}
 	return l
 }
 
-func isSlowRequest(q *queue.Queue) bool { return q.Advice != nil && q.Advice.Fixed >= slowRequestTime }
+func isSlowRequest(q *queue.Queue) bool {
+	return q.Advice != nil && q.Advice.Fixed >= minSlowRequestTime
+}
 
 func isShortRequest(q *queue.Queue) bool {
-	return q.Advice == nil || q.Advice.Fixed <= shortRequestTime
+	return q.Advice == nil || q.Advice.Fixed <= maxShortRequestTime
 }
 
-// allow reports whether another request for a queue may be sent.
-func (l *requestLimits) allow(q *queue.Queue) bool {
-	return isShortRequest(q) || (l.byService[q.Service] < l.maxByService && (!isSlowRequest(q) || l.slow < l.maxSlow))
+// allows reports whether another request for a step of a queue may be sent.
+func (l *requestLimits) allows(q *queue.Queue) bool {
+	return isShortRequest(q) || (l.inFlightByService[q.Service] < l.maxPerService && (!isSlowRequest(q) || l.slowInFlight < l.maxSlow))
 }
 
-// add counts a request for a queue that is in flight.
-func (l *requestLimits) add(q *queue.Queue) {
+// countInFlight counts one unanswered request for a step of a queue.
+func (l *requestLimits) countInFlight(q *queue.Queue) {
 	if isShortRequest(q) {
 		return
 	}
-	l.byService[q.Service]++
+	l.inFlightByService[q.Service]++
 	if isSlowRequest(q) {
-		l.slow++
+		l.slowInFlight++
 	}
 }
 
-// worthRequesting reports whether a step could use tickets before they expire:
-// there is room, or the step is among the first of its service that wait for room.
-// stepsAhead counts the steps that wait for room, by service.
+// worthRequesting reports whether an open step could use tickets before they expire.
+// It could if a worker has enough free capacity for a task now or soon. Otherwise it
+// may request advice only once, and only if it is among the first steps of its
+// service that wait for capacity. stepsWithoutRoom counts these steps by service.
 //
 // Under a backlog, tickets for steps further back would expire unused, while the
-// steps at the front wait for a VM.
-func (s *Scheduler) worthRequesting(st *step, q *queue.Queue, stepsAhead map[string]int) bool {
-	if st.spec.ReservedCapacity().Fits(s.poolOf(q.Service).maxFree) || st.reservedSoonFree(q) {
+// steps at the front wait for a VM to send their requests.
+func (s *Scheduler) worthRequesting(st *step, q *queue.Queue, stepsWithoutRoom map[string]int) bool {
+	if st.spec.ReservedCapacity().Fits(s.poolOf(q.Service).maxFreeCapacity) || st.reservedWorkersSoonFree(q) {
 		return true
 	}
-	stepsAhead[q.Service]++
-	return len(st.advice.answered) == 0 && stepsAhead[q.Service] <= maxStepsAhead
+	stepsWithoutRoom[q.Service]++
+	return len(st.advice.answered) == 0 && stepsWithoutRoom[q.Service] <= maxStepsWithoutRoom
 }
 
-// workersForRequest returns the workers to request advice about, or none if the
-// tickets of the step suffice.
+// workersForRequest returns the workers about which a step should request advice now.
+// The result is empty if the step has enough tickets.
 func (s *Scheduler) workersForRequest(st *step, q *queue.Queue, now time.Time) []*worker {
 	var stale []*worker
 	places := 0
 	for w := range st.advice.tickets {
-		if !w.accepts(q) || s.reservations.reservedForOther(w, st.job) {
+		if !w.acceptsTasksOf(q) || s.reservations.reservedForOtherJob(w, st.job) {
 			continue
 		}
-		places += min(countPlaces(st.spec.ReservedCapacity(), w.free()), taskLimitLeft(w, st))
+		places += min(countPlaces(st.spec.ReservedCapacity(), w.freeCapacity()), remainingTaskLimit(w, st))
 		if !st.advice.hasValidTicket(w, now) {
 			stale = append(stale, w)
 		}
 	}
-	if len(st.advice.awaited) == 0 {
+	if len(st.advice.awaitingAnswer) == 0 {
 		switch {
-		case s.isLarge(st, q) && len(st.advice.reserved) > 0:
-			if st.reservedSoonFree(q) {
-				return st.advice.reservedWithoutTicket(now.Add(q.Advice.RequestDuration(len(st.advice.reserved))))
+		case s.isLarge(st, q) && len(st.advice.reservedWorkers) > 0:
+			if st.reservedWorkersSoonFree(q) {
+				return st.advice.reservedWithoutValidTicket(now.Add(q.Advice.RequestDuration(len(st.advice.reservedWorkers))))
 			}
 		case places > 0 && len(stale) > 0 && !s.isLarge(st, q):
 			return mostLikelyFree(stale, st)
@@ -133,44 +137,45 @@
 	return nil
 }
 
-// needsMorePlaces reports whether the tickets of a step and its requests in flight
-// are expected to give too few places. places is the number of places on the
-// workers with tickets.
+// needsMorePlaces reports whether a step needs tickets for more workers than it has
+// and has requested. A place is free capacity for one task; places is the number of
+// places on the workers with tickets.
 //
-// The requests of a wide gang are in flight at the same time: if they were sent one
-// after the other, the tickets of the first would have expired by the time the last
+// A wide gang has several requests in flight at the same time. If they were sent one
+// after the other, the tickets from the first would have expired by the time the last
 // was answered.
 func (s *Scheduler) needsMorePlaces(st *step, places int) bool {
 	if !st.spec.Gang {
-		return places == 0 && len(st.advice.awaited) == 0
+		return places == 0 && len(st.advice.awaitingAnswer) == 0
 	}
 	expected := float64(places)
-	for w := range st.advice.awaited {
-		expected += s.dispatcher.approvedShare(st.job.spec.Queue) * float64(min(countPlaces(st.spec.ReservedCapacity(), w.free()), taskLimitLeft(w, st)))
+	for w := range st.advice.awaitingAnswer {
+		expected += s.dispatcher.approvalRate(st.job.spec.Queue) * float64(min(countPlaces(st.spec.ReservedCapacity(), w.freeCapacity()), remainingTaskLimit(w, st)))
 	}
 	return expected < float64(st.spec.Count)
 }
 
-// reservedSoonFree reports whether the workers that are reserved for a step are
-// expected to have room by the time a request about them is answered.
+// reservedWorkersSoonFree reports whether the workers reserved for a step are
+// expected to have enough free capacity by the time a request about them is answered.
 //
-// This times the requests of large tasks that wait in a full pool. Tickets
-// requested before there is a reservation expire before it is the task's turn, and
-// with tickets requested only once there is room, the room is unused until the
-// answer.
-func (st *step) reservedSoonFree(q *queue.Queue) bool {
-	return len(st.advice.reserved) > 0 && st.advice.reservedFreeIn <= q.Advice.RequestDuration(len(st.advice.reserved))
+// It determines when large tasks that wait in a full pool request tickets. Tickets
+// requested before workers are reserved would expire before the tasks can start. If
+// tickets were requested only once the capacity is free, it would stay unused until
+// the answer.
+func (st *step) reservedWorkersSoonFree(q *queue.Queue) bool {
+	return len(st.advice.reservedWorkers) > 0 && st.advice.reservedFreeIn <= q.Advice.RequestDuration(len(st.advice.reservedWorkers))
 }
 
-// reservedWithoutTicket returns the reserved workers whose tickets are not valid at
-// a time, namely when a request about them would be answered.
+// reservedWithoutValidTicket returns the reserved workers without a ticket that is
+// valid at a given time. The caller passes the time at which a request about them
+// would be answered.
 //
-// Requests for a gang can take nearly as long as a ticket is valid. Refreshing only
-// the tickets that have expired by now would let others expire meanwhile, so that
-// the tickets of a gang would never all be valid at once.
-func (a *advice) reservedWithoutTicket(at time.Time) []*worker {
+// Requests for a gang can take nearly as long as a ticket is valid. If only the
+// tickets that have expired by now were renewed, others would expire meanwhile, and
+// the tickets of the gang would never all be valid at once.
+func (a *advice) reservedWithoutValidTicket(at time.Time) []*worker {
 	var stale []*worker
-	for _, w := range a.reserved[:min(len(a.reserved), maxWorkersPerRequest)] {
+	for _, w := range a.reservedWorkers[:min(len(a.reservedWorkers), maxWorkersPerRequest)] {
 		if !a.hasValidTicket(w, at) {
 			stale = append(stale, w)
 		}
@@ -178,10 +183,11 @@
 	return stale
 }
 
-// countPlaces returns how many tasks of size room fit into the free capacity.
-func countPlaces(room, free resource.Vector) int {
+// countPlaces returns how many tasks that each reserve taskCapacity fit into the free
+// capacity.
+func countPlaces(taskCapacity, free resource.Vector) int {
 	places := int64(work.MaxTasks)
-	sizes, left := room.Amounts(), free.Amounts()
+	sizes, left := taskCapacity.Amounts(), free.Amounts()
 	for i := range sizes {
 		if sizes[i] > 0 {
 			places = min(places, max(left[i], 0)/sizes[i])
@@ -190,61 +196,63 @@
 	return int(places)
 }
 
-// mostLikelyFree returns the workers to ask about again, at most as many as fit
-// into one request: first those in the rack of the step's data, then the least
-// used.
+// mostLikelyFree returns the workers to ask about again, at most
+// maxWorkersPerRequest. Workers in the rack that holds the input data come first,
+// then those with the smallest used fraction.
 func mostLikelyFree(list []*worker, st *step) []*worker {
 	for _, w := range list {
-		w.usedFraction = w.used.DominantFraction(w.registration.Capacity)
+		w.usedFraction = w.usedCapacity.DominantFraction(w.registration.Capacity)
 	}
 	slices.SortFunc(list, func(a, b *worker) int {
-		return cmp.Or(cmp.Compare(rackRank(a, st), rackRank(b, st)), cmp.Compare(a.usedFraction, b.usedFraction), compareLives(a.registration.Life, b.registration.Life))
+		return cmp.Or(cmp.Compare(dataRackRank(a, st), dataRackRank(b, st)), cmp.Compare(a.usedFraction, b.usedFraction), compareLives(a.registration.Life, b.registration.Life))
 	})
 	return list[:min(len(list), maxWorkersPerRequest)]
 }
 
-// rackRank returns 0 for workers in the rack that holds the data of a step, and 1
-// for others.
-func rackRank(w *worker, st *step) int {
+// dataRackRank returns 0 for workers in the rack that holds the input data of a step,
+// and 1 for others.
+func dataRackRank(w *worker, st *step) int {
 	if st.spec.Rack != "" && w.rack() == st.spec.Rack {
 		return 0
 	}
 	return 1
 }
 
-// approvedPerRequest is the expected number of approved workers in a full request.
-const approvedPerRequest = 12
+// expectedApprovalsPerRequest is the number of workers that the adviser is expected
+// to approve in a request about maxWorkersPerRequest workers.
+const expectedApprovalsPerRequest = 12
 
-// unrequestedWorkers returns workers for which a step has neither an answer nor a
-// request in flight, at most as many as fit into one request: first those in the
-// rack of the step's data, then those with room that no request of any step names,
-// then those with room, then the rest. Within each group the least used come first.
-// For small tasks, the most used come first while a large step waits.
+// unrequestedWorkers returns workers about which a step has not requested advice yet,
+// at most maxWorkersPerRequest. The order is: workers in the rack that holds the
+// input data, then workers with enough free capacity that no unanswered request of
+// any step names, then other workers with enough free capacity, then the rest. Within
+// each group, the least used workers come first. While a large step waits, the most
+// used come first for steps with small tasks.
 //
 // When many jobs come at once, requests of all of them about the same few workers
-// would bring tickets for room that the first of the jobs takes. Small tasks on the
-// least used workers would leave no whole worker for the large tasks.
+// would bring tickets for capacity that the first job takes. Small tasks on the least
+// used workers would leave no entire worker free for large tasks.
 func (s *Scheduler) unrequestedWorkers(st *step, q *queue.Queue) []*worker {
 	p := s.poolOf(q.Service)
 	if len(st.advice.answered) >= len(p.workers) {
-		maps.DeleteFunc(st.advice.answered, func(w *worker, _ bool) bool { return w.lost })
+		maps.DeleteFunc(st.advice.answered, func(w *worker, _ bool) bool { return w.removed })
 	}
 	if len(st.advice.answered) >= len(p.workers) {
 		return nil
 	}
-	order := p.leastUsedFirst()
+	candidates := p.leastUsedFirst()
 	minPlaces := 1
 	if p.largeStepWaiting && !s.isLarge(st, q) {
-		order = p.mostUsedFirst()
-		minPlaces = 1 + st.waitingTasks()/approvedPerRequest
+		candidates = p.mostUsedFirst()
+		minPlaces = 1 + st.countWaitingTasks()/expectedApprovalsPerRequest
 	}
 	hasPlaces := func(w *worker) bool {
-		return countPlaces(st.spec.ReservedCapacity(), w.free()) >= minPlaces && !s.reservations.reservedForOther(w, st.job)
+		return countPlaces(st.spec.ReservedCapacity(), w.freeCapacity()) >= minPlaces && !s.reservations.reservedForOtherJob(w, st.job)
 	}
 	var list []*worker
 	addMatching := func(matches func(w *worker) bool) {
-		for i := 0; i < len(order) && len(list) < maxWorkersPerRequest; i++ {
-			if w := order[i]; matches(w) && !st.advice.answered[w] && !st.advice.awaited[w] && canRun(w, st) && !slices.Contains(list, w) {
+		for i := 0; i < len(candidates) && len(list) < maxWorkersPerRequest; i++ {
+			if w := candidates[i]; matches(w) && !st.advice.answered[w] && !st.advice.awaitingAnswer[w] && isCapable(w, st) && !slices.Contains(list, w) {
 				list = append(list, w)
 			}
 		}
@@ -258,8 +266,8 @@
 	return list
 }
 
-// waitingTasks returns the number of tasks of a step that wait for a worker.
-func (st *step) waitingTasks() int {
+// countWaitingTasks returns the number of tasks of a step that wait for a worker.
+func (st *step) countWaitingTasks() int {
 	n := 0
 	for _, t := range st.tasks {
 		if t.phase == phaseWaiting {
--- a/internal/cell/scheduler/health_test.go
+++ b/internal/cell/scheduler/health_test.go
@@ -13,8 +13,8 @@
 	"github.com/almondpost/almondpost/internal/peer/backend"
 )
 
-// A worker becomes slow but still reports on time. New tasks must go to another
-// worker.
+// The tasks on a worker become slow, but the worker still reports on time. New tasks
+// must be placed on another worker.
 func TestSlowWorkersAreAvoided(t *testing.T) {
 	scenarios := []struct {
 		testName string
@@ -23,7 +23,7 @@
 	}{
 		{"at the usual speed", 80, false},
 		{"three times slower", 26, true},
-		{"standing still", 0, true},
+		{"no progress at all", 0, true},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
@@ -34,7 +34,7 @@
 			s.SetTable(newSimulation(1, faults{}).table)
 			var list []backend.Registration
 			for i := range 2 {
-				list = append(list, backend.Registration{Life: backend.Life{ID: fmt.Sprintf("worker-%d", i), Born: 1}, Service: "desk", Capacity: workerSize})
+				list = append(list, backend.Registration{Life: backend.Life{ID: fmt.Sprintf("worker-%d", i), Born: 1}, Service: "desk", Capacity: workerCapacity})
 			}
 			s.SetWorkers(list, now)
 			running := map[backend.Life][]backend.Run{}
@@ -52,7 +52,7 @@
 			}
 			hold()
 			first := place("first", 2)
-			is.Equal(first[0].Worker, first[1].Worker) // The fuller worker is preferred.
+			is.Equal(first[0].Worker, first[1].Worker) // The second task is placed beside the first, since the fuller worker is preferred.
 			for _, o := range first {
 				s.StartAnswered(o.Worker, &o.Order, "", 0, now)
 				running[o.Worker] = append(running[o.Worker], backend.Run{Task: o.Order.Task, Run: 1, Percent: sc.percent})
--- a/internal/cell/scheduler/hold.go
+++ b/internal/cell/scheduler/hold.go
@@ -6,18 +6,19 @@
 	"github.com/almondpost/almondpost/internal/peer/backend"
 )
 
-// HoldRequest returns the next hold for a worker, and the value to pass to
-// HoldAnswered with the report. ok is false when the worker has been removed.
+// HoldRequest returns the hold (long-polled heartbeat) to send to a worker next. The
+// caller passes sent to HoldAnswered together with the answer. ok is false when the
+// scheduler has removed the worker.
 func (s *Scheduler) HoldRequest(life backend.Life, now time.Time) (hold backend.Hold, sent HoldSent, ok bool) {
 	w := s.workers[life]
 	if w == nil {
 		return hold, sent, false
 	}
-	s.sequence++
+	s.eventSequence++
 	hold = backend.Hold{Token: w.token, Acknowledged: w.lastStoredEnd}
 	if w.unansweredHolds == 0 {
-		// Only the first unanswered hold extends the lease, so that the lease of a
-		// silent worker ends.
+		// Further holds to a silent worker do not extend its lease, so that the lease
+		// ends.
 		hold.Deadline = max(w.leaseDeadline(now, s.leadershipEnd(), s.timing), 0)
 	}
 	w.unansweredHolds++
@@ -27,25 +28,25 @@
 	if hold.Deadline > 0 {
 		w.extendLease(now, s.timing)
 	}
-	return hold, HoldSent{sequence: s.sequence, token: w.token, sentAt: now}, true
+	return hold, HoldSent{eventSequence: s.eventSequence, token: w.token, sentAt: now}, true
 }
 
-// EndsStored reports whether the effect of every end that a worker has listed is
-// stored.
+// EndsStored reports whether the effects of all ends of runs that a worker has listed
+// are stored.
 func (s *Scheduler) EndsStored(life backend.Life) bool {
 	w := s.workers[life]
 	return w == nil || w.lastHandledEnd == w.lastStoredEnd
 }
 
-// HoldSent identifies a hold that was sent. It shows which confirmations of runs
-// are newer than the report.
+// HoldSent identifies a hold that was sent. With it, the scheduler determines which
+// runs were confirmed after the hold was sent and may be missing in its report.
 type HoldSent struct {
-	sequence int64
-	token    int64
-	sentAt   time.Time
+	eventSequence int64
+	token         int64
+	sentAt        time.Time
 }
 
-// HoldFailed handles a hold that was not answered or that the worker refused; kind is
+// HoldFailed handles a hold that was not answered or that the worker refused. kind is
 // the kind of the error.
 func (s *Scheduler) HoldFailed(life backend.Life, kind backend.Kind, now time.Time) {
 	w := s.workers[life]
@@ -57,17 +58,17 @@
 		s.replaceWorker(w, now)
 	case backend.KindFenced:
 		s.log.Info("hold_fenced", "worker", life.ID, "token", w.token)
-		w.token += fencedTokenStep
+		w.token += fencedTokenIncrement
 	default:
 	}
 }
 
-// fencedTokenStep is added to the token after a worker has refused it as too low. It
-// skips the tokens that this leader may have used for the worker in an earlier
-// session.
-const fencedTokenStep = 64
+// fencedTokenIncrement is added to the fencing token of a worker after the worker has
+// refused it as too low. It is large enough to skip the tokens that this leader may
+// have used for the worker in an earlier session.
+const fencedTokenIncrement = 64
 
-// HoldAnswered handles the report of a worker.
+// HoldAnswered handles the report with which a worker has answered a hold.
 func (s *Scheduler) HoldAnswered(life backend.Life, sent HoldSent, r *backend.Report, now time.Time) {
 	w := s.workers[life]
 	if w == nil {
@@ -77,7 +78,7 @@
 		s.removeWorker(w, "another life of the worker answered", now)
 		return
 	}
-	w.lastAnswer, w.unansweredHolds = now, 0
+	w.lastAnswerAt, w.unansweredHolds = now, 0
 	w.setClock(r.Clock, now)
 	for i := range r.Ended {
 		if e := &r.Ended[i]; e.Number > w.lastHandledEnd {
@@ -85,22 +86,22 @@
 			s.applyEnd(w, e, now)
 		}
 	}
-	// A report can list two runs of one task.
+	// The key contains the run number because a report can list two runs of one task.
 	listed := make(map[runID]bool, len(r.Running))
 	for i := range r.Running {
 		listed[runID{r.Running[i].Task, r.Running[i].Run}] = true
 		s.applyReportedRun(w, &r.Running[i], now)
 	}
-	s.requeueMissing(w, listed, sent, r.Truncated, now)
+	s.requeueMissingRuns(w, listed, sent, r.Truncated, now)
 	if !r.Truncated {
 		w.removeEndedOrphans(listed, sent)
 	}
 	if w.confirmedToken < sent.token {
 		w.confirmedToken = sent.token
-		s.planNeeded = true
+		s.schedulingNeeded = true
 	}
 	s.detectSlowWorker(w, now)
-	s.adjustFillerPaces(w)
+	s.adjustFillingTaskPaces(w)
 	s.removeIfIdle(w, now)
 }
 
@@ -110,17 +111,18 @@
 	}
 }
 
-// applyReportedRun handles a run that a report lists as running.
+// applyReportedRun updates a task from the run that a report lists as running. If the
+// run does not belong to the task any more, it is recorded as an orphan and stopped.
 func (s *Scheduler) applyReportedRun(w *worker, r *backend.Run, now time.Time) {
 	t := s.findTask(r.Task)
-	if t == nil || t.worker != w || t.run != r.Run {
+	if t == nil || t.worker != w || t.runNumber != r.Run {
 		var st *step
 		if t != nil {
 			st = t.step
 		}
 		s.addUnknownRun(w, r, st, now)
-		if t != nil && t.worker == w && t.run > r.Run {
-			return // An older run of a task that the worker itself replaces by the newer one.
+		if t != nil && t.worker == w && t.runNumber > r.Run {
+			return // The worker itself replaces an older run by the newer run of the task.
 		}
 		s.orderStop(w, r.Task, r.Run)
 		return
@@ -128,15 +130,15 @@
 	if r.Checkpoint != "" {
 		t.checkpoint = r.Checkpoint
 	}
-	t.percentDone, t.reportedFigure = r.Percent, r.Figure
+	t.percentDone, t.reportedMeasurement = r.Percent, r.Figure
 	switch t.phase {
-	case phaseOrdered:
+	case phaseStartOrdered:
 		s.confirmRun(t, now)
 	case phaseStopping:
 		t.runConfirmed = true
 		if now.Sub(t.stopSentAt) > stopRetryInterval {
 			t.stopSentAt = now
-			s.orderStop(w, t.id, t.run)
+			s.orderStop(w, t.id, t.runNumber)
 		}
 	case phaseWaiting, phasePlaced, phaseRunning, phaseDone:
 	}
@@ -145,9 +147,9 @@
 	}
 }
 
-// confirmRun records that the worker has started a run.
+// confirmRun records that a worker has started the run of a task.
 func (s *Scheduler) confirmRun(t *task, now time.Time) {
-	t.phase, t.runConfirmed, t.confirmedSequence = phaseRunning, true, s.sequence
+	t.phase, t.runConfirmed, t.confirmedSequence = phaseRunning, true, s.eventSequence
 	if t.startedAt.IsZero() {
 		t.startedAt = now
 	}
@@ -156,32 +158,33 @@
 	}
 }
 
-// requeueMissing requeues the tasks whose runs a report lacks, unless the run may
-// have started after the report.
-func (s *Scheduler) requeueMissing(w *worker, listed map[runID]bool, sent HoldSent, truncated bool, now time.Time) {
-	for _, t := range w.sortedTasks() {
-		if listed[runID{t.id, t.run}] {
+// requeueMissingRuns requeues the tasks whose runs are missing in the report of their
+// worker. A task is not requeued if the run may have started after the report was
+// made.
+func (s *Scheduler) requeueMissingRuns(w *worker, listed map[runID]bool, sent HoldSent, truncated bool, now time.Time) {
+	for _, t := range w.tasksSortedByID() {
+		if listed[runID{t.id, t.runNumber}] {
 			continue
 		}
 		switch {
 		case t.phase == phasePlaced:
 			continue
 		case !t.runConfirmed && t.startToken >= sent.token:
-			continue // The order may not have reached the worker yet.
-		case t.runConfirmed && t.confirmedSequence >= sent.sequence:
-			continue // The report may be older than the run.
+			continue // The start order may not have reached the worker yet.
+		case t.runConfirmed && t.confirmedSequence >= sent.eventSequence:
+			continue // The report may have been made before the run started.
 		}
 		if truncated {
-			continue // The end of the run may be listed in a later report.
+			continue // The report was cut off, so a later one may list the end of the run.
 		}
-		s.log.Info("run_absent", "task", t.id.String(), "run", t.run, "worker", w.registration.Life.ID, "token", t.startToken, "hold_token", sent.token)
+		s.log.Info("run_absent", "task", t.id.String(), "run", t.runNumber, "worker", w.registration.Life.ID, "token", t.startToken, "hold_token", sent.token)
 		s.requeue(t)
-		s.stopGang(t, now)
+		s.stopOtherGangMembers(t, now)
 	}
 }
 
 // raiseToken raises the fencing token of a worker. Once the worker has answered a
-// hold with the new token, it refuses every order sent before.
+// hold with the new token, it refuses every order that was sent with a lower one.
 func (s *Scheduler) raiseToken(w *worker) {
 	w.token++
 	s.effects.Wake = append(s.effects.Wake, w.registration.Life)
--- a/internal/cell/scheduler/job.go
+++ b/internal/cell/scheduler/job.go
@@ -7,35 +7,37 @@
 	"github.com/almondpost/almondpost/internal/peer/backend"
 )
 
-// job is an accepted job with its progress.
+// job is an accepted job and its progress.
 type job struct {
 	spec *work.Job
-	// state follows the events; storedState is the last stored state, which is safe
-	// to show to callers.
+	// state is the current state, which may not be stored yet. storedState is the
+	// state that was stored last and is safe to show to callers.
 	state       work.State
 	storedState work.State
-	// anyTaskPlaced is true once a task was placed on a worker; anyTaskOrdered is
-	// true once a start was ordered.
-	anyTaskPlaced, anyTaskOrdered bool
+	// anyTaskPlaced is true once a worker was chosen for any task. anyStartOrdered is
+	// true once the start of any task was ordered.
+	anyTaskPlaced, anyStartOrdered bool
 	// submittedAt is when an entry VM accepted the job.
 	submittedAt time.Time
 	// endedAt is when state became final.
 	endedAt     time.Time
 	occurrences []*occurrence
-	// submissionDropped is true once the submission was listed for deletion.
+	// submissionDropped is true once the caller was told to delete the submission
+	// from the store.
 	submissionDropped bool
-	// nextOccurrence is the number of the next occurrence to open.
+	// nextOccurrence is the number of the first occurrence that has not been opened
+	// yet.
 	nextOccurrence int
-	// waitingTasks counts the tasks of open steps that wait for a worker;
-	// tasksOnWorkers counts those that take room on one.
+	// waitingTasks counts the tasks of open steps that wait for a worker.
+	// tasksOnWorkers counts the tasks that use capacity of a worker.
 	waitingTasks, tasksOnWorkers int
-	// declaredPaths holds, for each step, the declared run time of the longest
-	// dependency path that ends with it.
-	declaredPaths []time.Duration
+	// criticalPaths holds, for each step, the declared run time of its critical path:
+	// the longest chain of dependent steps that ends with it.
+	criticalPaths []time.Duration
 }
 
-// occurrence is one execution of all steps of a job. Only a repeated job has
-// several.
+// occurrence is one execution of all steps of a job. Only a repeated job has more
+// than one.
 type occurrence struct {
 	number int
 	due    time.Time
@@ -44,7 +46,7 @@
 	stepsLeft int
 }
 
-// step is a step of one occurrence.
+// step is a step of one occurrence, with its tasks.
 type step struct {
 	job        *job
 	occurrence *occurrence
@@ -53,27 +55,29 @@
 	tasks      []*task
 	// tasksLeft counts the tasks that have not completed.
 	tasksLeft int
-	// open is true once every step that this one depends on has completed.
+	// open is true once all steps that this step depends on have completed, so that
+	// its tasks may start.
 	open     bool
 	openedAt time.Time
 	advice   advice
 }
 
-// phase is the state of a task.
-type phase int
+// taskPhase says how far a task has come.
+type taskPhase int
 
 const (
-	// phaseWaiting means that the task is on no worker.
-	phaseWaiting phase = iota
-	// phasePlaced means that the task has a worker, but its placement is not stored
-	// yet.
+	// phaseWaiting means that the task is on no worker and waits for one.
+	phaseWaiting taskPhase = iota
+	// phasePlaced means that a worker was chosen for the task, but this placement is
+	// not stored yet.
 	phasePlaced
-	// phaseOrdered means that the run may exist, but the worker has not confirmed
-	// it.
-	phaseOrdered
-	// phaseRunning means that the worker has confirmed the run.
+	// phaseStartOrdered means that the worker may have started the task, but has not
+	// confirmed it.
+	phaseStartOrdered
+	// phaseRunning means that the worker has confirmed that the task runs.
 	phaseRunning
-	// phaseStopping means that a stop was ordered and the run may still exist.
+	// phaseStopping means that the worker was ordered to stop the task, which may
+	// still run.
 	phaseStopping
 	// phaseDone means that the task has completed, or that its job has ended.
 	phaseDone
@@ -83,50 +87,56 @@
 type task struct {
 	id    work.TaskID
 	step  *step
-	phase phase
-	// run is the number of the latest run. It only increases.
-	run int64
-	// failedRuns lists the failed runs. A run that is reported as failed several
-	// times is listed once.
+	phase taskPhase
+	// runNumber is the number of the latest run. Each run of the task has a higher
+	// number than the one before.
+	runNumber int64
+	// failedRuns lists the numbers of the failed runs. Each is listed once, even if
+	// its failure is reported several times.
 	failedRuns []int64
-	// worker is the worker on which the task takes room, or nil.
+	// worker is the worker whose capacity the task uses, or nil.
 	worker *worker
-	// startToken is the fencing token of the start order; 0 means that this leader
-	// has not ordered the run.
+	// startToken is the fencing token in the start order. It is 0 if an earlier
+	// leader ordered the start.
 	startToken int64
-	// confirmedSequence is the value of Scheduler.sequence when the worker confirmed
-	// the run. A report is newer than the confirmation only if its hold was sent
-	// later.
+	// confirmedSequence is the value of Scheduler.eventSequence when the worker
+	// confirmed the run. A report was made after that only if its hold has a higher
+	// number.
 	confirmedSequence int64
 	// runConfirmed is true once the worker has confirmed the run.
 	runConfirmed bool
-	// inCommit is true while the record of the placement is being stored.
+	// inCommit is true while a commit with the placement of the task is being stored.
 	inCommit bool
-	// leaseDeadline is the end of the lease in the start order, by the worker's
-	// clock.
+	// leaseDeadline is the time on the worker's clock at which the lease in the start
+	// order ends.
 	leaseDeadline time.Duration
 	checkpoint    string
 	percentDone   int
-	// reportedFigure is the tail latency of a serving task in milliseconds, or the
-	// milliprocessors that any other task uses.
-	reportedFigure int64
-	// pace is the current pace of the run, in percent of its full speed.
+	// reportedMeasurement is the last measurement of the run that the worker
+	// reported: for a serving task its tail latency in milliseconds, for any other
+	// task the milliprocessors that it uses.
+	reportedMeasurement int64
+	// pace is the speed at which the worker is told to run the task, in percent of
+	// full speed.
 	pace int
-	// startedAt is when the run was placed and, later, when its start was ordered.
+	// startedAt is when the task was placed on its worker. Once the start is ordered,
+	// it is the time of that order.
 	startedAt time.Time
-	// avoidedWorker is the ID of the worker on which the task failed last.
-	avoidedWorker string
+	// lastFailedWorker is the ID of the worker on which the task failed last. The
+	// task is placed on other workers if possible.
+	lastFailedWorker string
 	// notBefore is the earliest time at which the task may be placed again.
 	notBefore  time.Time
 	stopSentAt time.Time
 }
 
-// onWorker reports whether the task takes room on a worker.
+// onWorker reports whether the task uses capacity of a worker.
 func (t *task) onWorker() bool { return t.phase != phaseWaiting && t.phase != phaseDone }
 
-// Submit adds a job whose submission is stored. A job that is already known is
-// ignored. If it has ended, it was submitted once more: its submission is then
-// dropped again, so that it does not outlive the progress record.
+// Submit adds a job after its submission was stored. A job that is already known is
+// not added again. If the known job has ended, the caller is told to delete the
+// repeated submission too, so that it does not stay in the store for longer than the
+// progress record.
 func (s *Scheduler) Submit(spec *work.Job, now time.Time) {
 	if j := s.jobs[spec.ID]; j != nil {
 		j.submissionDropped = false
@@ -134,28 +144,28 @@
 	}
 	j := s.addJob(spec, now)
 	s.log.Info("job_received", "job", spec.ID, "queue", spec.Queue, "steps", len(spec.Steps), "age_ms", now.Sub(j.submittedAt).Milliseconds())
-	s.openOccurrencesOf(j, now)
+	s.openDueOccurrencesOfJob(j, now)
 	if _, cancelled := s.earlyCancellations[spec.ID]; cancelled {
 		delete(s.earlyCancellations, spec.ID)
 		s.Cancel(spec.ID, now)
 	}
-	s.planUrgentJob(j, now)
+	s.scheduleUrgentJob(j, now)
 }
 
-// maxJobAge bounds the age of a submitted job. The age compares the clocks of two
-// VMs, and either clock can jump.
+// maxJobAge is the largest age that a job is assumed to have when it is submitted.
+// The age is the difference between the clocks of two VMs, and either clock can jump.
 const maxJobAge = time.Minute
 
 func (s *Scheduler) addJob(spec *work.Job, now time.Time) *job {
 	age := min(max(now.Sub(s.toClock(spec.Accepted)), 0), maxJobAge)
-	j := &job{spec: spec, state: work.Queued, storedState: work.Queued, submittedAt: now.Add(-age), declaredPaths: spec.CriticalPaths()}
+	j := &job{spec: spec, state: work.Queued, storedState: work.Queued, submittedAt: now.Add(-age), criticalPaths: spec.CriticalPaths()}
 	s.jobs[spec.ID] = j
-	s.active[spec.ID] = j
+	s.activeJobs[spec.ID] = j
 	return j
 }
 
-// Cancel ends a job at its caller's request. The caller of Cancel has read the
-// cancellation from the store.
+// Cancel ends a job because its caller has cancelled it. It must be called once the
+// cancellation was read from the store.
 func (s *Scheduler) Cancel(id string, now time.Time) {
 	j := s.jobs[id]
 	if j == nil {
@@ -170,10 +180,10 @@
 	j.storedState = work.Cancelled
 }
 
-// endJob moves a job to a final state and stops the runs that still exist.
+// endJob moves a job to a final state and orders the workers to stop its tasks.
 func (s *Scheduler) endJob(j *job, state work.State, now time.Time) {
 	j.state, j.endedAt = state, now
-	delete(s.active, j.spec.ID)
+	delete(s.activeJobs, j.spec.ID)
 	for _, o := range j.occurrences {
 		for _, st := range o.steps {
 			for _, t := range st.tasks {
@@ -186,21 +196,21 @@
 	s.markDirty(j)
 }
 
-// markDirty marks the progress of a job as changed.
+// markDirty notes that the progress of a job has changed and must be stored.
 func (s *Scheduler) markDirty(j *job) {
 	s.dirtyJobs[j.spec.ID] = j
-	s.planNeeded = true
+	s.schedulingNeeded = true
 }
 
-// openDueOccurrences opens the due occurrences of all active jobs.
+// openDueOccurrences opens the occurrences of all active jobs that are due.
 func (s *Scheduler) openDueOccurrences(now time.Time) {
-	for _, j := range s.active {
-		s.openOccurrencesOf(j, now)
+	for _, j := range s.activeJobs {
+		s.openDueOccurrencesOfJob(j, now)
 	}
 }
 
-// openOccurrencesOf opens the due occurrences of one job.
-func (s *Scheduler) openOccurrencesOf(j *job, now time.Time) {
+// openDueOccurrencesOfJob opens the occurrences of one job that are due.
+func (s *Scheduler) openDueOccurrencesOfJob(j *job, now time.Time) {
 	for j.nextOccurrence < j.spec.Occurrences() && (j.spec.Repeat == nil || !now.Before(s.toClock(j.spec.Due(j.nextOccurrence)).Add(-s.timing.EarlyStart))) {
 		o := s.addOccurrence(j, j.nextOccurrence, now)
 		j.nextOccurrence++
@@ -218,7 +228,7 @@
 		st := &step{job: j, occurrence: o, id: work.StepID{Job: j.spec.ID, Occurrence: number, Step: i}, spec: spec, tasksLeft: spec.Count}
 		st.tasks = make([]*task, spec.Count)
 		for k := range st.tasks {
-			st.tasks[k] = &task{id: work.TaskID{StepID: st.id, Index: k}, step: st, pace: fullPace}
+			st.tasks[k] = &task{id: work.TaskID{StepID: st.id, Index: k}, step: st, pace: fullPacePercent}
 		}
 		o.steps = append(o.steps, st)
 	}
@@ -226,7 +236,8 @@
 	return o
 }
 
-// openReadySteps opens the steps whose dependencies have all completed.
+// openReadySteps opens the steps of an occurrence for which all steps that they
+// depend on have completed.
 func (s *Scheduler) openReadySteps(o *occurrence, now time.Time) {
 	for _, st := range o.steps {
 		if st.open || st.tasksLeft == 0 {
@@ -245,16 +256,16 @@
 				st.job.waitingTasks++
 			}
 		}
-		s.planNeeded = true
+		s.schedulingNeeded = true
 	}
 }
 
-// requeue takes a task off its worker, so that it can be placed again. If its job
-// has ended, the task is done instead.
+// requeue takes a task off its worker and lets it wait for another one. If its job
+// has ended, the task becomes done instead.
 func (s *Scheduler) requeue(t *task) {
-	s.releaseRoom(t)
+	s.releaseCapacity(t)
 	j := t.step.job
-	t.phase, t.percentDone, t.pace, t.runConfirmed = phaseWaiting, 0, fullPace, false
+	t.phase, t.percentDone, t.pace, t.runConfirmed = phaseWaiting, 0, fullPacePercent, false
 	if j.state.Ended() {
 		t.phase = phaseDone
 		return
@@ -265,8 +276,8 @@
 	s.markDirty(j)
 }
 
-// releaseRoom frees the room that a task takes on its worker.
-func (s *Scheduler) releaseRoom(t *task) {
+// releaseCapacity frees the capacity that a task uses on its worker.
+func (s *Scheduler) releaseCapacity(t *task) {
 	if t.worker == nil {
 		return
 	}
@@ -276,8 +287,9 @@
 	t.step.job.tasksOnWorkers--
 }
 
-// completeTask marks a task as completed. The last task of a step opens the steps
-// that depend on it, or completes the job.
+// completeTask marks a task as completed. If it is the last task of its step, the
+// steps that depend on this step are opened. If it is the last task of the job, the
+// job completes.
 func (s *Scheduler) completeTask(t *task, now time.Time) {
 	if t.phase == phaseDone {
 		return
@@ -286,7 +298,7 @@
 	if t.phase == phaseWaiting && t.step.open {
 		j.waitingTasks--
 	}
-	s.releaseRoom(t)
+	s.releaseCapacity(t)
 	t.phase = phaseDone
 	t.step.tasksLeft--
 	s.markDirty(j)
@@ -298,7 +310,7 @@
 	o.stepsLeft--
 	if o.stepsLeft > 0 {
 		s.openReadySteps(o, now)
-		s.planUrgentJob(j, now)
+		s.scheduleUrgentJob(j, now)
 		return
 	}
 	s.completeJobIfDone(j, now)
@@ -319,30 +331,31 @@
 	s.endJob(j, work.Completed, now)
 }
 
-// endTask ends a task whose job has ended.
+// endTask ends or stops a task whose job has ended.
 func (s *Scheduler) endTask(t *task, now time.Time) {
 	switch t.phase {
 	case phaseWaiting:
 		t.phase = phaseDone
 	case phasePlaced:
-		s.releaseRoom(t)
+		s.releaseCapacity(t)
 		t.phase = phaseDone
-	case phaseOrdered, phaseRunning:
+	case phaseStartOrdered, phaseRunning:
 		s.stopTask(t, now)
 	case phaseStopping, phaseDone:
 	}
 }
 
-// stopTask orders the worker of a task to stop its run.
+// stopTask orders the worker of a task to stop it.
 func (s *Scheduler) stopTask(t *task, now time.Time) {
-	if t.phase == phaseOrdered && t.startToken == 0 {
-		return // A run of an earlier leader: the first hold shows whether it still exists.
+	if t.phase == phaseStartOrdered && t.startToken == 0 {
+		return // An earlier leader ordered the start. The first report shows whether the task runs.
 	}
 	t.phase, t.stopSentAt = phaseStopping, now
-	s.orderStop(t.worker, t.id, t.run)
+	s.orderStop(t.worker, t.id, t.runNumber)
 }
 
-// orderStop orders a worker to stop a run.
+// orderStop adds an order to the effects that tells a worker to stop one run of a
+// task.
 func (s *Scheduler) orderStop(w *worker, id work.TaskID, run int64) {
 	s.log.Info("stop_ordered", "task", id.String(), "run", run, "worker", w.registration.Life.ID)
 	s.effects.Stops = append(s.effects.Stops, Order[backend.Stop]{
@@ -350,7 +363,7 @@
 	})
 }
 
-// findTask returns the task with an ID, or nil.
+// findTask returns the task with this ID, or nil if there is none.
 func (s *Scheduler) findTask(id work.TaskID) *task {
 	j := s.jobs[id.Job]
 	if j == nil {
--- a/internal/cell/scheduler/lease.go
+++ b/internal/cell/scheduler/lease.go
@@ -8,49 +8,49 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// runID identifies a run.
+// runID identifies a run: one attempt at a task.
 type runID struct {
-	task work.TaskID
-	run  int64
+	task      work.TaskID
+	runNumber int64
 }
 
-// orphan is a run that may still exist on a worker but no longer belongs to a task
-// there.
+// orphan describes a run that may still exist on a worker, although its task is not
+// on that worker any more or the task is not known.
 type orphan struct {
-	room resource.Vector
-	// sequence is the value of Scheduler.sequence when the run became an orphan.
-	// Only a report whose hold was sent later can show that the run has ended.
-	sequence int64
+	capacity resource.Vector
+	// eventSequence is the value of Scheduler.eventSequence when the run became an
+	// orphan. Only a report whose hold was sent after that can show that the run has
+	// ended.
+	eventSequence int64
 }
 
-// addOrphan adds the run of a task that is about to leave the worker while its run
-// may go on there.
+// addOrphan must be called before a task is taken off a worker on which its run may
+// continue. The run keeps its capacity on the worker as an orphan.
 func (w *worker) addOrphan(t *task, sequence int64) {
-	room := t.step.spec.ReservedCapacity()
-	w.orphans[runID{t.id, t.run}] = orphan{room, sequence}
-	w.used = w.used.Add(room)
+	capacity := t.step.spec.ReservedCapacity()
+	w.orphans[runID{t.id, t.runNumber}] = orphan{capacity, sequence}
+	w.usedCapacity = w.usedCapacity.Add(capacity)
 }
 
-// addUnknownRun adds a reported run that belongs to no task on the worker. It
-// exists until it is stopped or its lease ends, and another leader may have
-// extended the lease just now. st is the step of the run, or nil if it is not
-// known; the run then takes the whole capacity.
+// addUnknownRun adds an orphan for a reported run that belongs to no task on the
+// worker. The lease is extended as well, because another leader may have extended it
+// just before. st is the step of the run. If it is nil, the capacity that the run
+// uses is unknown, and the whole capacity of the worker is assumed.
 func (s *Scheduler) addUnknownRun(w *worker, r *backend.Run, st *step, now time.Time) {
 	w.extendLease(now, s.timing)
 	key := runID{r.Task, r.Run}
 	if _, known := w.orphans[key]; known {
 		return
 	}
-	room := w.registration.Capacity
+	capacity := w.registration.Capacity
 	if st != nil {
-		room = st.spec.ReservedCapacity()
+		capacity = st.spec.ReservedCapacity()
 	}
-	w.orphans[key] = orphan{room, s.sequence}
-	w.used = w.used.Add(room)
+	w.orphans[key] = orphan{capacity, s.eventSequence}
+	w.usedCapacity = w.usedCapacity.Add(capacity)
 }
 
-// hasOrphanOf reports whether an earlier run of a task may still exist on the
-// worker.
+// hasOrphanOf reports whether an orphan on the worker is a run of a given task.
 func (w *worker) hasOrphanOf(id work.TaskID) bool {
 	for v := range w.orphans {
 		if v.task == id {
@@ -60,26 +60,28 @@
 	return false
 }
 
-// removeEndedOrphans removes the orphans that a report lacks, and frees their room.
+// removeEndedOrphans removes the orphans that are missing in a report and frees their
+// capacity.
 func (w *worker) removeEndedOrphans(listed map[runID]bool, sent HoldSent) {
 	for v, r := range w.orphans {
-		if !listed[v] && sent.sequence > r.sequence {
+		if !listed[v] && sent.eventSequence > r.eventSequence {
 			delete(w.orphans, v)
-			w.used = w.used.Sub(r.room)
+			w.usedCapacity = w.usedCapacity.Sub(r.capacity)
 		}
 	}
 }
 
-// removeOrphans removes all orphans and frees their room.
+// removeOrphans removes all orphans and frees their capacity.
 func (w *worker) removeOrphans() {
 	for v, r := range w.orphans {
 		delete(w.orphans, v)
-		w.used = w.used.Sub(r.room)
+		w.usedCapacity = w.usedCapacity.Sub(r.capacity)
 	}
 }
 
-// leaseDeadline returns the end of a lease granted now, by the worker's clock, or 0
-// if that clock is not known. The lease does not exceed leadershipEnd.
+// leaseDeadline returns the time on the worker's clock at which a lease granted now
+// ends, or 0 if the reading of that clock is not known. The lease ends at
+// leadershipEnd at the latest.
 func (w *worker) leaseDeadline(now, leadershipEnd time.Time, timing Timing) time.Duration {
 	if w.clockReadAt.IsZero() {
 		return 0
@@ -88,92 +90,93 @@
 	return w.clock + now.Sub(w.clockReadAt) + lease
 }
 
-// extendLease records that a lease was granted at a time.
+// extendLease updates leaseEnd after a lease was granted at a given time.
 func (w *worker) extendLease(at time.Time, timing Timing) {
 	if end := at.Add(time.Duration(float64(timing.Lease)*maxClockDrift) + leaseMargin); end.After(w.leaseEnd) {
 		w.leaseEnd = end
 	}
 }
 
-// lapseRuns requeues all tasks on a worker whose runs have ended without a report,
-// because its lease has ended or its life is over.
-func (s *Scheduler) lapseRuns(w *worker, now time.Time) {
+// requeueLapsedRuns requeues all tasks on a worker whose runs are known to have ended
+// without a report, because the lease has ended or the worker process is gone.
+func (s *Scheduler) requeueLapsedRuns(w *worker, now time.Time) {
 	w.removeOrphans()
-	for _, t := range w.sortedTasks() {
-		s.log.Info("run_lapsed", "task", t.id.String(), "run", t.run, "worker", w.registration.Life.ID)
+	for _, t := range w.tasksSortedByID() {
+		s.log.Info("run_lapsed", "task", t.id.String(), "run", t.runNumber, "worker", w.registration.Life.ID)
 		s.requeue(t)
-		s.stopGang(t, now)
+		s.stopOtherGangMembers(t, now)
 	}
 }
 
-// stopRetryInterval is the interval between stop orders for a run that is still
-// reported. It is longer than a worker takes to end a run.
+// stopRetryInterval is the interval between stop orders for a run that the worker
+// still reports. It is longer than a worker takes to end a run.
 const stopRetryInterval = 1500 * time.Millisecond
 
-// speculationDelay is how much longer than holdWait a worker may be silent before its
-// speculative tasks get a second copy elsewhere.
+// speculationDelay is added to holdWait. If a worker is silent for longer than the
+// sum, its speculative tasks are started a second time on other workers.
 const speculationDelay = 800 * time.Millisecond
 
-// holdWaitPerWorker makes holds less frequent in large fleets, where they take most
-// of the leader's processor time. maxHoldWait keeps the interval well below the
-// lease.
+// holdWaitPerWorker is the wait time of a hold for each worker in the fleet. It makes
+// holds less frequent in large fleets, where they take most of the leader's processor
+// time. maxHoldWait limits the wait to well below the lease.
 const (
 	holdWaitPerWorker = 10 * time.Millisecond
 	maxHoldWait       = 2 * time.Second
 )
 
-// holdWait returns how long a worker may delay its answer to a hold.
+// holdWait returns how long a worker may wait before it answers a hold.
 func (s *Scheduler) holdWait() time.Duration {
 	return max(s.timing.HoldWait, min(time.Duration(len(s.workers))*holdWaitPerWorker, maxHoldWait))
 }
 
-// requeueSpeculative requeues the speculative tasks of a silent worker, so that a
-// second copy starts elsewhere. The copy that completes first counts.
+// requeueSpeculative requeues the speculative tasks of a silent worker, so that each
+// starts a second time on another worker. The first run that completes counts.
 func (s *Scheduler) requeueSpeculative(w *worker, now time.Time) {
-	if now.Sub(w.lastAnswer) < s.holdWait()+speculationDelay {
+	if now.Sub(w.lastAnswerAt) < s.holdWait()+speculationDelay {
 		return
 	}
-	for _, t := range w.sortedTasks() {
+	for _, t := range w.tasksSortedByID() {
 		if t.step.spec.Speculative && t.phase == phaseRunning {
-			s.log.Info("run_copied", "task", t.id.String(), "run", t.run, "worker", w.registration.Life.ID, "silent_ms", now.Sub(w.lastAnswer).Milliseconds())
-			w.addOrphan(t, s.sequence)
+			s.log.Info("run_copied", "task", t.id.String(), "run", t.runNumber, "worker", w.registration.Life.ID, "silent_ms", now.Sub(w.lastAnswerAt).Milliseconds())
+			w.addOrphan(t, s.eventSequence)
 			s.requeue(t)
 		}
 	}
 }
 
-// checkpointLead is how long before a draining worker exits its checkpointing tasks
-// are stopped: twice the time that a stop takes.
-const checkpointLead = 900 * time.Millisecond
+// drainCheckpointLeadTime is how long before a draining worker exits the scheduler
+// stops its tasks that save checkpoints. It is twice the time that a stop takes.
+const drainCheckpointLeadTime = 900 * time.Millisecond
 
-// stopCheckpointingIfDraining stops the tasks on a draining worker that can resume
-// elsewhere from a checkpoint, shortly before the worker exits.
-func (s *Scheduler) stopCheckpointingIfDraining(w *worker, now time.Time) {
-	if !w.registration.Draining || w.drainEnd.IsZero() || now.Before(w.drainEnd.Add(-checkpointLead)) {
+// stopCheckpointingTasksIfDraining stops the tasks on a worker that save checkpoints,
+// shortly before the worker exits. They resume on another worker from their
+// checkpoints.
+func (s *Scheduler) stopCheckpointingTasksIfDraining(w *worker, now time.Time) {
+	if !w.registration.Draining || w.drainEnd.IsZero() || now.Before(w.drainEnd.Add(-drainCheckpointLeadTime)) {
 		return
 	}
-	for _, t := range w.sortedTasks() {
+	for _, t := range w.tasksSortedByID() {
 		if t.step.spec.Checkpoints && t.phase == phaseRunning {
 			s.stopTask(t, now)
 		}
 	}
 }
 
-// expireLeases requeues the tasks of the workers whose lease has ended, and does
-// the other checks of workers that depend on time.
+// expireLeases requeues the tasks of workers whose lease has ended. It also does the
+// other checks of workers that depend only on time.
 func (s *Scheduler) expireLeases(now time.Time) {
 	for _, life := range s.Workers() {
 		w := s.workers[life]
 		s.requeueSpeculative(w, now)
-		s.stopCheckpointingIfDraining(w, now)
+		s.stopCheckpointingTasksIfDraining(w, now)
 		if now.Before(w.leaseEnd) {
 			continue
 		}
 		if len(w.tasks) > 0 || len(w.orphans) > 0 {
-			s.lapseRuns(w, now)
+			s.requeueLapsedRuns(w, now)
 		}
-		if w.confirmedToken != 0 && now.Sub(w.lastAnswer) > s.timing.Lease {
-			// When the worker answers again, it may list runs that were requeued.
+		if w.confirmedToken != 0 && now.Sub(w.lastAnswerAt) > s.timing.Lease {
+			// When the worker answers again, it may still run tasks that were requeued.
 			w.confirmedToken = 0
 		}
 		s.removeIfIdle(w, now)
--- a/internal/cell/scheduler/load.go
+++ b/internal/cell/scheduler/load.go
@@ -8,17 +8,17 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// loadLogInterval is the interval at which the load is logged.
+// loadLogInterval is the shortest interval between two log entries about the load.
 const loadLogInterval = 2 * time.Second
 
-// serviceLoad is the number of workers of a service with their used and total
-// capacity.
+// serviceLoad sums up the capacity of the workers of one service.
 type serviceLoad struct {
-	workers        int
-	used, capacity resource.Vector
+	workers                     int
+	usedCapacity, totalCapacity resource.Vector
 }
 
-// logLoad logs, for each service, how full its workers are and how much work waits.
+// logLoad logs, for each service, how much capacity of its workers is used and how
+// many jobs and tasks wait.
 func (s *Scheduler) logLoad(now time.Time) {
 	if now.Sub(s.lastLoadLog) < loadLogInterval {
 		return
@@ -31,11 +31,11 @@
 		}
 		v := loads[w.registration.Service]
 		v.workers++
-		v.used, v.capacity = v.used.Add(w.used), v.capacity.Add(w.registration.Capacity)
+		v.usedCapacity, v.totalCapacity = v.usedCapacity.Add(w.usedCapacity), v.totalCapacity.Add(w.registration.Capacity)
 		loads[w.registration.Service] = v
 	}
 	jobs, tasks := map[string]int{}, map[string]int{}
-	for _, j := range s.active {
+	for _, j := range s.activeJobs {
 		if q := s.table.Queue(j.spec.Queue); q != nil && j.waitingTasks > 0 {
 			jobs[q.Service]++
 			tasks[q.Service] += j.waitingTasks
@@ -44,9 +44,9 @@
 	for _, name := range slices.Sorted(maps.Keys(loads)) {
 		v := loads[name]
 		s.log.Info("service_load", "service", name, "workers", v.workers,
-			"processors_percent", percent(v.used.Milliprocessors, v.capacity.Milliprocessors),
-			"memory_percent", percent(v.used.MemoryMebibytes, v.capacity.MemoryMebibytes),
-			"accelerators_percent", percent(v.used.Accelerators, v.capacity.Accelerators),
+			"processors_percent", percent(v.usedCapacity.Milliprocessors, v.totalCapacity.Milliprocessors),
+			"memory_percent", percent(v.usedCapacity.MemoryMebibytes, v.totalCapacity.MemoryMebibytes),
+			"accelerators_percent", percent(v.usedCapacity.Accelerators, v.totalCapacity.Accelerators),
 			"waiting_jobs", jobs[name], "waiting_tasks", tasks[name])
 	}
 }
--- a/internal/cell/scheduler/pace.go
+++ b/internal/cell/scheduler/pace.go
@@ -7,56 +7,58 @@
 )
 
 const (
-	// fullPace is the initial pace of every run, in percent of its full speed.
-	fullPace = 100
-	// throttleAbove and speedUpBelow are fractions of the latency target of a
-	// serving task. Filling tasks on the same worker are slowed down while its
-	// latency is above the first, and sped up while it is below the second.
-	throttleAbove = 0.85
-	speedUpBelow  = 0.6
-	// throttleDivisor divides the pace of a filling task to slow it down;
-	// speedUpPercent is added to the pace to speed it up.
+	// fullPacePercent is the pace at which every run starts. A pace is a speed in
+	// percent of full speed.
+	fullPacePercent = 100
+	// Filling tasks on a worker are slowed down while a serving task there has a
+	// latency above throttleAboveTargetShare times its target. They are sped up while
+	// all latencies are below speedUpBelowTargetShare times their targets.
+	throttleAboveTargetShare = 0.85
+	speedUpBelowTargetShare  = 0.6
+	// To slow a filling task down, its pace is divided by throttleDivisor. To speed
+	// it up, speedUpPercent is added to its pace.
 	throttleDivisor = 2
 	speedUpPercent  = 15
-	// minPace is the lowest pace in percent. A filling task that would be slower is
-	// paused.
-	minPace = 12
+	// minPacePercent is the lowest pace. A filling task that would have to run more
+	// slowly is paused.
+	minPacePercent = 12
 )
 
-// adjustFillerPaces slows the filling tasks on a worker down while a serving task
-// there is close to its latency target, and speeds them up while all are well
-// below.
-func (s *Scheduler) adjustFillerPaces(w *worker) {
-	highestLoad := 0.0
+// adjustFillingTaskPaces slows the filling tasks on a worker down while the latency
+// of a serving task there is close to its target. It speeds them up while all
+// latencies are well below the targets.
+func (s *Scheduler) adjustFillingTaskPaces(w *worker) {
+	highestLatencyShare := 0.0
 	for _, t := range w.tasks {
 		if target := t.step.spec.Target; target > 0 && t.phase == phaseRunning {
-			highestLoad = max(highestLoad, float64(time.Duration(t.reportedFigure)*time.Millisecond)/float64(target))
+			highestLatencyShare = max(highestLatencyShare, float64(time.Duration(t.reportedMeasurement)*time.Millisecond)/float64(target))
 		}
 	}
 	for _, t := range w.tasks {
 		if !t.step.spec.Fills || t.phase != phaseRunning {
 			continue
 		}
-		if pace := nextPace(t.pace, highestLoad); pace != t.pace {
+		if pace := nextPace(t.pace, highestLatencyShare); pace != t.pace {
 			t.pace = pace
 			s.effects.Paces = append(s.effects.Paces, Order[backend.Pace]{
-				Worker: w.registration.Life, Order: backend.Pace{Task: t.id, Run: t.run, Percent: pace, Token: w.token},
+				Worker: w.registration.Life, Order: backend.Pace{Task: t.id, Run: t.runNumber, Percent: pace, Token: w.token},
 			})
 		}
 	}
 }
 
-// nextPace returns the new pace of a filling task beside a serving task whose tail
-// latency is the fraction load of its target. A pace of 0 pauses the task.
-func nextPace(pace int, load float64) int {
+// nextPace returns the new pace of a filling task. latencyShare is the highest
+// latency of the serving tasks on the worker, divided by the target. A pace of 0
+// pauses the task.
+func nextPace(pace int, latencyShare float64) int {
 	switch {
-	case load > throttleAbove:
+	case latencyShare > throttleAboveTargetShare:
 		pace /= throttleDivisor
-		if pace < minPace {
+		if pace < minPacePercent {
 			return 0
 		}
-	case load < speedUpBelow:
-		return min(pace+speedUpPercent, fullPace)
+	case latencyShare < speedUpBelowTargetShare:
+		return min(pace+speedUpPercent, fullPacePercent)
 	}
 	return pace
 }
--- a/internal/cell/scheduler/pool.go
+++ b/internal/cell/scheduler/pool.go
@@ -9,28 +9,30 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// pool holds the workers of one service that are registered and not draining, in
-// order of their lives.
+// pool holds the workers of one service that are registered and not draining, sorted
+// by ID.
 type pool struct {
 	workers []*worker
-	// readyWorkers holds the workers that could accept a start when the plan began.
+	// readyWorkers holds the workers that could be given tasks when the last
+	// scheduling pass began.
 	readyWorkers []*worker
-	// maxCapacity and minCapacity are the largest and the smallest capacity of a
-	// worker, for each resource separately.
+	// maxCapacity and minCapacity are the largest and the smallest total capacity of
+	// a worker. Each resource is compared separately.
 	maxCapacity, minCapacity resource.Vector
-	// maxFree is an upper bound of the free room on any ready worker, for each
-	// resource separately. It is computed when a plan begins, and stays a bound
-	// because a plan only takes room.
-	maxFree resource.Vector
+	// maxFreeCapacity is an upper bound of the free capacity of any ready worker, for
+	// each resource separately. It is computed when a scheduling pass begins. It
+	// stays an upper bound during the pass, which only places tasks and frees
+	// nothing.
+	maxFreeCapacity resource.Vector
 	// leastUsed and mostUsed cache the results of leastUsedFirst and mostUsedFirst
-	// during a plan.
+	// until the next scheduling pass.
 	leastUsed, mostUsed []*worker
-	// largeStepWaiting is true if the last plan found a large step that waits for
-	// room.
+	// largeStepWaiting is true if the last scheduling pass found a large step whose
+	// tasks could not all be placed.
 	largeStepWaiting bool
 }
 
-// poolOf returns the pool of a service. It is empty if the service has no workers.
+// poolOf returns the pool of a service, which is empty if the service has no workers.
 func (s *Scheduler) poolOf(service string) *pool {
 	if s.pools == nil {
 		s.buildPools()
@@ -41,12 +43,12 @@
 	return &pool{}
 }
 
-// buildPools groups the workers by service.
+// buildPools groups the workers into pools, one for each service.
 func (s *Scheduler) buildPools() {
 	s.pools = map[string]*pool{}
 	for _, life := range s.Workers() {
 		w := s.workers[life]
-		if !w.registered || w.lost || w.registration.Draining {
+		if !w.registered || w.removed || w.registration.Draining {
 			continue
 		}
 		p := s.pools[w.registration.Service]
@@ -60,33 +62,36 @@
 	}
 }
 
-// refresh updates, when a plan begins, which workers are ready and how much room
-// they have. A worker that has been silent for longer than maxSilence is not ready.
-func (p *pool) refresh(now time.Time, maxSilence time.Duration) {
-	p.maxFree, p.readyWorkers, p.leastUsed = resource.Vector{}, p.readyWorkers[:0], nil
+// refreshReadyWorkers determines, when a scheduling pass begins, which workers are
+// ready and how much free capacity they have. A worker that has been silent for
+// longer than maxSilence is not ready.
+func (p *pool) refreshReadyWorkers(now time.Time, maxSilence time.Duration) {
+	p.maxFreeCapacity, p.readyWorkers, p.leastUsed = resource.Vector{}, p.readyWorkers[:0], nil
 	p.mostUsed = nil
 	for _, w := range p.workers {
-		w.ready = !w.tokenUnconfirmed() && !now.Before(w.avoidUntil) && now.Sub(w.lastAnswer) <= maxSilence && !w.clockReadAt.IsZero()
+		w.ready = !w.tokenUnconfirmed() && !now.Before(w.avoidUntil) && now.Sub(w.lastAnswerAt) <= maxSilence && !w.clockReadAt.IsZero()
 		if w.ready {
 			p.readyWorkers = append(p.readyWorkers, w)
-			p.maxFree = p.maxFree.Max(w.free())
+			p.maxFreeCapacity = p.maxFreeCapacity.Max(w.freeCapacity())
 		}
 	}
 }
 
-// accepts reports whether a worker may get new tasks of a queue.
-func (w *worker) accepts(q *queue.Queue) bool {
-	return w.registered && !w.lost && !w.registration.Draining && w.registration.Service == q.Service
+// acceptsTasksOf reports whether a worker may get new tasks of a queue, as far as its
+// registration and service are concerned.
+func (w *worker) acceptsTasksOf(q *queue.Queue) bool {
+	return w.registered && !w.removed && !w.registration.Draining && w.registration.Service == q.Service
 }
 
-// leastUsedFirst returns the workers in ascending order of their used fraction, as
-// of the first call in a plan.
+// leastUsedFirst returns the workers of the pool, those with the smallest used
+// fraction first. The fractions are those at the first call after a scheduling pass
+// began.
 func (p *pool) leastUsedFirst() []*worker {
 	if p.leastUsed != nil {
 		return p.leastUsed
 	}
 	for _, w := range p.workers {
-		w.usedFraction = w.used.DominantFraction(w.registration.Capacity)
+		w.usedFraction = w.usedCapacity.DominantFraction(w.registration.Capacity)
 	}
 	p.leastUsed = slices.Clone(p.workers)
 	slices.SortStableFunc(p.leastUsed, func(a, b *worker) int { return cmp.Compare(a.usedFraction, b.usedFraction) })
@@ -102,12 +107,12 @@
 	return p.mostUsed
 }
 
-// capableWorkers returns the workers of a service that can run tasks of a step when
-// they are empty.
+// capableWorkers returns the workers of a service that could run a task of a step if
+// they were empty.
 func (s *Scheduler) capableWorkers(st *step, service string) []*worker {
 	p := s.poolOf(service)
 	if st.spec.Label == "" && st.spec.ReservedCapacity().Fits(p.minCapacity) {
 		return p.workers
 	}
-	return slices.DeleteFunc(slices.Clone(p.workers), func(w *worker) bool { return !canRun(w, st) })
+	return slices.DeleteFunc(slices.Clone(p.workers), func(w *worker) bool { return !isCapable(w, st) })
 }
--- a/internal/cell/scheduler/reserve.go
+++ b/internal/cell/scheduler/reserve.go
@@ -9,135 +9,138 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// reservations holds the workers that are reserved for large steps. Without a
-// reservation, a large task could wait forever while smaller ones take any room
-// that becomes free.
+// reservations holds the workers that a scheduling pass has reserved for large steps.
+// Without reservations, a large task could wait forever, while smaller tasks take all
+// capacity that becomes free.
 type reservations struct {
-	byWorker  map[*worker]reservation
-	stepCount int
+	byWorker          map[*worker]reservation
+	reservedStepCount int
 }
 
-// reservation reserves a worker for a job.
+// reservation is the reservation of one worker for a job.
 type reservation struct {
 	job *job
-	// freeAt is when the worker is expected to have room for the job.
+	// freeAt is when the worker is expected to have enough free capacity for a task
+	// of the job.
 	freeAt time.Time
 }
 
 const (
-	// workersPerReservation limits the number of steps with reservations in a plan
-	// to one per so many workers of the service; minReservations steps are always
-	// allowed.
-	workersPerReservation = 3
-	minReservations       = 8
-	// largeFraction is the fraction of the largest worker from which on a task is
-	// large.
-	largeFraction = 0.45
+	// One step per workersPerReservingStep workers of a service may reserve workers
+	// in a scheduling pass, and at least minReservingSteps steps may.
+	workersPerReservingStep = 3
+	minReservingSteps       = 8
+	// A task is large if it needs at least the fraction minLargeTaskFraction of the
+	// capacity of the largest worker.
+	minLargeTaskFraction = 0.45
 )
 
 func newReservations() *reservations { return &reservations{byWorker: map[*worker]reservation{}} }
 
-// blocks reports whether a worker is reserved for another job and a task of job j
-// would run there past the time when it should be free. Shorter tasks may backfill
-// the room until then.
-func (r *reservations) blocks(w *worker, j *job, expectedEnd time.Time) bool {
+// blocksTask reports whether a reservation for another job keeps a task of job j from
+// a worker. It does so if the task would not end before the reserved capacity is
+// expected to be free. Shorter tasks may backfill the worker until then.
+func (r *reservations) blocksTask(w *worker, j *job, expectedEnd time.Time) bool {
 	res, ok := r.byWorker[w]
 	return ok && res.job != j && expectedEnd.After(res.freeAt)
 }
 
-// reservedForOther reports whether a worker is reserved for another job than j.
-func (r *reservations) reservedForOther(w *worker, j *job) bool {
+// reservedForOtherJob reports whether a worker is reserved for a job other than j.
+func (r *reservations) reservedForOtherJob(w *worker, j *job) bool {
 	res, ok := r.byWorker[w]
 	return ok && res.job != j
 }
 
-// reserveWorkers reserves the workers that are expected to have room for the tasks
-// of a step first. Workers that can never run them are not reserved.
+// reserveWorkers reserves workers for the waiting tasks of a large step: those that
+// are expected to have enough free capacity first. Workers that can never run the
+// tasks are not reserved.
 func (s *Scheduler) reserveWorkers(st *step, q *queue.Queue, r *reservations, now time.Time) {
-	if !s.isLarge(st, q) || r.stepCount >= max(minReservations, len(s.poolOf(q.Service).workers)/workersPerReservation) {
+	if !s.isLarge(st, q) || r.reservedStepCount >= max(minReservingSteps, len(s.poolOf(q.Service).workers)/workersPerReservingStep) {
 		return
 	}
-	var slots []slot
-	places := 0
+	var places []expectedPlace
+	maxPlaces := 0
 	for _, w := range s.permittedWorkers(st, q) {
-		if r.reservedForOther(w, st.job) || !belowTaskLimit(w, st) {
+		if r.reservedForOtherJob(w, st.job) || !belowTaskLimit(w, st) {
 			continue
 		}
-		places += countPlaces(st.spec.ReservedCapacity(), w.registration.Capacity)
-		slots = s.appendSlots(w, st, slots, now)
+		maxPlaces += countPlaces(st.spec.ReservedCapacity(), w.registration.Capacity)
+		places = s.appendExpectedPlaces(w, st, places, now)
 	}
-	if st.spec.Gang && places < st.spec.Count {
-		return // The gang does not fit, however long it waits.
+	if st.spec.Gang && maxPlaces < st.spec.Count {
+		return // The gang would not fit even if all these workers were empty.
 	}
-	slices.SortFunc(slots, func(a, b slot) int {
-		return cmp.Or(cmp.Compare(a.wait, b.wait), compareLives(a.worker.registration.Life, b.worker.registration.Life))
+	slices.SortFunc(places, func(a, b expectedPlace) int {
+		return cmp.Or(cmp.Compare(a.freeIn, b.freeIn), compareLives(a.worker.registration.Life, b.worker.registration.Life))
 	})
-	for _, sl := range slots[:min(st.waitingTasks(), len(slots))] {
-		if _, alreadyReserved := r.byWorker[sl.worker]; !alreadyReserved {
-			st.advice.reserved = append(st.advice.reserved, sl.worker)
+	for _, p := range places[:min(st.countWaitingTasks(), len(places))] {
+		if _, alreadyReserved := r.byWorker[p.worker]; !alreadyReserved {
+			st.advice.reservedWorkers = append(st.advice.reservedWorkers, p.worker)
 		}
-		r.byWorker[sl.worker] = reservation{job: st.job, freeAt: now.Add(sl.wait)}
-		if st.spec.Gang || len(st.advice.reserved) == 1 {
-			st.advice.reservedFreeIn = sl.wait
+		r.byWorker[p.worker] = reservation{job: st.job, freeAt: now.Add(p.freeIn)}
+		if st.spec.Gang || len(st.advice.reservedWorkers) == 1 {
+			st.advice.reservedFreeIn = p.freeIn
 		}
 	}
-	r.stepCount++
+	r.reservedStepCount++
 }
 
-// permittedWorkers returns the workers on which tasks of a step may run: those with
-// a ticket, which may have expired, or all capable ones if the queue needs no
-// advice.
+// permittedWorkers returns the workers that may run the tasks of a step. If the queue
+// needs advice, these are the workers with a ticket, which may have expired;
+// otherwise all capable workers.
 func (s *Scheduler) permittedWorkers(st *step, q *queue.Queue) []*worker {
 	if q.Advice == nil {
 		return s.capableWorkers(st, q.Service)
 	}
 	list := make([]*worker, 0, len(st.advice.tickets))
 	for w := range st.advice.tickets {
-		if w.accepts(q) {
+		if w.acceptsTasksOf(q) {
 			list = append(list, w)
 		}
 	}
 	return list
 }
 
-// slot is room for one task on a worker.
-type slot struct {
+// expectedPlace is capacity for one task on a worker that is free or expected to
+// become free.
+type expectedPlace struct {
 	worker *worker
-	// wait is the expected time until the room is free.
-	wait time.Duration
+	// freeIn is the expected time until the capacity is free; 0 means that it is free
+	// now.
+	freeIn time.Duration
 }
 
-// appendSlots appends the slots for tasks of a step on a worker that are free now
-// or become free when tasks there end.
+// appendExpectedPlaces appends the places for tasks of a step on a worker: those that
+// are free now, and those that become free when tasks on the worker end.
 //
-// A worker can have several slots for a wide gang. The gang then gets the slots
+// One worker can have several places for a wide gang. The gang then gets the places
 // that become free first, and reserves no more workers than it needs.
-func (s *Scheduler) appendSlots(w *worker, st *step, slots []slot, now time.Time) []slot {
-	free, room := w.free(), st.spec.ReservedCapacity()
-	limit := min(taskLimitLeft(w, st), st.waitingTasks())
-	n := min(countPlaces(room, free), limit)
+func (s *Scheduler) appendExpectedPlaces(w *worker, st *step, places []expectedPlace, now time.Time) []expectedPlace {
+	free, taskCapacity := w.freeCapacity(), st.spec.ReservedCapacity()
+	limit := min(remainingTaskLimit(w, st), st.countWaitingTasks())
+	n := min(countPlaces(taskCapacity, free), limit)
 	for range n {
-		slots = append(slots, slot{w, 0})
+		places = append(places, expectedPlace{w, 0})
 	}
 	if n == limit {
-		return slots
+		return places
 	}
 	type taskEnd struct {
-		room      resource.Vector
+		capacity  resource.Vector
 		remaining time.Duration
 	}
 	taskEnds := make([]taskEnd, 0, len(w.tasks))
 	for _, t := range w.tasks {
-		if remaining := s.runTimes.remainingRunTime(t, now); remaining < lastingHorizon {
+		if remaining := s.runTimes.remainingRunTime(t, now); remaining < assumedLastingRunTime {
 			taskEnds = append(taskEnds, taskEnd{t.step.spec.ReservedCapacity(), remaining})
 		}
 	}
 	slices.SortFunc(taskEnds, func(a, b taskEnd) int { return cmp.Compare(a.remaining, b.remaining) })
 	for _, e := range taskEnds {
-		free = free.Add(e.room)
-		for ; n < min(countPlaces(room, free), limit); n++ {
-			slots = append(slots, slot{w, e.remaining})
+		free = free.Add(e.capacity)
+		for ; n < min(countPlaces(taskCapacity, free), limit); n++ {
+			places = append(places, expectedPlace{w, e.remaining})
 		}
 	}
-	return slots
+	return places
 }
--- a/internal/cell/scheduler/restore.go
+++ b/internal/cell/scheduler/restore.go
@@ -7,9 +7,9 @@
 	"github.com/almondpost/almondpost/internal/peer/backend"
 )
 
-// Restore adds a job of an earlier leader with its stored progress, which may be
-// nil. A run that may still exist takes room until its worker's report lacks it or
-// its lease has ended.
+// Restore adds a job that an earlier leader scheduled, with its stored progress. p is
+// nil if no progress is stored. A run that may still exist uses capacity until it is
+// missing in a report of its worker or the lease has ended.
 func (s *Scheduler) Restore(spec *work.Job, p *work.Progress, now time.Time) {
 	if s.jobs[spec.ID] != nil {
 		return
@@ -18,11 +18,11 @@
 	if p == nil {
 		return
 	}
-	j.anyTaskPlaced, j.anyTaskOrdered = p.Started, p.Started
+	j.anyTaskPlaced, j.anyStartOrdered = p.Started, p.Started
 	j.state, j.storedState = p.State, p.State
 	if p.State.Ended() {
 		j.endedAt = now
-		delete(s.active, spec.ID)
+		delete(s.activeJobs, spec.ID)
 	}
 	for i := range p.Steps {
 		s.restoreStep(j, &p.Steps[i], now)
@@ -39,8 +39,8 @@
 	}
 }
 
-// RestoreEnded adds an ended job whose submission was deleted and whose progress is
-// left.
+// RestoreEnded adds an ended job of which only the progress record is still stored;
+// its submission has been deleted.
 func (s *Scheduler) RestoreEnded(id string, p *work.Progress, now time.Time) {
 	if s.jobs[id] != nil || !p.State.Ended() {
 		return
@@ -77,10 +77,10 @@
 	}
 }
 
-// restoreTask restores a task from its record. If the record names a worker, the
-// run may still exist there.
+// restoreTask restores a task from its progress record. If the record names a worker,
+// the task may still run there.
 func (s *Scheduler) restoreTask(t *task, p *work.TaskProgress, now time.Time) {
-	t.run, t.failedRuns, t.checkpoint = p.Run, p.Failed, p.Checkpoint
+	t.runNumber, t.failedRuns, t.checkpoint = p.Run, p.Failed, p.Checkpoint
 	if p.Done {
 		t.phase = phaseDone
 		t.step.tasksLeft--
@@ -90,18 +90,18 @@
 		return
 	}
 	life := backend.Life{ID: p.Worker, Born: p.Born}
-	if latest := s.latestByID[life.ID]; latest != nil && latest.registration.Life.Born > life.Born {
-		return // This life of the worker has ended, and its runs with it.
+	if latest := s.latestWorkerByID[life.ID]; latest != nil && latest.registration.Life.Born > life.Born {
+		return // This worker process has ended, and so have its runs.
 	}
 	w := s.workers[life]
 	if w == nil {
 		w = s.addWorker(backend.Registration{Life: life}, now)
 	}
-	// The last leader may have extended the lease until the end of its leadership.
+	// The previous leader may have extended the lease until its leadership ended.
 	if end := now.Add(time.Duration(float64(s.timing.LeadershipLease)*maxClockDrift) + leaseMargin); end.After(w.leaseEnd) {
 		w.leaseEnd = end
 	}
-	t.phase, t.worker, t.startToken = phaseOrdered, w, 0
+	t.phase, t.worker, t.startToken = phaseStartOrdered, w, 0
 	t.step.job.tasksOnWorkers++
 	w.addTask(t)
 }
--- a/internal/cell/scheduler/runs.go
+++ b/internal/cell/scheduler/runs.go
@@ -9,19 +9,21 @@
 )
 
 const (
-	// refusalPause is how long a worker that has refused an order gets no new work.
+	// refusalPause is how long a worker gets no new tasks after it has refused a
+	// start for lack of capacity or because it is unhealthy.
 	refusalPause = time.Second
-	// invalidPause is how long a task waits after its worker rejected the order as
-	// invalid.
-	invalidPause = time.Second
-	// failuresToAvoid is the number of consecutive failed runs after which a worker
-	// gets no new work for avoidPause.
-	failuresToAvoid = 3
-	avoidPause      = 3 * time.Second
+	// invalidOrderPause is how long a task is not placed again after a worker has
+	// refused its start order as invalid.
+	invalidOrderPause = time.Second
+	// After failuresBeforeAvoidance consecutive failed runs, a worker gets no new
+	// tasks for avoidancePause.
+	failuresBeforeAvoidance = 3
+	avoidancePause          = 3 * time.Second
 )
 
 // StartAnswered handles the answer to a start order. An empty kind means that the
-// run has started; clock is the worker's clock, or 0 if it is not known.
+// worker has started the run; otherwise it is the kind of the error. clock is the
+// reading of the worker's clock, or 0 if it is not known.
 func (s *Scheduler) StartAnswered(life backend.Life, o *backend.Start, kind backend.Kind, clock time.Duration, now time.Time) {
 	w := s.workers[life]
 	if w == nil {
@@ -29,21 +31,21 @@
 	}
 	w.setClock(clock, now)
 	t := s.findTask(o.Task)
-	if t == nil || t.worker != w || t.run != o.Run || t.startToken != o.Token {
-		return // A report has already settled the run, or it has ended.
+	if t == nil || t.worker != w || t.runNumber != o.Run || t.startToken != o.Token {
+		return // The run has ended, or a report has shown that it does not exist.
 	}
 	if kind == "" {
-		s.sequence++
-		if t.phase == phaseOrdered {
+		s.eventSequence++
+		if t.phase == phaseStartOrdered {
 			s.confirmRun(t, now)
 		}
-		t.runConfirmed, t.confirmedSequence = true, s.sequence
+		t.runConfirmed, t.confirmedSequence = true, s.eventSequence
 		return
 	}
-	if t.phase != phaseOrdered && t.phase != phaseStopping {
+	if t.phase != phaseStartOrdered && t.phase != phaseStopping {
 		return
 	}
-	s.log.Info("start_refused", "task", t.id.String(), "run", t.run, "worker", life.ID, "kind", string(kind))
+	s.log.Info("start_refused", "task", t.id.String(), "run", t.runNumber, "worker", life.ID, "kind", string(kind))
 	switch kind {
 	case backend.KindUnknown:
 		if w.token == t.startToken {
@@ -57,27 +59,27 @@
 		if w.token == t.startToken {
 			s.raiseToken(w)
 		}
-		return // The answer to a hold with a higher token shows whether the run exists.
+		return // The next report, for a hold with a higher token, shows whether the run exists.
 	case backend.KindTicket:
 		t.step.advice.expireTicket(w)
 	case backend.KindNoRoom, backend.KindUnhealthy:
 		w.avoidUntil = now.Add(refusalPause)
 	case backend.KindInvalid:
-		t.notBefore = now.Add(invalidPause)
+		t.notBefore = now.Add(invalidOrderPause)
 	default:
 	}
 	s.requeue(t)
-	s.stopGang(t, now)
+	s.stopOtherGangMembers(t, now)
 }
 
-// applyEnd handles the reported end of a run.
+// applyEnd handles the end of a run that a worker has reported.
 func (s *Scheduler) applyEnd(w *worker, e *backend.End, now time.Time) {
 	s.log.Info("run_ended", "task", e.Task.String(), "run", e.Run, "worker", w.registration.Life.ID, "number", e.Number, "outcome", string(e.Outcome))
 	t := s.findTask(e.Task)
 	if t == nil {
 		return
 	}
-	if e.Run != t.run || t.worker != w {
+	if e.Run != t.runNumber || t.worker != w {
 		s.applyOrphanEnd(t, e, now)
 		return
 	}
@@ -86,26 +88,26 @@
 	}
 	s.recordOutcome(w, t, e, now)
 	if t.step.job.state.Ended() {
-		s.releaseRoom(t)
+		s.releaseCapacity(t)
 		t.phase = phaseDone
 		s.markDirty(t.step.job)
 		return
 	}
 	switch e.Outcome {
 	case backend.Done:
-		s.applyDone(t, now)
+		s.applyCompletedRun(t, now)
 	case backend.Failed:
-		s.applyFailure(t, w, e.Run, now)
+		s.applyFailedRun(t, w, e.Run, now)
 	default:
 		s.requeue(t)
-		s.stopGang(t, now)
+		s.stopOtherGangMembers(t, now)
 	}
 }
 
-// applyOrphanEnd handles the end of a run that no longer belongs to its task. A
-// failure counts against the task's attempts. A completed run completes the task,
-// even if the task was placed again; the later run is then stopped, and takes room
-// until it has ended.
+// applyOrphanEnd handles the end of an earlier run of a task, or of a run on a worker
+// that the task has left. A failed run counts as one of the attempts of the task. A
+// completed run completes the task, even if the task was placed again. The later run
+// is then stopped, and uses capacity until it has ended.
 func (s *Scheduler) applyOrphanEnd(t *task, e *backend.End, now time.Time) {
 	if t.phase == phaseDone || t.step.spec.Lasting || t.step.job.state.Ended() {
 		return
@@ -117,20 +119,20 @@
 	if e.Outcome != backend.Done || t.step.spec.Gang {
 		return
 	}
-	s.log.Info("late_run_accepted", "task", t.id.String(), "run", e.Run, "later_run", t.run)
+	s.log.Info("late_run_accepted", "task", t.id.String(), "run", e.Run, "later_run", t.runNumber)
 	if w := t.worker; w != nil && t.phase != phasePlaced {
-		w.addOrphan(t, s.sequence)
+		w.addOrphan(t, s.eventSequence)
 		if !t.runConfirmed {
 			s.raiseToken(w)
 		}
-		s.orderStop(w, t.id, t.run)
+		s.orderStop(w, t.id, t.runNumber)
 	}
 	s.completeTask(t, now)
 }
 
-// applyDone handles a completed run. A lasting task has no end, so it is requeued; the
-// first completed member of a gang completes all of them.
-func (s *Scheduler) applyDone(t *task, now time.Time) {
+// applyCompletedRun handles a run that has completed. A lasting task must not end, so
+// it is requeued. The first member of a gang to complete completes all the others.
+func (s *Scheduler) applyCompletedRun(t *task, now time.Time) {
 	if t.step.spec.Lasting {
 		s.requeue(t)
 		return
@@ -144,17 +146,18 @@
 	}
 }
 
-// applyFailure requeues a task whose run has failed, unless the job fails with it.
-func (s *Scheduler) applyFailure(t *task, w *worker, run int64, now time.Time) {
-	t.avoidedWorker = w.registration.Life.ID
+// applyFailedRun handles a run that has failed: the task is requeued, unless the
+// whole job fails.
+func (s *Scheduler) applyFailedRun(t *task, w *worker, run int64, now time.Time) {
+	t.lastFailedWorker = w.registration.Life.ID
 	s.requeue(t)
 	if !s.countFailure(t, run, now) {
-		s.stopGang(t, now)
+		s.stopOtherGangMembers(t, now)
 	}
 }
 
-// countFailure records a failed run. It reports whether the job has failed because
-// of it.
+// countFailure records a failed run of a task. It returns true if this failure makes
+// the whole job fail.
 func (s *Scheduler) countFailure(t *task, run int64, now time.Time) bool {
 	members := []*task{t}
 	if t.step.spec.Gang {
@@ -178,26 +181,26 @@
 	return true
 }
 
-// recordOutcome updates the failure count of a worker and the run times of an
-// image.
+// recordOutcome updates the failure count of a worker, and the average run time of
+// the image if the run has completed.
 func (s *Scheduler) recordOutcome(w *worker, t *task, e *backend.End, now time.Time) {
 	switch e.Outcome {
 	case backend.Done:
 		w.consecutiveFailures = 0
-		s.runTimes.recordRun(t, now)
+		s.runTimes.recordRunTime(t, now)
 	case backend.Failed:
 		w.consecutiveFailures++
-		if w.consecutiveFailures >= failuresToAvoid {
-			w.avoidUntil = now.Add(avoidPause)
+		if w.consecutiveFailures >= failuresBeforeAvoidance {
+			w.avoidUntil = now.Add(avoidancePause)
 			s.log.Info("worker_avoided", "worker", w.registration.Life.ID, "failures", w.consecutiveFailures)
 		}
 	default:
 	}
 }
 
-// stopGang stops the other members of a gang when one of its tasks does not run any
-// more.
-func (s *Scheduler) stopGang(t *task, now time.Time) {
+// stopOtherGangMembers stops all running members of a gang after one member has ended
+// or could not start. It does nothing for other tasks.
+func (s *Scheduler) stopOtherGangMembers(t *task, now time.Time) {
 	if !t.step.spec.Gang {
 		return
 	}
@@ -205,7 +208,7 @@
 		switch member.phase {
 		case phasePlaced:
 			s.requeue(member)
-		case phaseOrdered, phaseRunning:
+		case phaseStartOrdered, phaseRunning:
 			s.stopTask(member, now)
 		case phaseWaiting, phaseStopping, phaseDone:
 		}
--- a/internal/cell/scheduler/plan.go
+++ b/internal/cell/scheduler/schedule.go
@@ -10,55 +10,57 @@
 	"github.com/almondpost/almondpost/internal/peer/backend"
 )
 
-// Plan places the waiting tasks, reserves workers for large steps that find no
-// room, and sends requests for advice.
+// Plan does a scheduling pass: it places the waiting tasks, reserves workers for
+// large steps without a place, and sends requests for advice.
 func (s *Scheduler) Plan(now time.Time) {
-	s.planNeeded = false
-	order := s.planOrder(now)
+	s.schedulingNeeded = false
+	sortedJobs := s.schedulingOrder(now)
 	reserved := newReservations()
 	s.reservations = reserved
-	clear(s.dispatcher.pending)
+	clear(s.dispatcher.pendingSteps)
 	s.poolOf("")
 	for _, p := range s.pools {
-		p.refresh(now, s.holdWait()+maxAnswerDelay)
+		p.refreshReadyWorkers(now, s.holdWait()+maxAnswerDelay)
 		p.largeStepWaiting = false
 	}
-	for _, j := range order {
+	for _, j := range sortedJobs {
 		q := s.table.Queue(j.spec.Queue)
 		if q == nil || j.state.Ended() {
 			continue
 		}
 		for _, o := range j.occurrences {
 			for _, st := range o.steps {
-				s.planStep(st, q, reserved, now)
+				s.scheduleStep(st, q, reserved, now)
 			}
 		}
 	}
-	s.dispatchRequests(order, now)
+	s.dispatchRequests(sortedJobs, now)
 }
 
-// urgentPriority is the priority of the queues whose jobs are placed without
-// waiting for the next plan.
+// urgentPriority is the priority of urgent queues. Their jobs are scheduled as soon
+// as they are submitted, without waiting for the next scheduling pass.
 const urgentPriority = 0
 
-// planUrgentJob places the tasks of an urgent job, or requests advice for it,
-// between two plans. It uses the reservations of the last plan.
+// scheduleUrgentJob places the tasks of an urgent job, or requests advice for it,
+// between two scheduling passes. It uses the reservations of the last pass. It does
+// nothing for other jobs.
 //
-// Under a backlog, plans take long and are rare. An urgent job would otherwise wait
-// for one plan to request advice and for another one to use the answer.
-func (s *Scheduler) planUrgentJob(j *job, now time.Time) {
+// Under a backlog, passes take long and are rare. Without this function, an urgent
+// job would wait for one pass to request advice and for the next one to use the
+// answer.
+func (s *Scheduler) scheduleUrgentJob(j *job, now time.Time) {
 	q := s.table.Queue(j.spec.Queue)
 	if q == nil || q.Priority != urgentPriority || j.state.Ended() || s.reservations == nil {
 		return
 	}
-	if p := s.timelinessOf(j, q, s.allowance(j, q), now); p == overdue || p == tooLate {
+	if p := s.timelinessOf(j, q, s.allowance(j, q), now); p == timelinessOverdue || p == timelinessTooLate {
 		return
 	}
 	needsAdvice := false
 	for _, o := range j.occurrences {
 		for _, st := range o.steps {
-			s.planStep(st, q, s.reservations, now)
-			_, pending := s.dispatcher.pending[st]
+			s.scheduleStep(st, q, s.reservations, now)
+			_, pending := s.dispatcher.pendingSteps[st]
 			needsAdvice = needsAdvice || pending
 		}
 	}
@@ -67,15 +69,16 @@
 	}
 }
 
-// planStep places the tasks of one step. If it lacks tickets or room, it is queued
-// for a request for advice, and workers are reserved for a large step.
-func (s *Scheduler) planStep(st *step, q *queue.Queue, reserved *reservations, now time.Time) {
-	st.advice.reserved = nil
+// scheduleStep places the tasks of one step. If tickets or free capacity are missing,
+// it adds the step to those that need tickets, and reserves workers if the step is
+// large.
+func (s *Scheduler) scheduleStep(st *step, q *queue.Queue, reserved *reservations, now time.Time) {
+	st.advice.reservedWorkers = nil
 	if st.tasksLeft == 0 {
 		return
 	}
 	if !st.open {
-		if q.Advice != nil && s.opensWithin(st, requestLead+q.Advice.RequestDuration(maxWorkersPerRequest), now) {
+		if q.Advice != nil && s.expectedToOpenWithin(st, adviceLeadTime+q.Advice.RequestDuration(maxWorkersPerRequest), now) {
 			s.dispatcher.enqueue(st, q)
 		}
 		return
@@ -91,17 +94,17 @@
 	s.reserveWorkers(st, q, reserved, now)
 }
 
-// isLarge reports whether workers are reserved for the tasks of a step while they
-// wait. A gang counts as large whatever the size of its tasks.
+// isLarge reports whether workers are reserved for a step while its tasks wait. That
+// is so for a gang, and for a step whose tasks each need a large part of a worker.
 func (s *Scheduler) isLarge(st *step, q *queue.Queue) bool {
-	return st.spec.Gang || st.spec.ReservedCapacity().DominantFraction(s.poolOf(q.Service).maxCapacity) >= largeFraction
+	return st.spec.Gang || st.spec.ReservedCapacity().DominantFraction(s.poolOf(q.Service).maxCapacity) >= minLargeTaskFraction
 }
 
-// placeStep places the tasks of an open step. It reports whether all tasks that may
-// be placed now have a worker.
+// placeStep places the tasks of an open step. It returns true if every task that may
+// be placed now has a worker.
 func (s *Scheduler) placeStep(st *step, q *queue.Queue, reserved *reservations, now time.Time) bool {
 	switch {
-	case !st.spec.ReservedCapacity().Fits(s.poolOf(q.Service).maxFree):
+	case !st.spec.ReservedCapacity().Fits(s.poolOf(q.Service).maxFreeCapacity):
 		return false
 	case st.spec.Gang:
 		return s.placeGang(st, q, reserved, now)
@@ -109,14 +112,15 @@
 	return s.placeTasks(st, q, reserved, now)
 }
 
-// hasPlaceableTask reports whether a waiting task of the step may be placed now.
+// hasPlaceableTask reports whether the step has a waiting task that may be placed
+// now.
 func (st *step) hasPlaceableTask(now time.Time) bool {
 	return slices.ContainsFunc(st.tasks, func(t *task) bool { return t.phase == phaseWaiting && !now.Before(t.notBefore) })
 }
 
-// opensWithin reports whether all dependencies of a step are expected to complete
-// within a time.
-func (s *Scheduler) opensWithin(st *step, within time.Duration, now time.Time) bool {
+// expectedToOpenWithin reports whether all steps that a step depends on are expected
+// to complete within a duration.
+func (s *Scheduler) expectedToOpenWithin(st *step, within time.Duration, now time.Time) bool {
 	for _, a := range st.spec.After {
 		earlier := st.occurrence.steps[a]
 		if !earlier.open {
@@ -134,8 +138,8 @@
 	return true
 }
 
-// placeTasks places the waiting tasks of a step one by one. It reports whether all
-// tasks that may be placed now have a worker.
+// placeTasks places the waiting tasks of a step one by one. It returns true if every
+// task that may be placed now has a worker.
 func (s *Scheduler) placeTasks(st *step, q *queue.Queue, reserved *reservations, now time.Time) bool {
 	all := true
 	for _, t := range st.tasks {
@@ -152,22 +156,22 @@
 	return all
 }
 
-// placeGang places either all tasks of a gang or none. It reports false if there is
-// no room for all of them.
+// placeGang places either all tasks of a gang or none. It returns false if there are
+// not enough places for all of them.
 func (s *Scheduler) placeGang(st *step, q *queue.Queue, reserved *reservations, now time.Time) bool {
 	for _, t := range st.tasks {
 		if t.phase != phaseWaiting || now.Before(t.notBefore) {
-			return true // Members of an earlier run have not ended yet.
+			return true // Some members of an earlier run have not ended yet.
 		}
 	}
 	run := int64(0)
 	for _, t := range st.tasks {
-		run = max(run, t.run+1)
+		run = max(run, t.runNumber+1)
 	}
 	var placed []*task
-	racks := map[string]int{}
+	membersByRack := map[string]int{}
 	for _, t := range st.tasks {
-		w := s.chooseWorker(st, q, t, reserved, racks, now)
+		w := s.chooseWorker(st, q, t, reserved, membersByRack, now)
 		if w == nil {
 			for _, p := range placed {
 				w := p.worker
@@ -178,21 +182,21 @@
 		}
 		t.worker = w
 		w.addTask(t)
-		racks[w.rack()]++
+		membersByRack[w.rack()]++
 		placed = append(placed, t)
 	}
 	checkpoint := gangCheckpoint(st.tasks)
 	for _, t := range placed {
 		w := t.worker
 		w.removeTask(t)
-		t.run, t.checkpoint = run-1, checkpoint
+		t.runNumber, t.checkpoint = run-1, checkpoint
 		s.placeTask(t, w, now)
 	}
 	return true
 }
 
-// gangCheckpoint returns a checkpoint from which every member of a gang can resume,
-// or "" if there is none.
+// gangCheckpoint returns the checkpoint from which all members of a gang resume, or
+// "" if there is none.
 func gangCheckpoint(tasks []*task) string {
 	for _, t := range tasks {
 		if t.checkpoint != "" {
@@ -202,11 +206,11 @@
 	return ""
 }
 
-// placeTask assigns a task to a worker. The start is ordered once the placement is
-// stored.
+// placeTask assigns a waiting task to a worker. Once this placement is stored, the
+// start is ordered.
 func (s *Scheduler) placeTask(t *task, w *worker, now time.Time) {
 	j := t.step.job
-	t.run++
+	t.runNumber++
 	t.phase, t.worker, t.startToken, t.runConfirmed, t.inCommit = phasePlaced, w, 0, false, false
 	t.startedAt = now
 	w.addTask(t)
@@ -219,8 +223,8 @@
 	s.markDirty(j)
 }
 
-// Workers returns the lives of all workers that the scheduler has not removed, in
-// order.
+// Workers returns the workers that the scheduler has not removed, sorted by ID and
+// start time. A life identifies one worker process.
 func (s *Scheduler) Workers() []backend.Life {
 	return slices.SortedFunc(maps.Keys(s.workers), compareLives)
 }
--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -1,20 +1,23 @@
 // Package scheduler decides where and when the tasks of one cell run. It is a state
-// machine: its methods receive events and the current time, and Take returns the
-// orders and other effects to carry out. It does no I/O and starts no goroutines;
-// the caller serializes the calls.
+// machine: its methods receive events and the current time, and TakeEffects returns
+// the orders and other effects that the caller has to carry out. The package does no
+// I/O and starts no goroutines; the caller serializes the calls.
 //
-// A run is one attempt at a task. A life is one process lifetime of a worker: a
-// restart begins a new one, in which none of the earlier runs exist. A hold is a
-// long-polled heartbeat to a worker: it renews the lease of all its runs,
-// acknowledges the ends of runs that are stored, and returns the worker's report.
-// Advice is the answer of an external adviser service: it names the workers that a
-// step may use, with a ticket for each.
+// A scheduling pass goes through the jobs in order and places their waiting
+// tasks on workers. An order is a command to a worker: to start or stop a run, or to
+// change its pace. A run is one attempt at a task. Workers report the end of each
+// run, and number these ends. A life is one process lifetime of a worker: a restart
+// begins a new one, in which none of the earlier runs exist. A hold is a long-polled
+// heartbeat to a worker: it renews the lease of all its runs, acknowledges the ends
+// of runs that are stored, and returns the worker's report. Advice is the answer of
+// an external adviser service: it names the workers that a step may use, with a
+// ticket for each.
 //
-// A start is ordered only after its placement is stored in the progress record of
-// its job. So a successor knows every run that may exist, and a leader that the
-// store has fenced off cannot start anything. Ends of runs are acknowledged to
-// workers only once they are stored, and results are shown to callers only once
-// they are stored or no other VM can be the leader.
+// A start is ordered only after its placement is stored in the progress record of its
+// job. So the next leader knows every run that may exist, and a leader whose appends
+// the store rejects cannot start anything. Ends of runs are acknowledged to workers
+// only once they are stored. Results are shown to callers only once they are stored,
+// or while no other VM can be the leader.
 package scheduler
 
 import (
@@ -27,131 +30,139 @@
 	"github.com/almondpost/almondpost/internal/peer/backend"
 )
 
-// Timing holds the durations set by the platform and its workers.
+// Timing holds the durations that the platform and its workers determine.
 type Timing struct {
-	// Lease is how long, by the worker's clock, a worker goes on with its runs after
-	// its last hold.
+	// Lease is how long a worker continues its runs after its last hold, measured on
+	// the worker's clock.
 	Lease time.Duration
-	// LeadershipLease is how long a leader may go on extending leases, counted from the start
-	// of its last stored append.
+	// LeadershipLease is how long a leader may extend the leases of workers after the
+	// start of its last append that the store accepted.
 	LeadershipLease time.Duration
-	// HoldWait is how long a worker may delay its answer to a hold while no run
-	// ends.
+	// HoldWait is how long a worker may wait before it answers a hold if no run ends
+	// in this time.
 	HoldWait time.Duration
-	// Retention is how long the state of an ended job is kept.
+	// Retention is how long the state of a job is kept after the job has ended.
 	Retention time.Duration
-	// EarlyStart is how long before its due time an occurrence may start; 0 means not
-	// before it.
+	// EarlyStart is how long before its due time an occurrence may start. 0 means
+	// that it starts at the due time at the earliest.
 	EarlyStart time.Duration
 }
 
 const (
-	// maxClockDrift is the factor by which a worker's lease may last longer on the
-	// leader's clock than on the worker's own, because the worker's clock runs slow.
+	// maxClockDrift is the largest factor by which a worker's clock may run more
+	// slowly than the leader's. Measured on the leader's clock, a lease may last
+	// longer by this factor.
 	maxClockDrift = 1.02
-	// leaseMargin covers the delay between reading a worker's clock and using the
-	// value.
+	// leaseMargin is added to the length of a lease. It covers the time between
+	// reading the worker's clock and using the value.
 	leaseMargin = 150 * time.Millisecond
-	// tokenCounterBits is the number of low bits of a fencing token that count the
-	// increments within one epoch. The epoch is in the bits above.
+	// A fencing token contains the epoch in its high bits. Its low tokenCounterBits
+	// bits count how often the token was raised within the epoch.
 	tokenCounterBits = 20
 )
 
-// Effects lists what the caller has to carry out.
+// Effects lists what the caller has to do after calls to the scheduler.
 type Effects struct {
-	// Opened lists the workers to open a session with, in which the caller sends
-	// them holds; Closed lists the sessions to close.
+	// Opened lists the workers for which the caller must open a session. In a
+	// session, it sends holds to the worker one after the other. Closed lists the
+	// workers whose sessions must be closed.
 	Opened []backend.Registration
 	Closed []backend.Life
-	// Wake lists the workers to send the next hold to at once.
+	// Wake lists the workers to which the next hold must be sent at once.
 	Wake           []backend.Life
 	Starts         []Order[backend.Start]
 	Stops          []Order[backend.Stop]
 	Paces          []Order[backend.Pace]
 	AdviceRequests []AdviceRequest
-	// Observations lists the durations to record as metrics.
+	// Observations lists the durations that the caller must record in the metrics.
 	Observations []Observation
-	// Dropped lists the ended jobs whose submissions can be deleted from the store.
+	// Dropped lists the IDs of ended jobs whose submissions the caller must delete
+	// from the store.
 	Dropped []string
 }
 
 // Observation is a measured duration for the metrics of a queue.
 type Observation struct {
-	// Name is "first_start" or "completed", measured from the submission of the job,
-	// or "advice", the time in which a request for advice was answered.
+	// Name is "first_start" or "completed" for the time since the submission of the
+	// job, or "advice" for the time that the adviser took to answer a request.
 	Name  string
 	Queue string
 	Took  time.Duration
 }
 
-// Order is an order to be sent to one worker.
+// Order is a start, stop or pace command to send to one worker.
 type Order[T any] struct {
 	Worker backend.Life
 	Order  T
 }
 
-// Scheduler is the state of one cell. Its methods must not be called concurrently.
+// Scheduler holds the state of one cell. Its methods must not be called concurrently.
 type Scheduler struct {
 	log    logr.Logger
 	timing Timing
-	// epoch is the leader's epoch, the high bits of its fencing tokens.
+	// epoch is the epoch of this leader. It is the high part of its fencing tokens.
 	epoch int64
-	// clockBase and wallBase are the same moment, on the scheduler's clock and by
-	// the time of day.
+	// clockBase and wallBase are the readings of the scheduler's clock and of the
+	// wall clock at the same moment.
 	clockBase time.Time
 	wallBase  time.Time
 	table     *queue.Table
 
 	jobs map[string]*job
-	// active holds the jobs that have not ended.
-	active map[string]*job
-	// earlyCancellations maps the IDs of jobs that were cancelled before their
-	// submission was read to the time of the cancellation.
+	// activeJobs maps the ID of each job that has not ended to the job.
+	activeJobs map[string]*job
+	// earlyCancellations contains the jobs whose cancellation was read from the store
+	// before their submission. It maps the ID of the job to the time at which the
+	// cancellation was read.
 	earlyCancellations map[string]time.Time
-	// expiredJobs holds the IDs of jobs past their retention, whose progress records
-	// can be deleted.
+	// expiredJobs lists the IDs of ended jobs that were kept for long enough. Their
+	// progress records are deleted with the next commit.
 	expiredJobs []string
-	// dirtyJobs holds the jobs whose progress has changed since it was last stored.
+	// dirtyJobs holds the jobs whose progress has changed since they were last put
+	// into a commit.
 	dirtyJobs map[string]*job
 	workers   map[backend.Life]*worker
-	// latestByID maps a worker ID to the latest life of the worker.
-	latestByID map[string]*worker
-	// replaced maps the lives whose address now belongs to another worker to the
-	// time when that was noticed. They have ended, but they stay registered for a
-	// while.
-	replaced map[backend.Life]time.Time
-	// pools holds the workers by service; nil means that it has to be rebuilt.
+	// latestWorkerByID maps the ID of a worker to its latest process.
+	latestWorkerByID map[string]*worker
+	// replacedLives contains the worker processes whose address now belongs to
+	// another worker. It maps each to the time when that was noticed. These processes
+	// have ended, but stay in the list of registered workers for a while.
+	replacedLives map[backend.Life]time.Time
+	// pools maps the name of a service to its workers. It is nil if it must be
+	// rebuilt.
 	pools      map[string]*pool
 	dispatcher adviceDispatcher
-	// reservations are those of the last plan.
+	// reservations are the reservations of the last scheduling pass.
 	reservations *reservations
 	runTimes     runTimeEstimator
 	effects      Effects
-	// planNeeded is true when something has changed since the last plan.
-	planNeeded bool
-	// lastConfirmed is the start time of the last append that the store accepted
-	// under this epoch.
-	lastConfirmed time.Time
-	// sequence increases with each hold sent and each start confirmed, so that the
-	// order of the two is known.
-	sequence    int64
-	lastDrop    time.Time
-	lastLoadLog time.Time
+	// schedulingNeeded is true if something has changed since the last scheduling
+	// pass.
+	schedulingNeeded bool
+	// lastConfirmedAppend is the start time of the last append in this epoch that the
+	// store accepted.
+	lastConfirmedAppend time.Time
+	// eventSequence is increased with each hold that is sent and each start that is
+	// confirmed. It shows which of two such events came first.
+	eventSequence     int64
+	lastEndedJobsDrop time.Time
+	lastLoadLog       time.Time
 }
 
-// New returns a scheduler without jobs. now is on a clock that also counts the time
-// while the machine is suspended; wall is the time of day at now.
+// New returns a scheduler without jobs. now is the current time on a clock that does
+// not stop while the machine is suspended; wall is the wall-clock time at the same
+// moment.
 func New(timing Timing, epoch int64, now, wall time.Time, log logr.Logger) *Scheduler {
 	return &Scheduler{
-		log: log, timing: timing, epoch: epoch, clockBase: now, wallBase: wall, lastConfirmed: now,
+		log: log, timing: timing, epoch: epoch, clockBase: now, wallBase: wall, lastConfirmedAppend: now,
 		table:              &queue.Table{},
 		jobs:               map[string]*job{},
-		active:             map[string]*job{},
+		activeJobs:         map[string]*job{},
 		dirtyJobs:          map[string]*job{},
 		earlyCancellations: map[string]time.Time{},
 		workers:            map[backend.Life]*worker{},
-		latestByID:         map[string]*worker{},
-		replaced:           map[backend.Life]time.Time{},
+		latestWorkerByID:   map[string]*worker{},
+		replacedLives:      map[backend.Life]time.Time{},
 		dispatcher:         newAdviceDispatcher(),
 		runTimes:           newRunTimeEstimator(),
 	}
@@ -161,46 +172,48 @@
 	s.effects.Observations = append(s.effects.Observations, Observation{name, j.spec.Queue, took})
 }
 
-// TakeEffects returns the effects since the last call and clears them.
+// TakeEffects returns the effects of all calls since it was last called.
 func (s *Scheduler) TakeEffects() Effects {
 	e := s.effects
 	s.effects = Effects{}
 	return e
 }
 
-// SetTable replaces the configuration if t is a newer version.
+// SetTable replaces the configuration if t has a higher version.
 func (s *Scheduler) SetTable(t *queue.Table) {
 	if t.Version > s.table.Version {
 		s.table = t
-		s.planNeeded = true
+		s.schedulingNeeded = true
 	}
 }
 
 // Table returns the current configuration.
 func (s *Scheduler) Table() *queue.Table { return s.table }
 
-// NeedsPlan reports whether a call to Plan may change anything.
-func (s *Scheduler) NeedsPlan() bool { return s.planNeeded }
+// NeedsPlan reports whether something has changed since the last scheduling pass, so
+// that another pass may place tasks.
+func (s *Scheduler) NeedsPlan() bool { return s.schedulingNeeded }
 
-// toClock converts a time of day to the scheduler's clock.
+// toClock converts a wall-clock time to a time on the scheduler's clock.
 func (s *Scheduler) toClock(wall time.Time) time.Time { return s.clockBase.Add(wall.Sub(s.wallBase)) }
 
-// Tick does the work that depends only on time: it expires leases and requests for
-// advice, opens due occurrences and drops ended jobs.
+// Tick does what depends only on the time: it handles leases and requests for advice
+// that have expired, opens due occurrences and removes ended jobs. It must be called
+// at regular intervals.
 func (s *Scheduler) Tick(now time.Time) {
 	s.expireLeases(now)
 	s.openDueOccurrences(now)
 	s.expireRequests(now)
-	if now.Sub(s.lastDrop) >= dropInterval {
-		s.lastDrop = now
+	if now.Sub(s.lastEndedJobsDrop) >= endedJobsDropInterval {
+		s.lastEndedJobsDrop = now
 		s.dropEndedJobs(now)
 	}
-	s.planNeeded = s.planNeeded || s.hasWaitingTasks()
+	s.schedulingNeeded = s.schedulingNeeded || s.hasWaitingTasks()
 	s.logLoad(now)
 }
 
 func (s *Scheduler) hasWaitingTasks() bool {
-	for _, j := range s.active {
+	for _, j := range s.activeJobs {
 		if j.waitingTasks > 0 {
 			return true
 		}
@@ -209,12 +222,13 @@
 }
 
 const (
-	// dropInterval is the pause between two searches for ended jobs to drop or
-	// delete.
-	dropInterval = 2 * time.Second
-	// dropDelay is how long the submission of an ended job is kept, so that the
-	// leader has read its offset in the store by then.
-	dropDelay = 3 * time.Second
+	// endedJobsDropInterval is the shortest interval between two searches for ended
+	// jobs whose submission or progress record can be deleted.
+	endedJobsDropInterval = 2 * time.Second
+	// submissionDropDelay is how long the submission of an ended job stays in the
+	// store. After this delay, the leader has read the offset of the submission in
+	// the store.
+	submissionDropDelay = 3 * time.Second
 )
 
 func (s *Scheduler) dropEndedJobs(now time.Time) {
@@ -223,16 +237,16 @@
 			delete(s.earlyCancellations, id)
 		}
 	}
-	for life, at := range s.replaced {
+	for life, at := range s.replacedLives {
 		if now.Sub(at) > s.timing.Retention {
-			delete(s.replaced, life)
+			delete(s.replacedLives, life)
 		}
 	}
 	for id, j := range s.jobs {
 		if !j.storedState.Ended() || j.tasksOnWorkers > 0 {
 			continue
 		}
-		if !j.submissionDropped && now.Sub(j.endedAt) >= dropDelay {
+		if !j.submissionDropped && now.Sub(j.endedAt) >= submissionDropDelay {
 			j.submissionDropped = true
 			s.effects.Dropped = append(s.effects.Dropped, id)
 		}
@@ -243,11 +257,11 @@
 	}
 }
 
-// Status returns the state of a job to show to callers; the bool is false when the
-// job is not known. The state is the stored one. If soleLeader is true, no other VM
-// can be the leader at the moment, and a job is shown as completed as soon as its
-// workers have listed the ends: if this leader fails before they are stored, the
-// workers list them again to its successor.
+// Status returns the state of a job to show to callers. The bool is false if the job
+// is not known. In general, this is the stored state. soleLeader means that no other
+// VM can be the leader at the moment. A job is then shown as completed as soon as the
+// workers have listed the ends of its runs: if this leader fails before they are
+// stored, the workers list them again for the next leader.
 func (s *Scheduler) Status(id string, soleLeader bool) (work.State, bool) {
 	j := s.jobs[id]
 	if j == nil {
@@ -259,11 +273,11 @@
 	return j.storedState, true
 }
 
-// Pending returns the number of jobs of a queue of which no task has been placed
-// yet.
+// Pending returns the number of active jobs of a queue that have not had a task
+// placed on a worker.
 func (s *Scheduler) Pending(queueName string) int {
 	n := 0
-	for _, j := range s.active {
+	for _, j := range s.activeJobs {
 		if j.spec.Queue == queueName && !j.anyTaskPlaced && !j.state.Ended() {
 			n++
 		}
--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -17,15 +17,15 @@
 )
 
 var (
-	workerSize = resource.Vector{Milliprocessors: 8000, MemoryMebibytes: 8000}
-	taskSize   = resource.Vector{Milliprocessors: 2500, MemoryMebibytes: 1000}
+	workerCapacity = resource.Vector{Milliprocessors: 8000, MemoryMebibytes: 8000}
+	taskSize       = resource.Vector{Milliprocessors: 2500, MemoryMebibytes: 1000}
 )
 
-// addJobs submits n jobs of random shapes within five seconds.
+// addJobs submits n random jobs at random times within the next five seconds.
 func (sm *simulation) addJobs(n int) {
 	for i := range n {
 		j := &work.Job{ID: fmt.Sprintf("job-%d", i), Queue: "urgent", Steps: []work.Step{
-			{Count: 1 + sm.random.IntN(4), Size: taskSize, Estimate: 700 * time.Millisecond},
+			{Count: 1 + sm.randomSource.IntN(4), Size: taskSize, Estimate: 700 * time.Millisecond},
 		}}
 		if sm.withProbability(0.5) {
 			j.Steps = append(j.Steps, work.Step{Count: 2, Size: taskSize, Estimate: 500 * time.Millisecond, After: []int{0}})
@@ -37,8 +37,8 @@
 			j.Steps[0].MostPerWorker = 1
 		}
 		j.Steps[0].Speculative = sm.withProbability(0.4)
-		demand := fleet.TaskProfile{RunTime: sm.randomDuration(100*time.Millisecond, 3*time.Second)}
-		sm.schedule(sm.randomDuration(0, 5*time.Second), func() { sm.submit(j, demand) })
+		profile := fleet.TaskProfile{RunTime: sm.randomDuration(100*time.Millisecond, 3*time.Second)}
+		sm.schedule(sm.randomDuration(0, 5*time.Second), func() { sm.submit(j, profile) })
 	}
 }
 
@@ -49,8 +49,8 @@
 		prepare  func(sm *simulation)
 	}{
 		{"no faults", faults{}, func(*simulation) {}},
-		{"answers are lost and orders are executed late", faults{lostAnswer: 0.1, lateOrder: 0.05}, func(*simulation) {}},
-		{"the leader freezes and its successor takes over", faults{lateOrder: 0.03}, func(sm *simulation) {
+		{"answers are lost and orders are executed late", faults{lostAnswerProbability: 0.1, lateCallProbability: 0.05}, func(*simulation) {}},
+		{"the leader freezes and its successor takes over", faults{lateCallProbability: 0.03}, func(sm *simulation) {
 			for i := range 3 {
 				sm.schedule(time.Duration(i+1)*2*time.Second, func() {
 					old := sm.leaders[len(sm.leaders)-1]
@@ -70,7 +70,7 @@
 				sm.schedule(sm.randomDuration(time.Second, 9*time.Second), func() { clear(sm.unreachable) })
 			})
 		}},
-		{"workers restart under the same ID", faults{lostAnswer: 0.05}, func(sm *simulation) {
+		{"workers restart under the same ID", faults{lostAnswerProbability: 0.05}, func(sm *simulation) {
 			for i := range 3 {
 				sm.schedule(time.Duration(i+1)*time.Second, func() {
 					for _, life := range sm.sortedLives() {
@@ -81,7 +81,7 @@
 				})
 			}
 		}},
-		{"a zone is unreachable and a new leader takes over", faults{lostAnswer: 0.02, lateOrder: 0.02}, func(sm *simulation) {
+		{"a zone is unreachable and a new leader takes over", faults{lostAnswerProbability: 0.02, lateCallProbability: 0.02}, func(sm *simulation) {
 			sm.schedule(2*time.Second, func() {
 				for _, life := range sm.sortedLives() {
 					sm.unreachable[life] = sm.workers[life].Registration.Zone == "zone-1"
@@ -96,7 +96,7 @@
 			rapid.Check(t, func(rt *rapid.T) {
 				seed := rapid.Uint64().Draw(rt, "seed")
 				sm := newSimulation(seed, s.faults)
-				sm.addWorkers(6, workerSize)
+				sm.addWorkers(6, workerCapacity)
 				sm.electLeader()
 				sm.addJobs(12)
 				s.prepare(sm)
@@ -121,7 +121,7 @@
 func TestCancelStopsWhatRuns(t *testing.T) {
 	is := is.New(t)
 	sm := newSimulation(1, faults{})
-	sm.addWorkers(2, workerSize)
+	sm.addWorkers(2, workerCapacity)
 	sm.electLeader()
 	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 4, Size: taskSize}}}, fleet.TaskProfile{RunTime: time.Minute})
 	sm.runFor(time.Second)
@@ -138,7 +138,7 @@
 func TestJobFailsAfterItsAttempts(t *testing.T) {
 	is := is.New(t)
 	sm := newSimulation(1, faults{})
-	sm.addWorkers(3, workerSize)
+	sm.addWorkers(3, workerCapacity)
 	sm.electLeader()
 	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.TaskProfile{RunTime: 10 * time.Millisecond, Fails: true})
 	sm.runFor(20 * time.Second)
@@ -147,19 +147,20 @@
 	is.Equal(state, work.Failed)
 }
 
-// A run fails on an unreachable worker and is reported after the task was placed again. It
-// counts against the attempts of the job.
+// A run fails on an unreachable worker, which reports the failure only after the task
+// was placed on another worker. The failure must count as one of the attempts of the
+// job.
 func TestFailureReportedLateCounts(t *testing.T) {
 	is := is.New(t)
 	sm := newSimulation(1, faults{})
-	sm.addWorkers(3, workerSize)
+	sm.addWorkers(3, workerCapacity)
 	sm.electLeader()
 	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.TaskProfile{RunTime: 600 * time.Millisecond, Fails: true})
 	sm.runFor(500 * time.Millisecond)
 	for _, life := range sm.sortedLives() {
 		sm.unreachable[life] = len(sm.workers[life].Running()) > 0
 	}
-	sm.runFor(6600 * time.Millisecond) // The leader has not seen the first run fail, and has started a second one.
+	sm.runFor(6600 * time.Millisecond) // The leader does not know of the failure and has started a second run.
 	is.Equal(sm.startCount, 2)
 	clear(sm.unreachable)
 	sm.runFor(20 * time.Second)
@@ -168,11 +169,11 @@
 	is.Equal(state, work.Failed)
 }
 
-// A lasting task starts again when its worker has restarted.
+// A lasting task must start again after its worker has restarted.
 func TestLastingTaskReturns(t *testing.T) {
 	is := is.New(t)
 	sm := newSimulation(1, faults{})
-	sm.addWorkers(2, workerSize)
+	sm.addWorkers(2, workerCapacity)
 	sm.electLeader()
 	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 2, Size: taskSize, Lasting: true}}}, fleet.TaskProfile{})
 	sm.runFor(time.Second)
@@ -187,7 +188,7 @@
 func TestDrainingWorkerGetsNothing(t *testing.T) {
 	is := is.New(t)
 	sm := newSimulation(1, faults{})
-	sm.addWorkers(1, workerSize)
+	sm.addWorkers(1, workerCapacity)
 	sm.electLeader()
 	for life, v := range sm.workers {
 		is.Equal(life, v.Registration.Life)
@@ -211,19 +212,20 @@
 
 func TestCopiedTaskKeepsItsRoom(t *testing.T) { testCopiedTaskKeepsItsRoom(t, 5*time.Second, false) }
 
-// The next leader does not know of the first copies, which still run on the
-// unreachable worker.
+// The first runs of speculative tasks still run on an unreachable worker. The next
+// leader does not know of them.
 func TestCopiedTaskKeepsItsRoomForTheNextLeader(t *testing.T) {
 	testCopiedTaskKeepsItsRoom(t, 8*time.Second, true)
 }
 
 // testCopiedTaskKeepsItsRoom makes a worker unreachable until its speculative tasks
-// have second copies. The worker must not get more tasks than it has room for when
-// it answers again, also if a new leader has taken over.
+// were started again on other workers. When the worker answers again, it must not get
+// more tasks than it has capacity for. The same must hold if a new leader has taken
+// over meanwhile.
 func testCopiedTaskKeepsItsRoom(t *testing.T, runTime time.Duration, nextLeader bool) {
 	is := is.New(t)
 	sm := newSimulation(1, faults{})
-	sm.addWorkers(3, workerSize)
+	sm.addWorkers(3, workerCapacity)
 	leader := sm.electLeader()
 	sm.submit(&work.Job{ID: "first", Queue: "urgent", Steps: []work.Step{{Count: 6, Size: taskSize, Speculative: true}}}, fleet.TaskProfile{RunTime: runTime})
 	sm.runFor(500 * time.Millisecond)
@@ -231,7 +233,7 @@
 	lives := sm.sortedLives()
 	sm.unreachable[lives[0]] = true
 	sm.runFor(2500 * time.Millisecond)
-	is.Equal(sm.startCount, 9) // The three tasks on the unreachable worker have second copies.
+	is.Equal(sm.startCount, 9) // The three tasks on the unreachable worker were started again.
 	if nextLeader {
 		leader = sm.electLeader()
 	}
@@ -246,7 +248,8 @@
 	}
 }
 
-// A step that can never start must not reserve workers, or all other tasks wait forever.
+// A step that can never start must not reserve workers; otherwise all other tasks
+// would wait forever.
 func TestImpossibleTasksKeepNothing(t *testing.T) {
 	whole := resource.Vector{Milliprocessors: 8000, MemoryMebibytes: 8000}
 	scenarios := []struct {
@@ -262,7 +265,7 @@
 		t.Run(s.testName, func(t *testing.T) {
 			is := is.New(t)
 			sm := newSimulation(1, faults{})
-			sm.addWorkers(2, workerSize)
+			sm.addWorkers(2, workerCapacity)
 			sm.electLeader()
 			sm.submit(&work.Job{ID: "first", Queue: "urgent", Steps: []work.Step{s.step}}, fleet.TaskProfile{RunTime: time.Hour})
 			sm.runFor(500 * time.Millisecond)
@@ -277,7 +280,7 @@
 func TestTasksOfADeadWorkerRunElsewhere(t *testing.T) {
 	is := is.New(t)
 	sm := newSimulation(1, faults{})
-	sm.addWorkers(2, workerSize)
+	sm.addWorkers(2, workerCapacity)
 	sm.electLeader()
 	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 6, Size: taskSize}}}, fleet.TaskProfile{RunTime: time.Second})
 	sm.runFor(500 * time.Millisecond)
@@ -291,14 +294,14 @@
 func TestCheckpointedTaskLeavesADrainingWorker(t *testing.T) {
 	is := is.New(t)
 	sm := newSimulation(1, faults{})
-	sm.addWorkers(1, workerSize)
+	sm.addWorkers(1, workerCapacity)
 	sm.electLeader()
 	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize, Checkpoints: true}}}, fleet.TaskProfile{RunTime: time.Hour})
 	sm.runFor(500 * time.Millisecond)
 	v := sm.workers[sm.sortedLives()[0]]
 	v.Registration.Draining, v.Registration.Remaining = true, 3*time.Second
 	sm.runFor(1500 * time.Millisecond)
-	is.Equal(len(v.Running()), 1) // The task keeps running while there is time left.
+	is.Equal(len(v.Running()), 1) // The task still runs, because the worker exits only later.
 	sm.runFor(1500 * time.Millisecond)
 	is.Equal(len(v.Running()), 0)
 }
@@ -306,13 +309,13 @@
 func TestOccurrencesStartWhenDue(t *testing.T) {
 	is := is.New(t)
 	sm := newSimulation(1, faults{})
-	sm.addWorkers(2, workerSize)
+	sm.addWorkers(2, workerCapacity)
 	sm.electLeader()
 	j := &work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}
 	j.Repeat = &work.Repeat{Count: 3, Start: sm.now.Add(2 * time.Second), Interval: time.Second}
 	sm.submit(j, fleet.TaskProfile{})
 	for k := range 3 {
-		sm.demands[work.TaskID{StepID: work.StepID{Job: "job", Occurrence: k}}] = fleet.TaskProfile{Size: taskSize, RunTime: 100 * time.Millisecond}
+		sm.taskProfiles[work.TaskID{StepID: work.StepID{Job: "job", Occurrence: k}}] = fleet.TaskProfile{Size: taskSize, RunTime: 100 * time.Millisecond}
 	}
 	sm.runFor(1990 * time.Millisecond)
 	is.Equal(sm.startCount, 0)
@@ -329,47 +332,47 @@
 func TestGangStartsAndFailsAsOne(t *testing.T) {
 	is := is.New(t)
 	sm := newSimulation(1, faults{})
-	sm.addWorkers(3, workerSize)
+	sm.addWorkers(3, workerCapacity)
 	sm.electLeader()
 	whole := resource.Vector{Milliprocessors: 8000}
 	sm.submit(&work.Job{ID: "gang", Queue: "urgent", Steps: []work.Step{{Count: 3, Size: whole, Gang: true}}}, fleet.TaskProfile{RunTime: 10 * time.Second})
 	first := work.TaskID{StepID: work.StepID{Job: "gang"}}
-	failing := sm.demands[first]
+	failing := sm.taskProfiles[first]
 	failing.RunTime, failing.Fails = 100*time.Millisecond, true
-	sm.demands[first] = failing
+	sm.taskProfiles[first] = failing
 	sm.runFor(500 * time.Millisecond)
 	is.Equal(sm.startCount, 3)
 	sm.runFor(20 * time.Second)
-	is.Equal(sm.startCount, 12) // Four attempts of three members.
+	is.Equal(sm.startCount, 12) // Each of the three members was started four times.
 	state, _ := sm.leaders[0].scheduler.Status("gang", false)
 	is.Equal(state, work.Failed)
 	is.Equal(sm.violations, nil)
 }
 
-// A gang starts only when all its members have room.
+// A gang must start only when there are places for all its members.
 func TestGangWaitsForAllItsPlaces(t *testing.T) {
 	is := is.New(t)
 	sm := newSimulation(1, faults{})
-	sm.addWorkers(2, workerSize)
+	sm.addWorkers(2, workerCapacity)
 	sm.electLeader()
 	sm.submit(&work.Job{ID: "small", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.TaskProfile{RunTime: 2 * time.Second})
 	sm.runFor(500 * time.Millisecond)
 	sm.submit(&work.Job{ID: "gang", Queue: "urgent", Steps: []work.Step{{Count: 2, Size: resource.Vector{Milliprocessors: 8000}, Gang: true, Estimate: time.Minute}}}, fleet.TaskProfile{RunTime: time.Second})
 	sm.runFor(time.Second)
-	is.Equal(sm.startCount, 1) // No member takes a worker while the other one has none.
+	is.Equal(sm.startCount, 1) // Neither member is placed while there is no place for the other one.
 	sm.runFor(3 * time.Second)
 	is.Equal(sm.startCount, 3)
 }
 
-// The first copy of a speculative task ends at different moments while the second
-// copy is being placed, stored or ordered. The task must not start a third time,
-// even under a new leader.
+// The first run of a speculative task ends while the second run is being placed,
+// stored or ordered. The task must not start a third time, not even under a new
+// leader.
 func TestLateEndOfACopyCounts(t *testing.T) {
 	for _, after := range []time.Duration{0, 20 * time.Millisecond, 40 * time.Millisecond, 60 * time.Millisecond, 80 * time.Millisecond, 100 * time.Millisecond, 120 * time.Millisecond, 140 * time.Millisecond, 200 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
 			is := is.New(t)
 			sm := newSimulation(1, faults{})
-			sm.addWorkers(2, workerSize)
+			sm.addWorkers(2, workerCapacity)
 			sm.electLeader()
 			sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{
 				{Count: 1, Size: taskSize, Speculative: true}, {Count: 1, Size: taskSize, After: []int{0}},
@@ -380,24 +383,25 @@
 				first = sm.sortedLives()[1]
 			}
 			sm.unreachable[first] = true
-			sm.runFor(1790*time.Millisecond + after) // Close to the moment when the task gets its second copy.
+			sm.runFor(1790*time.Millisecond + after) // The task is started a second time at about this moment.
 			clear(sm.unreachable)
 			sm.runFor(300 * time.Millisecond)
 			sm.electLeader()
 			sm.runFor(15 * time.Second)
 			state, _ := sm.leaders[1].scheduler.Status("job", false)
 			is.Equal(state, work.Completed)
-			is.True(sm.startCount <= 3) // Two copies of the first step, one task of the second.
+			is.True(sm.startCount <= 3) // Two starts of the task of the first step, one of the task of the second.
 			is.Equal(sm.violations, nil)
 		})
 	}
 }
 
-// The step needs more approved workers than its first request for advice brings.
+// The first request for advice brings tickets for fewer workers than the step needs,
+// so the scheduler must ask about more workers.
 func TestFurtherWorkersAreAskedAbout(t *testing.T) {
 	is := is.New(t)
 	sm := newSimulation(1, faults{})
-	sm.addWorkers(60, workerSize)
+	sm.addWorkers(60, workerCapacity)
 	sm.electLeader()
 	sm.submit(&work.Job{ID: "job", Queue: "advised", Steps: []work.Step{{Count: 20, Size: taskSize, MostPerWorker: 1, Lasting: true}}}, fleet.TaskProfile{})
 	sm.runFor(5 * time.Second)
@@ -405,14 +409,14 @@
 }
 
 // A commit without records needs no append, so it does not prove that this VM is
-// still the leader.
+// still the leader. It must not let the leader extend leases for longer.
 func TestCommitWithoutRecordsDoesNotExtendLeadership(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1_700_000_000, 0)
 	timing := scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 10 * time.Second, HoldWait: time.Second}
 	s := scheduler.New(timing, 1, start, start, logr.Discard())
 	life := backend.Life{ID: "worker", Born: 1}
-	s.SetWorkers([]backend.Registration{{Life: life, Service: "desk", Capacity: workerSize}}, start)
+	s.SetWorkers([]backend.Registration{{Life: life, Service: "desk", Capacity: workerCapacity}}, start)
 	_, sent, ok := s.HoldRequest(life, start)
 	is.True(ok)
 	s.HoldAnswered(life, sent, &backend.Report{Life: life, Clock: time.Second, Ended: []backend.End{
@@ -422,16 +426,16 @@
 	is.Equal(len(c.Records), 0)
 	s.Committed(c, start.Add(5*time.Second))
 	hold, _, _ := s.HoldRequest(life, start.Add(9*time.Second))
-	is.Equal(hold.Deadline, 11*time.Second) // One second after now, by the worker's clock.
+	is.Equal(hold.Deadline, 11*time.Second) // The leadership ends in one second; the worker's clock now reads 10 s.
 	is.Equal(hold.Acknowledged, int64(1))
 }
 
-// A large task has reserved a worker. Short tasks backfill the room until the task
-// starts; long ones must not delay it.
+// A worker is reserved for a large task until enough of its capacity is free. Short
+// tasks may backfill the worker until then; long tasks must not delay the large one.
 func TestShortTasksFillTheRoomBeforeAReservation(t *testing.T) {
 	is := is.New(t)
 	sm := newSimulation(1, faults{})
-	sm.addWorkers(1, workerSize)
+	sm.addWorkers(1, workerCapacity)
 	sm.electLeader()
 	half := resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 1000}
 	whole := resource.Vector{Milliprocessors: 8000, MemoryMebibytes: 1000}
@@ -449,16 +453,17 @@
 	is.Equal(state("short"), work.Completed)
 	is.Equal(state("large"), work.Queued)
 	sm.runFor(3500 * time.Millisecond)
-	is.Equal(state("large"), work.Completed) // "long" did not start before "large".
+	is.Equal(state("large"), work.Completed) // The job "long" has not delayed it.
 	is.Equal(sm.violations, nil)
 }
 
-// A worker stays registered for a while after its address was taken by another one.
+// The address of a worker was taken by another worker, but the first worker stays
+// registered for a while. No session must be opened for it again.
 func TestReplacedWorkerIsNotOpenedAgain(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
 	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
-	gone := backend.Registration{Life: backend.Life{ID: "gone", Born: 1}, Service: "desk", Capacity: workerSize}
+	gone := backend.Registration{Life: backend.Life{ID: "gone", Born: 1}, Service: "desk", Capacity: workerCapacity}
 	s.SetWorkers([]backend.Registration{gone}, now)
 	is.Equal(len(s.TakeEffects().Opened), 1)
 	_, _, _ = s.HoldRequest(gone.Life, now)
@@ -467,17 +472,17 @@
 	is.Equal(len(s.TakeEffects().Opened), 0)
 	gone.Life.Born = 2
 	s.SetWorkers([]backend.Registration{gone}, now)
-	is.Equal(len(s.TakeEffects().Opened), 1) // A new life of the worker, at its own address.
+	is.Equal(len(s.TakeEffects().Opened), 1) // The worker has restarted at an address of its own.
 }
 
-// The only worker still has the first run of a speculative task, which was
-// requeued. It must not get a second run of the task beside the first.
+// A speculative task was requeued, but its first run still exists on the only worker.
+// The worker must not get a second run of the task beside the first.
 func TestCopyIsNotPlacedBesideTheFirstRun(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
 	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, HoldWait: time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
 	s.SetTable(newSimulation(1, faults{}).table)
-	r := backend.Registration{Life: backend.Life{ID: "worker", Born: 1}, Service: "desk", Capacity: workerSize}
+	r := backend.Registration{Life: backend.Life{ID: "worker", Born: 1}, Service: "desk", Capacity: workerCapacity}
 	s.SetWorkers([]backend.Registration{r}, now)
 	hold := func(runs ...backend.Run) {
 		_, sent, _ := s.HoldRequest(r.Life, now)
@@ -498,15 +503,16 @@
 	s.StartAnswered(r.Life, &starts[0].Order, "", 0, now)
 	hold(first)
 	now = now.Add(3 * time.Second)
-	s.Tick(now) // The worker was silent, so its speculative task is requeued.
+	s.Tick(now) // The worker was silent for too long, so its speculative task is requeued.
 	hold(first)
 	is.Equal(len(plan()), 0)
 	now = now.Add(time.Second)
 	hold()
-	is.Equal(len(plan()), 1) // The first run has ended.
+	is.Equal(len(plan()), 1) // The report no longer lists the first run.
 }
 
-// A job that has ended is submitted once more after its submission was deleted.
+// A job that has ended is submitted again after its submission was deleted. The new
+// submission must be deleted as well.
 func TestSubmissionOfAnEndedJobIsDroppedAgain(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
