--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -19,15 +19,15 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// scheduledEvent is an action at a time of the virtual clock. Events at the same time
-// run in the order of their sequence.
+// scheduledEvent is an action that runs at a given time of the virtual clock. Events
+// at the same time run in the order of their sequence numbers.
 type scheduledEvent struct {
 	at       time.Time
 	sequence int
 	action   func()
 }
 
-// eventHeap implements heap.Interface; the earliest event is at the top.
+// eventHeap implements heap.Interface. The earliest event is at the top.
 type eventHeap []scheduledEvent
 
 func (h eventHeap) Len() int { return len(h) }
@@ -46,71 +46,73 @@
 	return v
 }
 
-// faults holds the probabilities of faults for each call to a worker.
+// faults holds the probabilities of the faults that are simulated in each call to a
+// worker.
 type faults struct {
-	// lostAnswer is the probability that the answer is lost; lateOrder is the
-	// probability that the worker executes the call seconds late.
-	lostAnswer, lateOrder float64
+	// lostAnswerProbability is the probability that the answer of the worker is lost.
+	// lateCallProbability is the probability that the worker executes the call
+	// seconds too late.
+	lostAnswerProbability, lateCallProbability float64
 }
 
-// simulation runs leaders, workers and the store on a virtual clock. On each start
-// it checks that the task runs nowhere else and has not completed, that the worker
-// has room, and that the run was stored before.
+// simulation runs leaders, workers and the store on a virtual clock. Each time a task
+// starts, it checks that the task does not run elsewhere and has not completed, that
+// the worker has enough capacity, and that the run was stored before.
 type simulation struct {
-	now          time.Time
-	events       eventHeap
-	lastSequence int
-	random       *rand.Rand
-	faults       faults
-	table        *queue.Table
-	workers      map[backend.Life]*fleet.Worker
-	// unreachable holds the workers that no call reaches.
+	now               time.Time
+	events            eventHeap
+	lastEventSequence int
+	randomSource      *rand.Rand
+	faults            faults
+	table             *queue.Table
+	workers           map[backend.Life]*fleet.Worker
+	// unreachable contains the workers that no call can reach.
 	unreachable map[backend.Life]bool
 	jobs        []*work.Job
-	// storedProgress maps the ID of a job to its progress record in the store.
+	// storedProgress maps the ID of a job to its stored progress record.
 	storedProgress map[string]*work.Progress
 	cancelled      map[string]bool
-	demands        map[work.TaskID]fleet.TaskProfile
+	taskProfiles   map[work.TaskID]fleet.TaskProfile
 	epoch          int64
 	leaders        []*simulatedLeader
 	completed      map[work.TaskID]bool
-	// lastLapse maps a worker to the number of its last end whose outcome is
-	// backend.Lapsed.
-	lastLapse  map[backend.Life]int64
-	violations []string
-	startCount int
-	log        logr.Logger
-	// adviceVMs lists the entry VMs that can request advice.
+	// Workers number the ends of their runs. lastExpiredLeaseEnd maps a worker to the
+	// number of its last end with the outcome backend.LeaseExpired.
+	lastExpiredLeaseEnd map[backend.Life]int64
+	violations          []string
+	startCount          int
+	log                 logr.Logger
+	// adviceVMs are the names of the entry VMs that can request advice.
 	adviceVMs []string
-	// useQueueAdviceTimes makes an answer to a request for advice take as long as
-	// the queue's AdviceCost says, instead of a random time.
-	useQueueAdviceTimes bool
+	// useDeclaredAdviceTimes makes each request for advice take as long as the
+	// queue's AdviceCost says. Otherwise it takes a random time.
+	useDeclaredAdviceTimes bool
 }
 
-// timeUnit is the shortest delay of an event.
-const timeUnit = time.Millisecond
+// minEventDelay is the shortest time after which a scheduled event runs.
+const minEventDelay = time.Millisecond
 
 func newSimulation(seed uint64, f faults) *simulation {
 	return &simulation{
-		now: time.Unix(1_700_000_000, 0), random: rand.New(rand.NewPCG(seed, 1)), faults: f,
+		now: time.Unix(1_700_000_000, 0), randomSource: rand.New(rand.NewPCG(seed, 1)), faults: f,
 		table: &queue.Table{Version: 1, Queues: []queue.Queue{
 			{Name: "urgent", Service: "desk", Priority: 0, MaxAttempts: 4, Stretch: 1.5, Objective: 250 * time.Millisecond},
 			{Name: "batch", Service: "desk", Priority: 3, MaxAttempts: 4, Stretch: 4, Objective: 3 * time.Second},
 			{Name: "advised", Service: "desk", Priority: 2, Stretch: 4, Objective: 3 * time.Second, Advice: &queue.AdviceCost{Fixed: 50 * time.Millisecond, PerWorker: time.Millisecond, Validity: 2 * time.Second}},
 		}},
 		workers: map[backend.Life]*fleet.Worker{}, unreachable: map[backend.Life]bool{}, storedProgress: map[string]*work.Progress{},
-		cancelled: map[string]bool{}, demands: map[work.TaskID]fleet.TaskProfile{}, completed: map[work.TaskID]bool{}, lastLapse: map[backend.Life]int64{}, log: logr.Discard(),
+		cancelled: map[string]bool{}, taskProfiles: map[work.TaskID]fleet.TaskProfile{}, completed: map[work.TaskID]bool{}, lastExpiredLeaseEnd: map[backend.Life]int64{}, log: logr.Discard(),
 		adviceVMs: []string{"vm-1", "vm-2"},
 	}
 }
 
-// schedule runs an action after d, or after timeUnit if d is shorter.
+// schedule makes an action run after d, but not before minEventDelay has passed.
 func (sm *simulation) schedule(d time.Duration, action func()) {
-	sm.lastSequence++
-	heap.Push(&sm.events, scheduledEvent{sm.now.Add(max(d, timeUnit)), sm.lastSequence, action})
+	sm.lastEventSequence++
+	heap.Push(&sm.events, scheduledEvent{sm.now.Add(max(d, minEventDelay)), sm.lastEventSequence, action})
 }
 
-// runFor runs the events of the next d and advances the clock.
+// runFor advances the virtual clock by d and runs the events in this period.
 func (sm *simulation) runFor(d time.Duration) {
 	end := sm.now.Add(d)
 	for len(sm.events) > 0 && !sm.events[0].at.After(end) {
@@ -122,25 +124,26 @@
 }
 
 func (sm *simulation) randomDuration(shortest, longest time.Duration) time.Duration {
-	return shortest + time.Duration(sm.random.Int64N(int64(longest-shortest)+1))
+	return shortest + time.Duration(sm.randomSource.Int64N(int64(longest-shortest)+1))
 }
 
 // withProbability returns true with probability p.
-func (sm *simulation) withProbability(p float64) bool { return sm.random.Float64() < p }
+func (sm *simulation) withProbability(p float64) bool { return sm.randomSource.Float64() < p }
 
-// reportViolation records a broken rule with the time of the virtual clock.
+// reportViolation records that a check has failed, with the time of the virtual
+// clock.
 func (sm *simulation) reportViolation(format string, args ...any) {
 	sm.violations = append(sm.violations, sm.now.Format("05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// sortedLives returns the lives of the workers in order.
+// sortedLives returns the current processes of all workers, sorted by worker ID.
 func (sm *simulation) sortedLives() []backend.Life {
 	return slices.SortedFunc(maps.Keys(sm.workers), func(a, b backend.Life) int {
 		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born))
 	})
 }
 
-// addWorkers adds n workers of the same capacity.
+// addWorkers adds n workers that all have the same capacity.
 func (sm *simulation) addWorkers(n int, capacity resource.Vector) {
 	for i := range n {
 		r := backend.Registration{
@@ -152,10 +155,10 @@
 }
 
 func (sm *simulation) addWorker(r backend.Registration) {
-	sm.workers[r.Life] = fleet.New(r, 0.98+0.02*sm.random.Float64(), sm.now, func(t work.TaskID) fleet.TaskProfile { return sm.demands[t] }, sm)
+	sm.workers[r.Life] = fleet.New(r, 0.98+0.02*sm.randomSource.Float64(), sm.now, func(t work.TaskID) fleet.TaskProfile { return sm.taskProfiles[t] }, sm)
 }
 
-// restartWorker replaces a worker by a new life without runs.
+// restartWorker replaces a worker process by a new one that has no runs.
 func (sm *simulation) restartWorker(life backend.Life) {
 	old := sm.workers[life]
 	if old == nil {
@@ -167,11 +170,11 @@
 	sm.addWorker(r)
 }
 
-// Started implements fleet.Observer.
+// Started implements fleet.Observer. It checks that the task may start.
 func (sm *simulation) Started(on *fleet.Worker, s backend.Start, at time.Time) {
 	sm.startCount++
 	life := on.Registration.Life
-	speculative := sm.demands[s.Task].Speculative
+	speculative := sm.taskProfiles[s.Task].Speculative
 	for _, other := range sm.workers {
 		if other == on {
 			continue
@@ -195,8 +198,8 @@
 	}
 }
 
-// hasRecordedRun reports whether the stored progress contains the run of a start
-// order, or a later run of its task.
+// hasRecordedRun reports whether the stored progress contains the run in a start
+// order, or a later run of the same task.
 func hasRecordedRun(p *work.Progress, s backend.Start) bool {
 	for _, sp := range p.Steps {
 		if sp.Step != s.Task.Step || sp.Occurrence != s.Task.Occurrence {
@@ -211,54 +214,57 @@
 	return false
 }
 
-// Ended implements fleet.Observer.
+// Ended implements fleet.Observer. It records ends that an expired lease has caused.
 func (sm *simulation) Ended(on *fleet.Worker, e backend.End, _ time.Time) {
 	if e.Outcome == backend.LeaseExpired {
-		sm.lastLapse[on.Registration.Life] = e.Number
+		sm.lastExpiredLeaseEnd[on.Registration.Life] = e.Number
 	}
 }
 
-// Acknowledged implements fleet.Observer. A completed run counts unless the
-// worker's lease ended between the end and its acknowledgement.
+// Acknowledged implements fleet.Observer. It records that a task has completed,
+// unless the lease of the worker expired after the run had ended and before this was
+// acknowledged.
 func (sm *simulation) Acknowledged(on *fleet.Worker, e backend.End, _ time.Time) {
-	if e.Outcome == backend.Done && sm.lastLapse[on.Registration.Life] < e.Number && !sm.demands[e.Task].Lasting {
+	if e.Outcome == backend.Done && sm.lastExpiredLeaseEnd[on.Registration.Life] < e.Number && !sm.taskProfiles[e.Task].Lasting {
 		sm.completed[e.Task] = true
 	}
 }
 
-// submit stores the submission of a job, which the leaders read a little later.
-func (sm *simulation) submit(j *work.Job, demand fleet.TaskProfile) {
+// submit stores the submission of a job. The leaders read it from the store a little
+// later.
+func (sm *simulation) submit(j *work.Job, profile fleet.TaskProfile) {
 	j.Accepted = sm.now
 	sm.jobs = append(sm.jobs, j)
 	for i := range j.Steps {
 		for k := range j.Steps[i].Count {
-			d := demand
+			d := profile
 			d.Size, d.Lasting, d.Speculative = j.Steps[i].ReservedCapacity(), j.Steps[i].Lasting, j.Steps[i].Speculative
 			if j.Steps[i].Gang {
 				d.GangSize = j.Steps[i].Count
 			}
-			sm.demands[work.TaskID{StepID: work.StepID{Job: j.ID, Step: i}, Index: k}] = d
+			sm.taskProfiles[work.TaskID{StepID: work.StepID{Job: j.ID, Step: i}, Index: k}] = d
 		}
 	}
 	for _, l := range sm.leaders {
-		if !l.dead {
-			sm.schedule(sm.randomDuration(2*timeUnit, 10*timeUnit), func() { l.update(func(at time.Time) { l.scheduler.Submit(j, at) }) })
+		if !l.deposed {
+			sm.schedule(sm.randomDuration(2*minEventDelay, 10*minEventDelay), func() { l.updateScheduler(func(at time.Time) { l.scheduler.Submit(j, at) }) })
 		}
 	}
 }
 
-// cancel stores the cancellation of a job, which the leaders read a little later.
+// cancel stores the cancellation of a job. The leaders read it from the store a
+// little later.
 func (sm *simulation) cancel(id string) {
 	sm.cancelled[id] = true
 	for _, l := range sm.leaders {
-		if !l.dead {
-			sm.schedule(sm.randomDuration(2*timeUnit, 10*timeUnit), func() { l.update(func(at time.Time) { l.scheduler.Cancel(id, at) }) })
+		if !l.deposed {
+			sm.schedule(sm.randomDuration(2*minEventDelay, 10*minEventDelay), func() { l.updateScheduler(func(at time.Time) { l.scheduler.Cancel(id, at) }) })
 		}
 	}
 }
 
-// electLeader starts a new leader. The previous one continues until the store
-// rejects its next append.
+// electLeader starts a new leader. The previous leader continues until the store
+// rejects one of its appends.
 func (sm *simulation) electLeader() *simulatedLeader {
 	sm.epoch++
 	timing := scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 10 * time.Second, HoldWait: time.Second, Retention: time.Hour}
@@ -273,9 +279,9 @@
 			l.scheduler.Cancel(j.ID, sm.now)
 		}
 	}
-	l.update(func(time.Time) {})
+	l.updateScheduler(func(time.Time) {})
 	l.tick()
-	l.planAndCommit()
+	l.scheduleAndCommit()
 	return l
 }
 
@@ -287,29 +293,29 @@
 	return list
 }
 
-// simulatedLeader drives a scheduler as an entry VM does.
+// simulatedLeader calls a scheduler in the same way as the leading entry VM does.
 type simulatedLeader struct {
 	simulation *simulation
 	epoch      int64
 	scheduler  *scheduler.Scheduler
 	sessions   map[backend.Life]bool
-	dead       bool
-	// frozen leaders do nothing, but the calls that they have sent are still
-	// delivered.
+	deposed    bool
+	// frozen is true while the leader does nothing. Calls that it has already sent
+	// are still delivered.
 	frozen bool
-	// adviceRequestCount counts the requests for advice that were sent.
+	// adviceRequestCount counts the requests for advice that the leader has sent.
 	adviceRequestCount int
 }
 
-// update changes the scheduler and carries out the effects. A dead leader ignores
-// the change, and a frozen one delays it.
-func (l *simulatedLeader) update(change func(at time.Time)) {
-	if l.dead {
+// updateScheduler calls change, which calls the scheduler, and then carries out the
+// effects. A deposed leader does nothing. A frozen leader does both later.
+func (l *simulatedLeader) updateScheduler(change func(at time.Time)) {
+	if l.deposed {
 		return
 	}
 	sm := l.simulation
 	if l.frozen {
-		sm.schedule(50*timeUnit, func() { l.update(change) })
+		sm.schedule(50*minEventDelay, func() { l.updateScheduler(change) })
 		return
 	}
 	change(sm.now)
@@ -334,32 +340,32 @@
 	}
 }
 
-// callWorker delivers a call to a worker and runs the action that it returns when
-// the answer arrives. With the probabilities in faults, the answer is lost or the
-// call is executed late; onLost then runs instead.
+// callWorker delivers a call to a worker. The call returns a function that runs when
+// the answer arrives. If the answer is lost, the call is executed too late or the
+// worker is unreachable, onLost runs instead.
 func (sm *simulation) callWorker(life backend.Life, call func(v *fleet.Worker) (answer func()), onLost func()) {
 	execute := func(answered bool) {
 		v := sm.workers[life]
 		if v == nil || sm.unreachable[life] {
 			if answered {
-				sm.schedule(500*timeUnit, onLost)
+				sm.schedule(500*minEventDelay, onLost)
 			}
 			return
 		}
 		answer := call(v)
 		if answered {
-			sm.schedule(sm.randomDuration(timeUnit, 8*timeUnit), answer)
+			sm.schedule(sm.randomDuration(minEventDelay, 8*minEventDelay), answer)
 		}
 	}
 	switch {
-	case sm.withProbability(sm.faults.lateOrder):
+	case sm.withProbability(sm.faults.lateCallProbability):
 		sm.schedule(sm.randomDuration(2*time.Second, 12*time.Second), func() { execute(false) })
-		sm.schedule(500*timeUnit, onLost)
-	case sm.withProbability(sm.faults.lostAnswer):
-		sm.schedule(sm.randomDuration(timeUnit, 8*timeUnit), func() { execute(false) })
-		sm.schedule(500*timeUnit, onLost)
+		sm.schedule(500*minEventDelay, onLost)
+	case sm.withProbability(sm.faults.lostAnswerProbability):
+		sm.schedule(sm.randomDuration(minEventDelay, 8*minEventDelay), func() { execute(false) })
+		sm.schedule(500*minEventDelay, onLost)
 	default:
-		sm.schedule(sm.randomDuration(timeUnit, 8*timeUnit), func() { execute(true) })
+		sm.schedule(sm.randomDuration(minEventDelay, 8*minEventDelay), func() { execute(true) })
 	}
 }
 
@@ -369,16 +375,16 @@
 		kind := v.Start(o.Order, sm.now)
 		clock := v.Clock(sm.now)
 		return func() {
-			l.update(func(at time.Time) { l.scheduler.StartAnswered(o.Worker, &o.Order, kind, clock, at) })
+			l.updateScheduler(func(at time.Time) { l.scheduler.StartAnswered(o.Worker, &o.Order, kind, clock, at) })
 		}
 	}, func() {
-		l.update(func(at time.Time) { l.scheduler.StartAnswered(o.Worker, &o.Order, backend.KindUnknown, 0, at) })
+		l.updateScheduler(func(at time.Time) { l.scheduler.StartAnswered(o.Worker, &o.Order, backend.KindUnknown, 0, at) })
 	})
 }
 
 func (l *simulatedLeader) sendHold(life backend.Life) {
 	sm := l.simulation
-	l.update(func(at time.Time) {
+	l.updateScheduler(func(at time.Time) {
 		if !l.sessions[life] {
 			return
 		}
@@ -386,11 +392,13 @@
 		if !ok {
 			return
 		}
-		holdAgain := func() { sm.schedule(sm.randomDuration(20*timeUnit, 120*timeUnit), func() { l.sendHold(life) }) }
+		holdAgain := func() {
+			sm.schedule(sm.randomDuration(20*minEventDelay, 120*minEventDelay), func() { l.sendHold(life) })
+		}
 		sm.callWorker(life, func(v *fleet.Worker) func() {
 			report, kind := v.Hold(hold, sm.now)
 			return func() {
-				l.update(func(at time.Time) {
+				l.updateScheduler(func(at time.Time) {
 					if kind != "" {
 						l.scheduler.HoldFailed(life, kind, at)
 					} else {
@@ -400,7 +408,7 @@
 				holdAgain()
 			}
 		}, func() {
-			l.update(func(at time.Time) { l.scheduler.HoldFailed(life, backend.KindUnknown, at) })
+			l.updateScheduler(func(at time.Time) { l.scheduler.HoldFailed(life, backend.KindUnknown, at) })
 			holdAgain()
 		})
 	})
@@ -409,8 +417,8 @@
 func (l *simulatedLeader) requestAdvice(a scheduler.AdviceRequest) {
 	sm := l.simulation
 	l.adviceRequestCount++
-	took := sm.randomDuration(20*timeUnit, 90*timeUnit)
-	if q := sm.table.Queue(sm.queueOf(a.Step.Job)); q != nil && sm.useQueueAdviceTimes {
+	took := sm.randomDuration(20*minEventDelay, 90*minEventDelay)
+	if q := sm.table.Queue(sm.queueOf(a.Step.Job)); q != nil && sm.useDeclaredAdviceTimes {
 		took = q.Advice.RequestDuration(len(a.Workers))
 	}
 	sm.schedule(took, func() {
@@ -420,8 +428,8 @@
 				answer.Tickets[id] = "ticket"
 			}
 		}
-		l.update(func(at time.Time) {
-			l.scheduler.AdviceAnswered(a.Number, answer, sm.withProbability(sm.faults.lostAnswer), at)
+		l.updateScheduler(func(at time.Time) {
+			l.scheduler.AdviceAnswered(a.Number, answer, sm.withProbability(sm.faults.lostAnswerProbability), at)
 		})
 	})
 }
@@ -431,36 +439,37 @@
 	return sm.jobs[i].Queue
 }
 
-// isApproved reports whether the adviser approves a worker for a step: about half
-// of the workers, and worker-5 always.
+// isApproved reports whether the simulated adviser approves a worker for a step. It
+// approves worker-5 and about half of the other workers.
 func isApproved(step work.StepID, worker string) bool {
 	return worker == "worker-5" || (len(step.Job)+int(worker[len(worker)-1]))%2 == 0
 }
 
 func (l *simulatedLeader) tick() {
-	l.update(func(at time.Time) {
+	l.updateScheduler(func(at time.Time) {
 		l.scheduler.SetWorkers(l.simulation.registrations(), at)
 		l.scheduler.Tick(at)
 	})
-	if !l.dead {
-		l.simulation.schedule(100*timeUnit, l.tick)
+	if !l.deposed {
+		l.simulation.schedule(100*minEventDelay, l.tick)
 	}
 }
 
-// planAndCommit plans and stores the next commit, over and over.
-func (l *simulatedLeader) planAndCommit() {
+// scheduleAndCommit does a scheduling pass and stores the next commit, and repeats
+// this until the leader is deposed.
+func (l *simulatedLeader) scheduleAndCommit() {
 	sm := l.simulation
 	next := func() {
-		if !l.dead {
-			sm.schedule(5*timeUnit, l.planAndCommit)
+		if !l.deposed {
+			sm.schedule(5*minEventDelay, l.scheduleAndCommit)
 		}
 	}
-	if l.frozen && !l.dead {
-		sm.schedule(50*timeUnit, l.planAndCommit)
+	if l.frozen && !l.deposed {
+		sm.schedule(50*minEventDelay, l.scheduleAndCommit)
 		return
 	}
 	var c *scheduler.Commit
-	l.update(func(at time.Time) {
+	l.updateScheduler(func(at time.Time) {
 		l.scheduler.Plan(at)
 		c = l.scheduler.NextCommit(at)
 	})
@@ -468,13 +477,13 @@
 		next()
 		return
 	}
-	sm.schedule(sm.randomDuration(4*timeUnit, 15*timeUnit), func() { l.storeCommit(c, next) })
+	sm.schedule(sm.randomDuration(4*minEventDelay, 15*minEventDelay), func() { l.storeCommit(c, next) })
 }
 
 func (l *simulatedLeader) storeCommit(c *scheduler.Commit, next func()) {
 	sm := l.simulation
 	if l.epoch < sm.epoch {
-		l.dead = true
+		l.deposed = true
 		return
 	}
 	for _, r := range c.Records {
@@ -485,8 +494,8 @@
 		}
 		sm.storedProgress[r.Key] = p
 	}
-	sm.schedule(sm.randomDuration(timeUnit, 8*timeUnit), func() {
-		l.update(func(at time.Time) { l.scheduler.Committed(c, at) })
+	sm.schedule(sm.randomDuration(minEventDelay, 8*minEventDelay), func() {
+		l.updateScheduler(func(at time.Time) { l.scheduler.Committed(c, at) })
 		next()
 	})
 }
--- a/internal/cell/scheduler/timeliness.go
+++ b/internal/cell/scheduler/timeliness.go
@@ -9,33 +9,34 @@
 	"github.com/almondpost/almondpost/internal/cell/work"
 )
 
-// timeliness classifies jobs by the time that they have left. Jobs are planned in
-// the order of the constants.
+// timeliness says whether a job can still complete in time. A scheduling pass handles
+// the jobs in the order of these constants.
 type timeliness int
 
 const (
-	// dueNow means that the job completes in time only if it starts now.
-	dueNow timeliness = iota
-	// overdue means that the job can no longer complete in time, but its result is
-	// still useful.
-	overdue
-	// hasSlack means that the job completes in time even if it waits for a good part
-	// of its time.
-	hasSlack
-	// tooLate means that the result will be too late to be useful.
-	tooLate
+	// timelinessDueNow means that the job completes in time only if it starts now.
+	timelinessDueNow timeliness = iota
+	// timelinessOverdue means that the job can no longer complete in time, but its
+	// result is still useful.
+	timelinessOverdue
+	// timelinessAmple means that the job completes in time even if it first waits for
+	// a large part of its allowance.
+	timelinessAmple
+	// timelinessTooLate means that the result will be too late to be useful.
+	timelinessTooLate
 )
 
-// minSlackShare is the share of a job's allowed time that must be left over for the
-// job to have slack. At 0.5 the job still completes in time if its run time is
-// twice the estimate.
-const minSlackShare = 0.5
+// minAmpleSlackShare is the share of its allowance that a job must be able to wait to
+// be classified as timelinessAmple. At 0.5, such a job still completes in time if it
+// takes twice as long as estimated.
+const minAmpleSlackShare = 0.5
 
-// maxPlannedJobs is the number of jobs in a plan from which on jobs that are too
-// late are left out.
-const maxPlannedJobs = 500
+// maxJobsPerPass is the number of jobs from which a scheduling pass takes no further
+// jobs that are too late to be useful.
+const maxJobsPerPass = 500
 
-// rankedJob is an active job with its sort keys.
+// rankedJob is a job that takes part in a scheduling pass, with the keys by which it
+// is sorted.
 type rankedJob struct {
 	job        *job
 	timeliness timeliness
@@ -43,15 +44,16 @@
 	due        time.Time
 }
 
-// planOrder returns the active jobs that have tasks to place or need advice soon,
-// sorted by timeliness, then by priority, then by due time.
+// schedulingOrder returns the active jobs that have tasks to place or may need advice
+// soon, sorted by timeliness, then by priority, then by due time.
 //
-// Timeliness comes first because of overload: sorted by due time alone, each job
-// waits until it is late, so that all jobs are late. After an outage it also lets
-// urgent jobs that became late run before long jobs that lose nothing by waiting.
-func (s *Scheduler) planOrder(now time.Time) []*job {
-	ranks := make([]rankedJob, 0, len(s.active))
-	for _, j := range s.active {
+// Timeliness comes first because of overload. If jobs were sorted by due time alone,
+// each job would wait until it is late, so that all jobs would be late. After an
+// outage, urgent jobs that have become late also run before long jobs that lose
+// nothing by waiting.
+func (s *Scheduler) schedulingOrder(now time.Time) []*job {
+	ranks := make([]rankedJob, 0, len(s.activeJobs))
+	for _, j := range s.activeJobs {
 		if j.waitingTasks == 0 && !s.mayOpenLaterStep(j) {
 			continue
 		}
@@ -70,59 +72,60 @@
 	})
 	order := make([]*job, 0, len(ranks))
 	for i := range ranks {
-		if ranks[i].timeliness == tooLate && len(order) >= maxPlannedJobs {
-			break // No caller waits for these jobs any more, and the ones in the plan come first.
+		if ranks[i].timeliness == timelinessTooLate && len(order) >= maxJobsPerPass {
+			break // No caller waits for these jobs any more, and the other jobs come first.
 		}
 		order = append(order, ranks[i].job)
 	}
 	return order
 }
 
-// allowance returns the time within which a job should complete after its
-// submission.
+// allowance returns the time after its submission within which a job should complete.
 func (s *Scheduler) allowance(j *job, q *queue.Queue) time.Duration {
 	longest := time.Duration(0)
-	if len(j.declaredPaths) > 0 {
-		longest = slices.Max(j.declaredPaths)
+	if len(j.criticalPaths) > 0 {
+		longest = slices.Max(j.criticalPaths)
 	}
 	return q.Allowance(longest)
 }
 
-// recordDelay is the approximate time from a placement to its start order.
-const recordDelay = 30 * time.Millisecond
+// placementStoreDelay is the approximate time from placing a task to ordering its
+// start. In this time the placement is stored.
+const placementStoreDelay = 30 * time.Millisecond
 
-// timelinessOf compares the remaining work of a job with the time until it is due.
-// A job without running tasks also waits for its advice and for its record to be
-// stored. Repeated jobs and jobs with lasting steps are always due now.
+// timelinessOf classifies a job by its expected remaining run time and the time until
+// it is due. For a job without tasks on workers, it adds the time for requesting
+// advice and for storing a placement. Repeated jobs and jobs with lasting steps
+// always get timelinessDueNow.
 //
-// That wait matters in bursts of urgent jobs: without it, each job would be placed
-// in time but complete just too late.
+// The added time matters when many urgent jobs come at once: without it, each job
+// would be placed in time but complete just too late.
 func (s *Scheduler) timelinessOf(j *job, q *queue.Queue, allowance time.Duration, now time.Time) timeliness {
 	if j.spec.Repeat != nil || j.hasLastingStep() {
-		return dueNow
+		return timelinessDueNow
 	}
-	remaining := s.remainingPath(j)
+	remaining := s.remainingCriticalPath(j)
 	if j.tasksOnWorkers == 0 {
-		remaining += recordDelay
+		remaining += placementStoreDelay
 		if q.Advice != nil && !j.hasTickets() {
 			remaining += q.Advice.RequestDuration(maxWorkersPerRequest)
 		}
 	}
 	slack := j.submittedAt.Add(allowance).Sub(now.Add(remaining))
 	switch {
-	case slack > time.Duration(minSlackShare*float64(allowance)):
-		return hasSlack
+	case slack > time.Duration(minAmpleSlackShare*float64(allowance)):
+		return timelinessAmple
 	case slack >= 0:
-		return dueNow
-	case slack >= -(queue.LateFactor-1)*allowance:
-		return overdue
+		return timelinessDueNow
+	case slack >= -(queue.AllowancesUntilUseless-1)*allowance:
+		return timelinessOverdue
 	}
-	return tooLate
+	return timelinessTooLate
 }
 
-// remainingPath returns the expected run time of the longest dependency path of
-// steps that have not completed.
-func (s *Scheduler) remainingPath(j *job) time.Duration {
+// remainingCriticalPath returns the expected run time of the longest chain of
+// dependent steps that have not completed.
+func (s *Scheduler) remainingCriticalPath(j *job) time.Duration {
 	longest := time.Duration(0)
 	for _, o := range j.occurrences {
 		paths := make([]time.Duration, len(o.steps))
@@ -139,7 +142,8 @@
 	return longest
 }
 
-// hasTickets reports whether an open step has tickets, which may have expired.
+// hasTickets reports whether any open step of a job that has not completed has
+// tickets, which may have expired.
 func (j *job) hasTickets() bool {
 	for _, o := range j.occurrences {
 		for _, st := range o.steps {
@@ -155,8 +159,8 @@
 	return slices.ContainsFunc(j.spec.Steps, func(s work.Step) bool { return s.Lasting })
 }
 
-// mayOpenLaterStep reports whether the tasks on workers may open a later step, which
-// then needs advice.
+// mayOpenLaterStep reports whether a later step of a job may open soon, because tasks
+// of the job are on workers. It may then need advice.
 func (s *Scheduler) mayOpenLaterStep(j *job) bool {
 	return len(j.spec.Steps) > 1 && j.tasksOnWorkers > 0
 }
--- a/internal/cell/work/job.go
+++ b/internal/cell/work/job.go
@@ -33,18 +33,18 @@
 	MaxTasks = 4096
 )
 
-// Job is a set of steps that a caller submits. The steps run once or, with
-// Repeat, several times; each time is called an occurrence.
+// Job is a set of steps that a caller submits. The steps run once, or several times
+// if Repeat is set. Each of these times is called an occurrence.
 type Job struct {
-	// ID is chosen by the caller and unique.
+	// ID is a unique ID that the caller has chosen.
 	ID string `json:"id"`
 	// Queue is the name of the queue to which the job was submitted.
 	Queue string `json:"queue"`
 	// Payload is passed unchanged to every task.
 	Payload string `json:"payload,omitempty"`
-	// Steps run in the order given by their After fields.
+	// Steps run as soon as the steps listed in their After fields have completed.
 	Steps []Step `json:"steps"`
-	// Repeat is nil for a job that runs once, as soon as possible.
+	// Repeat is nil for a job that runs once and starts as soon as possible.
 	Repeat *Repeat `json:"repeat,omitempty"`
 	// Accepted is the wall-clock time at which an entry VM received the job.
 	Accepted time.Time `json:"accepted"`
@@ -66,29 +66,29 @@
 	Count int `json:"count"`
 	// Size is the amount of resources that each task needs.
 	Size resource.Vector `json:"size"`
-	// Estimate is the run time of a task that the caller declared. It is often
+	// Estimate is the run time of a task as declared by the caller. It is often
 	// wrong.
 	Estimate time.Duration `json:"estimate,omitempty"`
-	// After lists the indexes of earlier steps. All their tasks must have
-	// completed before this step starts.
+	// After lists the indexes of the steps that this step depends on, which must be
+	// earlier ones. All their tasks must have completed before this step starts.
 	After []int `json:"after,omitempty"`
-	// Gang tasks make progress only while all tasks of the step run, and they
-	// end together.
+	// Gang is set when tasks make progress only while all tasks of the step run. They
+	// then start and end together.
 	Gang bool `json:"gang,omitempty"`
-	// SameRack tasks are slow when they run on more than one rack.
+	// SameRack is set when the tasks are slow if they run in more than one rack.
 	SameRack bool `json:"same_rack,omitempty"`
-	// Label is a label that the worker must have. Empty means that any worker
-	// is suitable.
+	// Label is a label that a worker must have to run the tasks. Empty means that any
+	// worker may run them.
 	Label string `json:"label,omitempty"`
-	// Rack is where the input data is; tasks are slow on other racks. Empty
-	// means that all racks are equally fast.
+	// Rack is the rack that holds the input data. Tasks are slow in other racks.
+	// Empty means that they are equally fast in all racks.
 	Rack string `json:"rack,omitempty"`
-	// MostPerWorker is the largest number of tasks of the step on one worker; 0
-	// means no limit.
+	// MostPerWorker is the largest number of tasks of the step that may run on one
+	// worker; 0 means no limit.
 	MostPerWorker int `json:"most_per_worker,omitempty"`
-	// Speculative tasks may run in several copies at the same time.
+	// Speculative is set when a task may run on several workers at the same time.
 	Speculative bool `json:"speculative,omitempty"`
-	// Lasting tasks have no end: they run until the job is cancelled.
+	// Lasting is set when tasks have no end: they run until the job is cancelled.
 	Lasting bool `json:"lasting,omitempty"`
 	// Checkpoints is set when tasks save checkpoints from which they can
 	// resume.
@@ -96,18 +96,19 @@
 	// Image is the name of the program that the tasks run. Tasks with the same
 	// image are expected to behave alike.
 	Image string `json:"image,omitempty"`
-	// Target is the upper bound for the tail latency of a serving task; 0 means
-	// none.
+	// Target is the latency target of a serving task: its tail latency should not
+	// exceed it. 0 means that the tasks are not serving tasks.
 	Target time.Duration `json:"target,omitempty"`
 	// Fills is set when tasks reserve no processor time and use only what other
 	// tasks on the worker leave idle.
 	Fills bool `json:"fills,omitempty"`
-	// DisruptionBudget is the number of lasting tasks that the scheduler may
-	// have stopped at the same time. Only Validate reads it.
+	// DisruptionBudget is the number of lasting tasks of the step that may be stopped
+	// at the same time. It is only validated; the scheduler does not use it.
 	DisruptionBudget int `json:"disruption_budget,omitempty"`
 }
 
-// ReservedCapacity returns the capacity that a task of the step reserves on a worker.
+// ReservedCapacity returns the capacity that each task of the step reserves on its
+// worker.
 func (s *Step) ReservedCapacity() resource.Vector {
 	reserved := s.Size
 	if s.Fills {
@@ -116,8 +117,7 @@
 	return reserved
 }
 
-// Validate returns an error of kind KindInvalid when the job must not be
-// accepted.
+// Validate returns an error of kind KindInvalid if the job must be rejected.
 func (j *Job) Validate() error {
 	invalid := func(format string, args ...any) error {
 		return fault.Newf("validate", KindInvalid, format, args...)
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// Occurrences returns how many times the steps run.
+// Occurrences returns how many times the job runs its steps.
 func (j *Job) Occurrences() int {
 	if j.Repeat == nil {
 		return 1
@@ -161,7 +161,7 @@
 	return j.Repeat.Count
 }
 
-// Due returns the wall-clock time at which an occurrence is due to start.
+// Due returns the wall-clock time at which an occurrence should start.
 func (j *Job) Due(occurrence int) time.Time {
 	if j.Repeat == nil {
 		return j.Accepted
@@ -169,8 +169,8 @@
 	return j.Repeat.Start.Add(time.Duration(occurrence) * j.Repeat.Interval)
 }
 
-// CriticalPaths returns, for each step, the declared run time of its critical path: the
-// longest chain of dependent steps that ends with it.
+// CriticalPaths returns the declared run time of the critical path for each step.
+// That is the longest chain of dependent steps that ends with the step.
 func (j *Job) CriticalPaths() []time.Duration {
 	paths := make([]time.Duration, len(j.Steps))
 	for i := range j.Steps {
@@ -189,7 +189,7 @@
 	Step       int
 }
 
-// TaskID identifies a task of a step. Index is below Step.Count.
+// TaskID identifies a task of a step. Index is a number from 0 to Step.Count-1.
 type TaskID struct {
 	StepID
 	Index int
@@ -205,7 +205,7 @@
 	return cmp.Or(cmp.Compare(t.Job, o.Job), cmp.Compare(t.Occurrence, o.Occurrence), cmp.Compare(t.Step, o.Step), cmp.Compare(t.Index, o.Index))
 }
 
-// State is the state of a job that callers see.
+// State is the state of a job as shown to callers.
 type State string
 
 // The states of a job.
--- a/internal/cell/work/progress.go
+++ b/internal/cell/work/progress.go
@@ -10,13 +10,13 @@
 // replaces an earlier one.
 type Progress struct {
 	State State `json:"state"`
-	// Started is set once the start of a task has been ordered.
+	// Started is set once any task of the job was placed on a worker.
 	Started bool `json:"started,omitempty"`
 	// Ended is when the job ended, in Unix milliseconds; 0 means that it has
 	// not ended.
 	Ended int64 `json:"ended,omitempty"`
-	// Steps holds the steps, of all occurrences, in which the start of a task
-	// has been ordered.
+	// Steps holds the steps of all occurrences of which any task was placed on a
+	// worker.
 	Steps []StepProgress `json:"steps,omitempty"`
 }
 
@@ -26,8 +26,8 @@
 	Step       int `json:"step,omitempty"`
 	// Done is set when all tasks have completed. Tasks is then empty.
 	Done bool `json:"done,omitempty"`
-	// Tasks holds the tasks whose start has been ordered. Once the job has
-	// ended, it holds only those that may still be running.
+	// Tasks holds the tasks that were placed on a worker. Once the job has ended, it
+	// holds only those that may still be running.
 	Tasks []TaskProgress `json:"tasks,omitempty"`
 }
 
@@ -35,20 +35,20 @@
 type TaskProgress struct {
 	Index int  `json:"i,omitempty"`
 	Done  bool `json:"done,omitempty"`
-	// Run is the highest run number that was ordered. Each start of a task has
-	// a higher number than the one before.
+	// Run is the number of the latest run of the task. Each run has a higher number
+	// than the one before.
 	Run int64 `json:"run,omitempty"`
 	// Failed lists the numbers of the runs that failed.
 	Failed []int64 `json:"failed,omitempty"`
-	// Worker and Born identify the worker process on which the task may be
-	// running: its ID and its start in Unix milliseconds. Worker is empty when
-	// the task is known not to be running.
+	// Worker and Born identify the worker process on which the task may be running:
+	// by its ID and by its start time in Unix milliseconds. Worker is empty if the
+	// task is certainly not running.
 	Worker     string `json:"worker,omitempty"`
 	Born       int64  `json:"born,omitempty"`
 	Checkpoint string `json:"checkpoint,omitempty"`
 }
 
-// Encode returns the JSON record of a job or its progress.
+// Encode returns the record of a job or of its progress as JSON.
 func Encode[T Job | Progress](v *T) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
