--- a/internal/cell/queue/table.go
+++ b/internal/cell/queue/table.go
@@ -73,7 +73,7 @@
 
 // Table is one version of the configuration.
 type Table struct {
-	// Version is higher in each later version of the configuration.
+	// Version is increased with each change of the configuration.
 	Version  int64
 	Queues   []Queue
 	Services map[string]Service
--- a/internal/cell/scheduler/advice.go
+++ b/internal/cell/scheduler/advice.go
@@ -33,13 +33,15 @@
 	// requests for one service. It keeps the slow requests of one service from
 	// delaying those of other services.
 	maxVMSharePerService = 0.7
-	// A request that takes minSlowRequestTime or longer is slow: it keeps a VM busy
-	// for longer than urgent jobs can wait. At most the share
-	// maxVMShareForSlowRequests of the VMs may be busy with slow requests.
+	// A request is slow if its fixed duration (AdviceCost.Fixed) is at least
+	// minSlowRequestTime: it keeps a VM busy for longer than urgent jobs can wait. At
+	// most the share maxVMShareForSlowRequests of the VMs may be busy with slow
+	// requests.
 	minSlowRequestTime        = 300 * time.Millisecond
 	maxVMShareForSlowRequests = 0.5
-	// A request that takes at most maxShortRequestTime is short. Short requests delay
-	// no others, so their number is not limited.
+	// A request is short if its fixed duration (AdviceCost.Fixed) is at most
+	// maxShortRequestTime. Short requests delay no others, so their number is not
+	// limited.
 	maxShortRequestTime = 60 * time.Millisecond
 	// maxStepsWithoutRoom is the largest number of steps of one service that may
 	// request advice while no worker has enough free capacity for their tasks.
@@ -62,11 +64,11 @@
 	// answered yet.
 	awaitingAnswer map[*worker]bool
 	// reservedWorkers lists the workers that the last scheduling pass reserved for
-	// the step. reservedFreeIn is the time, from that pass on, after which all of
-	// them (for a gang) or the first of them (for other steps) should have enough
+	// the step. timeUntilReservedFree is the time, from that pass on, after which all
+	// of them (for a gang) or the first of them (for other steps) should have enough
 	// free capacity.
-	reservedWorkers []*worker
-	reservedFreeIn  time.Duration
+	reservedWorkers       []*worker
+	timeUntilReservedFree time.Duration
 }
 
 // ticket permits a task of the step to start on one worker. text is the ticket as the
@@ -93,7 +95,7 @@
 }
 
 // AdviceRequest is a request for advice about Step. The caller of the scheduler must
-// have the entry VM named VM send it to the adviser.
+// have an entry VM, the one with the name VM, send it to the adviser.
 type AdviceRequest struct {
 	Number  int64
 	VM      string
@@ -109,7 +111,7 @@
 	// pendingSteps maps each step to its queue. It contains the steps that needed
 	// tickets in the last scheduling pass and have not requested them since.
 	pendingSteps      map[*step]*queue.Queue
-	inFlight          map[int64]inFlightRequest
+	inFlightRequests  map[int64]inFlightRequest
 	lastRequestNumber int64
 	// approvalRates maps the name of a queue to a moving average: the share of the
 	// workers named in a request that the adviser approves.
@@ -163,7 +165,7 @@
 }
 
 func newAdviceDispatcher() adviceDispatcher {
-	return adviceDispatcher{vms: map[string]*adviceVM{}, pendingSteps: map[*step]*queue.Queue{}, inFlight: map[int64]inFlightRequest{}, approvalRates: map[string]float64{}}
+	return adviceDispatcher{vms: map[string]*adviceVM{}, pendingSteps: map[*step]*queue.Queue{}, inFlightRequests: map[int64]inFlightRequest{}, approvalRates: map[string]float64{}}
 }
 
 // SetAdviceVMs sets the entry VMs that can request advice. VMs that are not in names
@@ -222,7 +224,7 @@
 	if st.advice.awaitingAnswer == nil {
 		st.advice.awaitingAnswer = map[*worker]bool{}
 	}
-	a.inFlight[a.lastRequestNumber] = inFlightRequest{step: st, vm: vm, workers: q.workers, expectedTime: cost, sentAt: now, expiresAt: now.Add(timeout + requestTimeoutMargin)}
+	a.inFlightRequests[a.lastRequestNumber] = inFlightRequest{step: st, vm: vm, workers: q.workers, expectedTime: cost, sentAt: now, expiresAt: now.Add(timeout + requestTimeoutMargin)}
 	ids := make([]string, len(q.workers))
 	for i, w := range q.workers {
 		w.requestsInFlight++
@@ -232,14 +234,14 @@
 	s.effects.AdviceRequests = append(s.effects.AdviceRequests, AdviceRequest{Number: a.lastRequestNumber, VM: vm, Step: st.id, Workers: ids, Timeout: timeout})
 }
 
-// AdviceAnswered handles the answer to the request with a number. If failed is true,
-// the request was not answered.
+// AdviceAnswered handles the answer to the request that has this number. If failed is
+// true, there was no answer.
 func (s *Scheduler) AdviceAnswered(number int64, answer backend.Advice, failed bool, now time.Time) {
-	o, ok := s.dispatcher.inFlight[number]
+	o, ok := s.dispatcher.inFlightRequests[number]
 	if !ok {
 		return
 	}
-	delete(s.dispatcher.inFlight, number)
+	delete(s.dispatcher.inFlightRequests, number)
 	for _, w := range o.workers {
 		w.requestsInFlight--
 		delete(o.step.advice.awaitingAnswer, w)
@@ -274,7 +276,7 @@
 		return
 	}
 	v.requestsInFlight, v.busyUntil = 0, now
-	for _, o := range a.inFlight {
+	for _, o := range a.inFlightRequests {
 		if o.vm == name {
 			v.requestsInFlight++
 			v.busyUntil = v.busyUntil.Add(o.expectedTime)
@@ -287,8 +289,8 @@
 
 // expireRequests handles requests that have timed out in the same way as failed ones.
 func (s *Scheduler) expireRequests(now time.Time) {
-	for _, number := range slices.Sorted(maps.Keys(s.dispatcher.inFlight)) {
-		if o := s.dispatcher.inFlight[number]; now.After(o.expiresAt) {
+	for _, number := range slices.Sorted(maps.Keys(s.dispatcher.inFlightRequests)) {
+		if o := s.dispatcher.inFlightRequests[number]; now.After(o.expiresAt) {
 			s.AdviceAnswered(number, backend.Advice{}, true, now)
 		}
 	}
--- a/internal/cell/scheduler/advice_test.go
+++ b/internal/cell/scheduler/advice_test.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// Slow requests keep the largest permitted share of the VMs busy. Then urgent jobs of
+// Long requests keep the largest permitted share of the VMs busy. Then urgent jobs of
 // the same service are submitted, some of them too late to complete in time.
 func TestShortQuestionsOfABurst(t *testing.T) {
 	table := &queue.Table{Version: 2, Queues: []queue.Queue{
--- a/internal/cell/scheduler/choose.go
+++ b/internal/cell/scheduler/choose.go
@@ -97,8 +97,7 @@
 	// rackBonus is for a worker in the rack that holds the input data, or in a rack
 	// with other members of the gang.
 	rackBonus = 4.0
-	// failedTaskPenalty is for the worker on which the last failed run of the task
-	// was.
+	// failedTaskPenalty is for the worker on which the task failed last.
 	failedTaskPenalty = 3.0
 	// slowWorkerPenalty is for a worker that counts as slow at the moment.
 	slowWorkerPenalty = 6.0
--- a/internal/cell/scheduler/commit.go
+++ b/internal/cell/scheduler/commit.go
@@ -19,9 +19,9 @@
 	startedAt time.Time
 	// placedTasks are the tasks that the records name with their new worker.
 	placedTasks []*task
-	// Workers number the ends of their runs. lastEnds maps a worker to the number of
-	// the last end whose effect is in the records.
-	lastEnds map[*worker]int64
+	// Workers number the ends of their runs. lastEndNumbers maps a worker to the
+	// number of the last end whose effect is in the records.
+	lastEndNumbers map[*worker]int64
 	// jobStates maps each job to the state that its record contains.
 	jobStates map[*job]work.State
 }
@@ -30,7 +30,7 @@
 // caller must store the commits one at a time, in the order in which NextCommit
 // returned them.
 func (s *Scheduler) NextCommit(now time.Time) *Commit {
-	c := &Commit{startedAt: now, lastEnds: map[*worker]int64{}, jobStates: map[*job]work.State{}}
+	c := &Commit{startedAt: now, lastEndNumbers: map[*worker]int64{}, jobStates: map[*job]work.State{}}
 	for _, id := range slices.Sorted(maps.Keys(s.dirtyJobs)) {
 		j := s.dirtyJobs[id]
 		c.Records = append(c.Records, store.Record{Key: id, Value: work.Encode(j.progress())})
@@ -48,10 +48,10 @@
 	s.expiredJobs = nil
 	for _, w := range s.workers {
 		if w.lastHandledEnd > w.lastStoredEnd {
-			c.lastEnds[w] = w.lastHandledEnd
+			c.lastEndNumbers[w] = w.lastHandledEnd
 		}
 	}
-	if len(c.Records) == 0 && len(c.lastEnds) == 0 {
+	if len(c.Records) == 0 && len(c.lastEndNumbers) == 0 {
 		return nil
 	}
 	return c
@@ -69,7 +69,7 @@
 			j.storedState = state
 		}
 	}
-	for w, number := range c.lastEnds {
+	for w, number := range c.lastEndNumbers {
 		w.lastStoredEnd = number
 	}
 	for _, t := range c.placedTasks {
@@ -116,7 +116,7 @@
 
 // maxStartDelay is the largest age of a commit at which its starts are still ordered.
 // It is shorter than the lease, so that no start takes effect after the time for
-// which the next leader waits.
+// which the next leader waits before it requeues the tasks.
 const maxStartDelay = 3 * time.Second
 
 // unstoredPlacements returns the tasks of a job that are placed on a worker, but
--- a/internal/cell/scheduler/dispatch.go
+++ b/internal/cell/scheduler/dispatch.go
@@ -11,8 +11,8 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// dispatchRequests sends requests for the steps that need tickets to idle VMs. Steps
-// of jobs that come first in sortedJobs are served first.
+// dispatchRequests has idle VMs send requests for the steps that need tickets. The
+// steps of jobs at the front of sortedJobs come first.
 func (s *Scheduler) dispatchRequests(sortedJobs []*job, now time.Time) {
 	if len(s.dispatcher.pendingSteps) == 0 {
 		return
@@ -48,19 +48,19 @@
 // requests of a few large jobs keep every VM busy, while hundreds of urgent jobs wait
 // for answers that take a thirtieth of the time.
 type requestLimits struct {
-	// inFlightByService and slowInFlight count the unanswered requests. Short
-	// requests are neither counted nor limited.
-	inFlightByService      map[string]int
-	slowInFlight           int
-	maxPerService, maxSlow int
+	// requestsInFlightByService and slowRequestsInFlight count the unanswered
+	// requests. Short requests are neither counted nor limited.
+	requestsInFlightByService              map[string]int
+	slowRequestsInFlight                   int
+	maxRequestsPerService, maxSlowRequests int
 }
 
 // newRequestLimits returns the limits. The requests that are unanswered now are
 // already counted.
 func (s *Scheduler) newRequestLimits() *requestLimits {
 	vms := float64(len(s.dispatcher.vms))
-	l := &requestLimits{inFlightByService: map[string]int{}, maxPerService: max(int(maxVMSharePerService*vms), 1), maxSlow: max(int(maxVMShareForSlowRequests*vms), 1)}
-	for _, o := range s.dispatcher.inFlight {
+	l := &requestLimits{requestsInFlightByService: map[string]int{}, maxRequestsPerService: max(int(maxVMSharePerService*vms), 1), maxSlowRequests: max(int(maxVMShareForSlowRequests*vms), 1)}
+	for _, o := range s.dispatcher.inFlightRequests {
 		if q := s.table.Queue(o.step.job.spec.Queue); q != nil {
 			l.countInFlight(q)
 		}
@@ -78,7 +78,7 @@
 
 // allows reports whether another request for a step of a queue may be sent.
 func (l *requestLimits) allows(q *queue.Queue) bool {
-	return isShortRequest(q) || (l.inFlightByService[q.Service] < l.maxPerService && (!isSlowRequest(q) || l.slowInFlight < l.maxSlow))
+	return isShortRequest(q) || (l.requestsInFlightByService[q.Service] < l.maxRequestsPerService && (!isSlowRequest(q) || l.slowRequestsInFlight < l.maxSlowRequests))
 }
 
 // countInFlight counts one unanswered request for a step of a queue.
@@ -86,9 +86,9 @@
 	if isShortRequest(q) {
 		return
 	}
-	l.inFlightByService[q.Service]++
+	l.requestsInFlightByService[q.Service]++
 	if isSlowRequest(q) {
-		l.slowInFlight++
+		l.slowRequestsInFlight++
 	}
 }
 
@@ -163,7 +163,7 @@
 // tickets were requested only once the capacity is free, it would stay unused until
 // the answer.
 func (st *step) reservedWorkersSoonFree(q *queue.Queue) bool {
-	return len(st.advice.reservedWorkers) > 0 && st.advice.reservedFreeIn <= q.Advice.RequestDuration(len(st.advice.reservedWorkers))
+	return len(st.advice.reservedWorkers) > 0 && st.advice.timeUntilReservedFree <= q.Advice.RequestDuration(len(st.advice.reservedWorkers))
 }
 
 // reservedWithoutValidTicket returns the reserved workers without a ticket that is
@@ -183,8 +183,8 @@
 	return stale
 }
 
-// countPlaces returns how many tasks that each reserve taskCapacity fit into the free
-// capacity.
+// countPlaces returns how many tasks fit into the free capacity if each task reserves
+// taskCapacity.
 func countPlaces(taskCapacity, free resource.Vector) int {
 	places := int64(work.MaxTasks)
 	sizes, left := taskCapacity.Amounts(), free.Amounts()
--- a/internal/cell/scheduler/hold.go
+++ b/internal/cell/scheduler/hold.go
@@ -17,8 +17,8 @@
 	s.eventSequence++
 	hold = backend.Hold{Token: w.token, Acknowledged: w.lastStoredEnd}
 	if w.unansweredHolds == 0 {
-		// Further holds to a silent worker do not extend its lease, so that the lease
-		// ends.
+		// Only the first hold after an answer extends the lease. Otherwise the lease of
+		// a silent worker would never end.
 		hold.Deadline = max(w.leaseDeadline(now, s.leadershipEnd(), s.timing), 0)
 	}
 	w.unansweredHolds++
@@ -107,12 +107,13 @@
 
 func (w *worker) setClock(clock time.Duration, now time.Time) {
 	if clock > 0 {
-		w.clock, w.clockReadAt = clock, now
+		w.clockReading, w.clockReadAt = clock, now
 	}
 }
 
-// applyReportedRun updates a task from the run that a report lists as running. If the
-// run does not belong to the task any more, it is recorded as an orphan and stopped.
+// applyReportedRun updates a task from the run that a report lists as running. A run
+// that does not belong to a task on the worker is recorded as an orphan. It is
+// stopped, unless the worker itself replaces it by a newer run of the task.
 func (s *Scheduler) applyReportedRun(w *worker, r *backend.Run, now time.Time) {
 	t := s.findTask(r.Task)
 	if t == nil || t.worker != w || t.runNumber != r.Run {
--- a/internal/cell/scheduler/job.go
+++ b/internal/cell/scheduler/job.go
@@ -71,8 +71,8 @@
 	// phasePlaced means that a worker was chosen for the task, but this placement is
 	// not stored yet.
 	phasePlaced
-	// phaseStartOrdered means that the worker may have started the task, but has not
-	// confirmed it.
+	// phaseStartOrdered means that the start was ordered, but the worker has not
+	// confirmed it. The task may already run.
 	phaseStartOrdered
 	// phaseRunning means that the worker has confirmed that the task runs.
 	phaseRunning
@@ -125,9 +125,9 @@
 	// lastFailedWorker is the ID of the worker on which the task failed last. The
 	// task is placed on other workers if possible.
 	lastFailedWorker string
-	// notBefore is the earliest time at which the task may be placed again.
-	notBefore  time.Time
-	stopSentAt time.Time
+	// placeNotBefore is the earliest time at which the task may be placed again.
+	placeNotBefore time.Time
+	stopSentAt     time.Time
 }
 
 // onWorker reports whether the task uses capacity of a worker.
@@ -157,7 +157,7 @@
 const maxJobAge = time.Minute
 
 func (s *Scheduler) addJob(spec *work.Job, now time.Time) *job {
-	age := min(max(now.Sub(s.toClock(spec.Accepted)), 0), maxJobAge)
+	age := min(max(now.Sub(s.toSchedulerClock(spec.Accepted)), 0), maxJobAge)
 	j := &job{spec: spec, state: work.Queued, storedState: work.Queued, submittedAt: now.Add(-age), criticalPaths: spec.CriticalPaths()}
 	s.jobs[spec.ID] = j
 	s.activeJobs[spec.ID] = j
@@ -211,7 +211,7 @@
 
 // openDueOccurrencesOfJob opens the occurrences of one job that are due.
 func (s *Scheduler) openDueOccurrencesOfJob(j *job, now time.Time) {
-	for j.nextOccurrence < j.spec.Occurrences() && (j.spec.Repeat == nil || !now.Before(s.toClock(j.spec.Due(j.nextOccurrence)).Add(-s.timing.EarlyStart))) {
+	for j.nextOccurrence < j.spec.Occurrences() && (j.spec.Repeat == nil || !now.Before(s.toSchedulerClock(j.spec.Due(j.nextOccurrence)).Add(-s.timing.EarlyStart))) {
 		o := s.addOccurrence(j, j.nextOccurrence, now)
 		j.nextOccurrence++
 		s.openReadySteps(o, now)
--- a/internal/cell/scheduler/lease.go
+++ b/internal/cell/scheduler/lease.go
@@ -14,8 +14,8 @@
 	runNumber int64
 }
 
-// orphan describes a run that may still exist on a worker, although its task is not
-// on that worker any more or the task is not known.
+// orphan describes a run that may still exist on a worker, although it is not the
+// current run of any task there.
 type orphan struct {
 	capacity resource.Vector
 	// eventSequence is the value of Scheduler.eventSequence when the run became an
@@ -26,9 +26,9 @@
 
 // addOrphan must be called before a task is taken off a worker on which its run may
 // continue. The run keeps its capacity on the worker as an orphan.
-func (w *worker) addOrphan(t *task, sequence int64) {
+func (w *worker) addOrphan(t *task, eventSequence int64) {
 	capacity := t.step.spec.ReservedCapacity()
-	w.orphans[runID{t.id, t.runNumber}] = orphan{capacity, sequence}
+	w.orphans[runID{t.id, t.runNumber}] = orphan{capacity, eventSequence}
 	w.usedCapacity = w.usedCapacity.Add(capacity)
 }
 
@@ -87,7 +87,7 @@
 		return 0
 	}
 	lease := min(timing.Lease, leadershipEnd.Sub(now))
-	return w.clock + now.Sub(w.clockReadAt) + lease
+	return w.clockReading + now.Sub(w.clockReadAt) + lease
 }
 
 // extendLease updates leaseEnd after a lease was granted at a given time.
--- a/internal/cell/scheduler/load.go
+++ b/internal/cell/scheduler/load.go
@@ -11,7 +11,8 @@
 // loadLogInterval is the shortest interval between two log entries about the load.
 const loadLogInterval = 2 * time.Second
 
-// serviceLoad sums up the capacity of the workers of one service.
+// serviceLoad contains the number of workers of one service, and the sums of their
+// used and total capacity.
 type serviceLoad struct {
 	workers                     int
 	usedCapacity, totalCapacity resource.Vector
--- a/internal/cell/scheduler/pace.go
+++ b/internal/cell/scheduler/pace.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// nextPace returns the new pace of a filling task. latencyShare is the highest
-// latency of the serving tasks on the worker, divided by the target. A pace of 0
-// pauses the task.
+// nextPace returns the new pace of a filling task. latencyShare is the latency of a
+// serving task on the same worker, divided by the task's target; if there are several
+// serving tasks, the highest of these values. A pace of 0 pauses the filling task.
 func nextPace(pace int, latencyShare float64) int {
 	switch {
 	case latencyShare > throttleAboveTargetShare:
--- a/internal/cell/scheduler/reserve.go
+++ b/internal/cell/scheduler/reserve.go
@@ -26,8 +26,9 @@
 }
 
 const (
-	// One step per workersPerReservingStep workers of a service may reserve workers
-	// in a scheduling pass, and at least minReservingSteps steps may.
+	// In a scheduling pass, at most one step per workersPerReservingStep workers of a
+	// service may reserve workers. The first minReservingSteps steps may always do
+	// so.
 	workersPerReservingStep = 3
 	minReservingSteps       = 8
 	// A task is large if it needs at least the fraction minLargeTaskFraction of the
@@ -51,9 +52,9 @@
 	return ok && res.job != j
 }
 
-// reserveWorkers reserves workers for the waiting tasks of a large step: those that
-// are expected to have enough free capacity first. Workers that can never run the
-// tasks are not reserved.
+// reserveWorkers reserves workers for the waiting tasks of a large step. It chooses
+// the workers that are expected to have enough free capacity soonest, and none that
+// can never run the tasks.
 func (s *Scheduler) reserveWorkers(st *step, q *queue.Queue, r *reservations, now time.Time) {
 	if !s.isLarge(st, q) || r.reservedStepCount >= max(minReservingSteps, len(s.poolOf(q.Service).workers)/workersPerReservingStep) {
 		return
@@ -71,15 +72,15 @@
 		return // The gang would not fit even if all these workers were empty.
 	}
 	slices.SortFunc(places, func(a, b expectedPlace) int {
-		return cmp.Or(cmp.Compare(a.freeIn, b.freeIn), compareLives(a.worker.registration.Life, b.worker.registration.Life))
+		return cmp.Or(cmp.Compare(a.timeUntilFree, b.timeUntilFree), compareLives(a.worker.registration.Life, b.worker.registration.Life))
 	})
 	for _, p := range places[:min(st.countWaitingTasks(), len(places))] {
 		if _, alreadyReserved := r.byWorker[p.worker]; !alreadyReserved {
 			st.advice.reservedWorkers = append(st.advice.reservedWorkers, p.worker)
 		}
-		r.byWorker[p.worker] = reservation{job: st.job, freeAt: now.Add(p.freeIn)}
+		r.byWorker[p.worker] = reservation{job: st.job, freeAt: now.Add(p.timeUntilFree)}
 		if st.spec.Gang || len(st.advice.reservedWorkers) == 1 {
-			st.advice.reservedFreeIn = p.freeIn
+			st.advice.timeUntilReservedFree = p.timeUntilFree
 		}
 	}
 	r.reservedStepCount++
@@ -105,9 +106,9 @@
 // become free.
 type expectedPlace struct {
 	worker *worker
-	// freeIn is the expected time until the capacity is free; 0 means that it is free
-	// now.
-	freeIn time.Duration
+	// timeUntilFree is the expected time until the capacity is free; 0 means that it
+	// is free now.
+	timeUntilFree time.Duration
 }
 
 // appendExpectedPlaces appends the places for tasks of a step on a worker: those that
--- a/internal/cell/scheduler/runs.go
+++ b/internal/cell/scheduler/runs.go
@@ -65,7 +65,7 @@
 	case backend.KindNoRoom, backend.KindUnhealthy:
 		w.avoidUntil = now.Add(refusalPause)
 	case backend.KindInvalid:
-		t.notBefore = now.Add(invalidOrderPause)
+		t.placeNotBefore = now.Add(invalidOrderPause)
 	default:
 	}
 	s.requeue(t)
@@ -198,8 +198,9 @@
 	}
 }
 
-// stopOtherGangMembers stops all running members of a gang after one member has ended
-// or could not start. It does nothing for other tasks.
+// stopOtherGangMembers must be called when a member of a gang has ended or could not
+// start. It stops the members that may run, and requeues those that are only placed.
+// It does nothing for tasks outside of gangs.
 func (s *Scheduler) stopOtherGangMembers(t *task, now time.Time) {
 	if !t.step.spec.Gang {
 		return
--- a/internal/cell/scheduler/schedule.go
+++ b/internal/cell/scheduler/schedule.go
@@ -115,7 +115,7 @@
 // hasPlaceableTask reports whether the step has a waiting task that may be placed
 // now.
 func (st *step) hasPlaceableTask(now time.Time) bool {
-	return slices.ContainsFunc(st.tasks, func(t *task) bool { return t.phase == phaseWaiting && !now.Before(t.notBefore) })
+	return slices.ContainsFunc(st.tasks, func(t *task) bool { return t.phase == phaseWaiting && !now.Before(t.placeNotBefore) })
 }
 
 // expectedToOpenWithin reports whether all steps that a step depends on are expected
@@ -143,7 +143,7 @@
 func (s *Scheduler) placeTasks(st *step, q *queue.Queue, reserved *reservations, now time.Time) bool {
 	all := true
 	for _, t := range st.tasks {
-		if t.phase != phaseWaiting || now.Before(t.notBefore) {
+		if t.phase != phaseWaiting || now.Before(t.placeNotBefore) {
 			continue
 		}
 		w := s.chooseWorker(st, q, t, reserved, nil, now)
@@ -160,7 +160,7 @@
 // not enough places for all of them.
 func (s *Scheduler) placeGang(st *step, q *queue.Queue, reserved *reservations, now time.Time) bool {
 	for _, t := range st.tasks {
-		if t.phase != phaseWaiting || now.Before(t.notBefore) {
+		if t.phase != phaseWaiting || now.Before(t.placeNotBefore) {
 			return true // Some members of an earlier run have not ended yet.
 		}
 	}
--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -194,8 +194,10 @@
 // that another pass may place tasks.
 func (s *Scheduler) NeedsPlan() bool { return s.schedulingNeeded }
 
-// toClock converts a wall-clock time to a time on the scheduler's clock.
-func (s *Scheduler) toClock(wall time.Time) time.Time { return s.clockBase.Add(wall.Sub(s.wallBase)) }
+// toSchedulerClock converts a wall-clock time to a time on the scheduler's clock.
+func (s *Scheduler) toSchedulerClock(wall time.Time) time.Time {
+	return s.clockBase.Add(wall.Sub(s.wallBase))
+}
 
 // Tick does what depends only on the time: it handles leases and requests for advice
 // that have expired, opens due occurrences and removes ended jobs. It must be called
--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -453,7 +453,7 @@
 	is.Equal(state("short"), work.Completed)
 	is.Equal(state("large"), work.Queued)
 	sm.runFor(3500 * time.Millisecond)
-	is.Equal(state("large"), work.Completed) // The job "long" has not delayed it.
+	is.Equal(state("large"), work.Completed) // The long task has not delayed the large one.
 	is.Equal(sm.violations, nil)
 }
 
--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -71,11 +71,11 @@
 	jobs        []*work.Job
 	// storedProgress maps the ID of a job to its stored progress record.
 	storedProgress map[string]*work.Progress
-	cancelled      map[string]bool
+	cancelledJobs  map[string]bool
 	taskProfiles   map[work.TaskID]fleet.TaskProfile
 	epoch          int64
 	leaders        []*simulatedLeader
-	completed      map[work.TaskID]bool
+	completedTasks map[work.TaskID]bool
 	// Workers number the ends of their runs. lastExpiredLeaseEnd maps a worker to the
 	// number of its last end with the outcome backend.LeaseExpired.
 	lastExpiredLeaseEnd map[backend.Life]int64
@@ -101,7 +101,7 @@
 			{Name: "advised", Service: "desk", Priority: 2, Stretch: 4, Objective: 3 * time.Second, Advice: &queue.AdviceCost{Fixed: 50 * time.Millisecond, PerWorker: time.Millisecond, Validity: 2 * time.Second}},
 		}},
 		workers: map[backend.Life]*fleet.Worker{}, unreachable: map[backend.Life]bool{}, storedProgress: map[string]*work.Progress{},
-		cancelled: map[string]bool{}, taskProfiles: map[work.TaskID]fleet.TaskProfile{}, completed: map[work.TaskID]bool{}, lastExpiredLeaseEnd: map[backend.Life]int64{}, log: logr.Discard(),
+		cancelledJobs: map[string]bool{}, taskProfiles: map[work.TaskID]fleet.TaskProfile{}, completedTasks: map[work.TaskID]bool{}, lastExpiredLeaseEnd: map[backend.Life]int64{}, log: logr.Discard(),
 		adviceVMs: []string{"vm-1", "vm-2"},
 	}
 }
@@ -186,7 +186,7 @@
 			}
 		}
 	}
-	if sm.completed[s.Task] && !speculative {
+	if sm.completedTasks[s.Task] && !speculative {
 		sm.reportViolation("task %s starts on %s after it has completed", s.Task, life.ID)
 	}
 	if used := on.Used(); !used.Fits(on.Registration.Capacity) {
@@ -226,7 +226,7 @@
 // acknowledged.
 func (sm *simulation) Acknowledged(on *fleet.Worker, e backend.End, _ time.Time) {
 	if e.Outcome == backend.Done && sm.lastExpiredLeaseEnd[on.Registration.Life] < e.Number && !sm.taskProfiles[e.Task].Lasting {
-		sm.completed[e.Task] = true
+		sm.completedTasks[e.Task] = true
 	}
 }
 
@@ -255,7 +255,7 @@
 // cancel stores the cancellation of a job. The leaders read it from the store a
 // little later.
 func (sm *simulation) cancel(id string) {
-	sm.cancelled[id] = true
+	sm.cancelledJobs[id] = true
 	for _, l := range sm.leaders {
 		if !l.deposed {
 			sm.schedule(sm.randomDuration(2*minEventDelay, 10*minEventDelay), func() { l.updateScheduler(func(at time.Time) { l.scheduler.Cancel(id, at) }) })
@@ -275,7 +275,7 @@
 	l.scheduler.SetWorkers(sm.registrations(), sm.now)
 	for _, j := range sm.jobs {
 		l.scheduler.Restore(j, sm.storedProgress[j.ID], sm.now)
-		if sm.cancelled[j.ID] {
+		if sm.cancelledJobs[j.ID] {
 			l.scheduler.Cancel(j.ID, sm.now)
 		}
 	}
--- a/internal/cell/scheduler/worker.go
+++ b/internal/cell/scheduler/worker.go
@@ -21,8 +21,8 @@
 	// ready is true if the worker could be given tasks when the last scheduling pass
 	// began.
 	ready bool
-	// sessionOpen is true from telling the caller to open a session with the worker
-	// until telling it to close the session.
+	// sessionOpen is true after the caller was told to open a session with the
+	// worker, until it is told to close the session.
 	sessionOpen bool
 	// token is the fencing token that is sent with new orders. confirmedToken is the
 	// highest token of a hold that the worker has answered, or 0.
@@ -37,9 +37,9 @@
 	// last end that was handled. lastStoredEnd is the number of the last end whose
 	// effect is stored, so that it can be acknowledged.
 	lastHandledEnd, lastStoredEnd int64
-	// clock is the reading of the worker's clock at clockReadAt.
-	clock       time.Duration
-	clockReadAt time.Time
+	// clockReading is the reading of the worker's clock at clockReadAt.
+	clockReading time.Duration
+	clockReadAt  time.Time
 	// leaseEnd is the time at which all runs on the worker have certainly ended if no
 	// further hold renews their lease.
 	leaseEnd     time.Time
