--- a/internal/cell/scheduler/advice.go
+++ b/internal/cell/scheduler/advice.go
@@ -43,9 +43,9 @@
 	// maxShortRequestTime. Short requests delay no others, so their number is not
 	// limited.
 	maxShortRequestTime = 60 * time.Millisecond
-	// maxStepsWithoutRoom is the largest number of steps of one service that may
+	// maxStepsWithoutCapacity is the largest number of steps of one service that may
 	// request advice while no worker has enough free capacity for their tasks.
-	maxStepsWithoutRoom = 6
+	maxStepsWithoutCapacity = 6
 	// A step that is not open yet requests advice early enough for the answer to
 	// arrive adviceLeadTime before the step is expected to open.
 	adviceLeadTime = 500 * time.Millisecond
--- a/internal/cell/scheduler/bench_test.go
+++ b/internal/cell/scheduler/bench_test.go
@@ -17,7 +17,7 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, workers := range []int{50, 350, 1100, 3000} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
-			sm := newSimulation(1, faults{})
+			sm := newSimulation(1, faultProbabilities{})
 			sm.addWorkers(workers, workerCapacity)
 			l := sm.electLeader()
 			for i := range workers * 2 {
@@ -57,7 +57,7 @@
 // newLargeSimulation returns a simulation of a cell with 1,100 workers of two
 // services and 147 entry VMs.
 func newLargeSimulation() *simulation {
-	sm := newSimulation(1, faults{})
+	sm := newSimulation(1, faultProbabilities{})
 	sm.table = &queue.Table{Version: 1}
 	for i := range workload {
 		sm.table.Queues = append(sm.table.Queues, workload[i].queue)
--- a/internal/cell/scheduler/choose.go
+++ b/internal/cell/scheduler/choose.go
@@ -14,9 +14,9 @@
 	return w.registration.HasLabel(st.spec.Label) && st.spec.ReservedCapacity().Fits(w.registration.Capacity)
 }
 
-// maxAnswerDelay is added to holdWait. A worker that has been silent for longer than
-// the sum gets no new tasks.
-const maxAnswerDelay = 400 * time.Millisecond
+// maxHoldAnswerDelay is added to holdWait. A worker that has been silent for longer
+// than the sum gets no new tasks.
+const maxHoldAnswerDelay = 400 * time.Millisecond
 
 // chooseWorker returns the best worker for a task, or nil if no suitable worker has
 // enough free capacity. gangMembersByRack counts the already placed members of the
@@ -25,14 +25,14 @@
 	c := workerSelection{scheduler: s, task: t, reserved: reserved, gangMembersByRack: gangMembersByRack, taskCapacity: st.spec.ReservedCapacity(), now: now, expectedEnd: now.Add(s.runTimes.expectedOccupancy(st))}
 	if q.Advice == nil {
 		for _, w := range s.poolOf(q.Service).readyWorkers {
-			c.consider(w)
+			c.considerWorker(w)
 		}
 		return c.best
 	}
 	// Of a large pool, only a few workers have tickets. Searching just these is faster.
 	for w := range st.advice.tickets {
 		if w.ready && w.acceptsTasksOf(q) && st.advice.hasValidTicket(w, now) {
-			c.consider(w)
+			c.considerWorker(w)
 		}
 	}
 	return c.best
@@ -51,9 +51,9 @@
 	bestScore        float64
 }
 
-// consider makes a worker the best one found so far if it may run the task and has a
-// higher score.
-func (c *workerSelection) consider(w *worker) {
+// considerWorker makes a worker the best one found so far if it may run the task and
+// has a higher score.
+func (c *workerSelection) considerWorker(w *worker) {
 	st := c.task.step
 	if !c.taskCapacity.Fits(w.freeCapacity()) || !w.registration.HasLabel(st.spec.Label) || c.reserved.blocksTask(w, st.job, c.expectedEnd) || !belowTaskLimit(w, st) || w.hasOrphanOf(c.task.id) {
 		return
--- a/internal/cell/scheduler/dispatch.go
+++ b/internal/cell/scheduler/dispatch.go
@@ -18,7 +18,7 @@
 		return
 	}
 	idle, ok := s.dispatcher.idleVM(now)
-	stepsWithoutRoom := map[string]int{}
+	stepsWithoutCapacity := map[string]int{}
 	limits := s.newRequestLimits()
 	for _, j := range sortedJobs {
 		if !ok {
@@ -27,7 +27,7 @@
 		for _, o := range j.occurrences {
 			for _, st := range o.steps {
 				q := s.dispatcher.pendingSteps[st]
-				if q == nil || !ok || !limits.allows(q) || (st.open && !s.worthRequesting(st, q, stepsWithoutRoom)) {
+				if q == nil || !ok || !limits.allows(q) || (st.open && !s.worthRequesting(st, q, stepsWithoutCapacity)) {
 					continue
 				}
 				if workers := s.workersForRequest(st, q, now); len(workers) > 0 {
@@ -68,26 +68,26 @@
 	return l
 }
 
-func isSlowRequest(q *queue.Queue) bool {
+func hasSlowRequests(q *queue.Queue) bool {
 	return q.Advice != nil && q.Advice.Fixed >= minSlowRequestTime
 }
 
-func isShortRequest(q *queue.Queue) bool {
+func hasShortRequests(q *queue.Queue) bool {
 	return q.Advice == nil || q.Advice.Fixed <= maxShortRequestTime
 }
 
 // allows reports whether another request for a step of a queue may be sent.
 func (l *requestLimits) allows(q *queue.Queue) bool {
-	return isShortRequest(q) || (l.requestsInFlightByService[q.Service] < l.maxRequestsPerService && (!isSlowRequest(q) || l.slowRequestsInFlight < l.maxSlowRequests))
+	return hasShortRequests(q) || (l.requestsInFlightByService[q.Service] < l.maxRequestsPerService && (!hasSlowRequests(q) || l.slowRequestsInFlight < l.maxSlowRequests))
 }
 
 // countInFlight counts one unanswered request for a step of a queue.
 func (l *requestLimits) countInFlight(q *queue.Queue) {
-	if isShortRequest(q) {
+	if hasShortRequests(q) {
 		return
 	}
 	l.requestsInFlightByService[q.Service]++
-	if isSlowRequest(q) {
+	if hasSlowRequests(q) {
 		l.slowRequestsInFlight++
 	}
 }
@@ -95,16 +95,16 @@
 // worthRequesting reports whether an open step could use tickets before they expire.
 // It could if a worker has enough free capacity for a task now or soon. Otherwise it
 // may request advice only once, and only if it is among the first steps of its
-// service that wait for capacity. stepsWithoutRoom counts these steps by service.
+// service that wait for capacity. stepsWithoutCapacity counts these steps by service.
 //
 // Under a backlog, tickets for steps further back would expire unused, while the
 // steps at the front wait for a VM to send their requests.
-func (s *Scheduler) worthRequesting(st *step, q *queue.Queue, stepsWithoutRoom map[string]int) bool {
+func (s *Scheduler) worthRequesting(st *step, q *queue.Queue, stepsWithoutCapacity map[string]int) bool {
 	if st.spec.ReservedCapacity().Fits(s.poolOf(q.Service).maxFreeCapacity) || st.reservedWorkersSoonFree(q) {
 		return true
 	}
-	stepsWithoutRoom[q.Service]++
-	return len(st.advice.answered) == 0 && stepsWithoutRoom[q.Service] <= maxStepsWithoutRoom
+	stepsWithoutCapacity[q.Service]++
+	return len(st.advice.answered) == 0 && stepsWithoutCapacity[q.Service] <= maxStepsWithoutCapacity
 }
 
 // workersForRequest returns the workers about which a step should request advice now.
@@ -185,9 +185,9 @@
 
 // countPlaces returns how many tasks fit into the free capacity if each task reserves
 // taskCapacity.
-func countPlaces(taskCapacity, free resource.Vector) int {
+func countPlaces(taskCapacity, freeCapacity resource.Vector) int {
 	places := int64(work.MaxTasks)
-	sizes, left := taskCapacity.Amounts(), free.Amounts()
+	sizes, left := taskCapacity.Amounts(), freeCapacity.Amounts()
 	for i := range sizes {
 		if sizes[i] > 0 {
 			places = min(places, max(left[i], 0)/sizes[i])
--- a/internal/cell/scheduler/health.go
+++ b/internal/cell/scheduler/health.go
@@ -27,7 +27,7 @@
 func (s *Scheduler) detectSlowWorker(w *worker, now time.Time) {
 	rated, slow := 0, 0
 	for _, t := range w.tasks {
-		if t.phase != phaseRunning || t.step.spec.Lasting || t.step.spec.Fills || t.pace != fullPacePercent || t.checkpoint != "" {
+		if t.phase != phaseRunning || t.step.spec.Lasting || t.step.spec.Fills || t.pacePercent != fullPacePercent || t.checkpoint != "" {
 			continue
 		}
 		elapsed, expected := now.Sub(t.startedAt), s.runTimes.expectedRunTime(t.step)
--- a/internal/cell/scheduler/health_test.go
+++ b/internal/cell/scheduler/health_test.go
@@ -31,7 +31,7 @@
 			now := time.Unix(1_700_000_000, 0)
 			start := now
 			s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, HoldWait: time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
-			s.SetTable(newSimulation(1, faults{}).table)
+			s.SetTable(newSimulation(1, faultProbabilities{}).table)
 			var list []backend.Registration
 			for i := range 2 {
 				list = append(list, backend.Registration{Life: backend.Life{ID: fmt.Sprintf("worker-%d", i), Born: 1}, Service: "desk", Capacity: workerCapacity})
--- a/internal/cell/scheduler/hold.go
+++ b/internal/cell/scheduler/hold.go
@@ -83,7 +83,7 @@
 	for i := range r.Ended {
 		if e := &r.Ended[i]; e.Number > w.lastHandledEnd {
 			w.lastHandledEnd = e.Number
-			s.applyEnd(w, e, now)
+			s.applyRunEnd(w, e, now)
 		}
 	}
 	// The key contains the run number because a report can list two runs of one task.
@@ -150,7 +150,7 @@
 
 // confirmRun records that a worker has started the run of a task.
 func (s *Scheduler) confirmRun(t *task, now time.Time) {
-	t.phase, t.runConfirmed, t.confirmedSequence = phaseRunning, true, s.eventSequence
+	t.phase, t.runConfirmed, t.confirmedAtSequence = phaseRunning, true, s.eventSequence
 	if t.startedAt.IsZero() {
 		t.startedAt = now
 	}
@@ -172,7 +172,7 @@
 			continue
 		case !t.runConfirmed && t.startToken >= sent.token:
 			continue // The start order may not have reached the worker yet.
-		case t.runConfirmed && t.confirmedSequence >= sent.eventSequence:
+		case t.runConfirmed && t.confirmedAtSequence >= sent.eventSequence:
 			continue // The report may have been made before the run started.
 		}
 		if truncated {
--- a/internal/cell/scheduler/job.go
+++ b/internal/cell/scheduler/job.go
@@ -99,10 +99,10 @@
 	// startToken is the fencing token in the start order. It is 0 if an earlier
 	// leader ordered the start.
 	startToken int64
-	// confirmedSequence is the value of Scheduler.eventSequence when the worker
+	// confirmedAtSequence is the value of Scheduler.eventSequence when the worker
 	// confirmed the run. A report was made after that only if its hold has a higher
 	// number.
-	confirmedSequence int64
+	confirmedAtSequence int64
 	// runConfirmed is true once the worker has confirmed the run.
 	runConfirmed bool
 	// inCommit is true while a commit with the placement of the task is being stored.
@@ -116,9 +116,9 @@
 	// reported: for a serving task its tail latency in milliseconds, for any other
 	// task the milliprocessors that it uses.
 	reportedMeasurement int64
-	// pace is the speed at which the worker is told to run the task, in percent of
-	// full speed.
-	pace int
+	// pacePercent is the speed at which the worker is told to run the task, in
+	// percent of full speed.
+	pacePercent int
 	// startedAt is when the task was placed on its worker. Once the start is ordered,
 	// it is the time of that order.
 	startedAt time.Time
@@ -228,7 +228,7 @@
 		st := &step{job: j, occurrence: o, id: work.StepID{Job: j.spec.ID, Occurrence: number, Step: i}, spec: spec, tasksLeft: spec.Count}
 		st.tasks = make([]*task, spec.Count)
 		for k := range st.tasks {
-			st.tasks[k] = &task{id: work.TaskID{StepID: st.id, Index: k}, step: st, pace: fullPacePercent}
+			st.tasks[k] = &task{id: work.TaskID{StepID: st.id, Index: k}, step: st, pacePercent: fullPacePercent}
 		}
 		o.steps = append(o.steps, st)
 	}
@@ -265,7 +265,7 @@
 func (s *Scheduler) requeue(t *task) {
 	s.releaseCapacity(t)
 	j := t.step.job
-	t.phase, t.percentDone, t.pace, t.runConfirmed = phaseWaiting, 0, fullPacePercent, false
+	t.phase, t.percentDone, t.pacePercent, t.runConfirmed = phaseWaiting, 0, fullPacePercent, false
 	if j.state.Ended() {
 		t.phase = phaseDone
 		return
--- a/internal/cell/scheduler/pace.go
+++ b/internal/cell/scheduler/pace.go
@@ -38,8 +38,8 @@
 		if !t.step.spec.Fills || t.phase != phaseRunning {
 			continue
 		}
-		if pace := nextPace(t.pace, highestLatencyShare); pace != t.pace {
-			t.pace = pace
+		if pace := nextPace(t.pacePercent, highestLatencyShare); pace != t.pacePercent {
+			t.pacePercent = pace
 			s.effects.Paces = append(s.effects.Paces, Order[backend.Pace]{
 				Worker: w.registration.Life, Order: backend.Pace{Task: t.id, Run: t.runNumber, Percent: pace, Token: w.token},
 			})
--- a/internal/cell/scheduler/runs.go
+++ b/internal/cell/scheduler/runs.go
@@ -39,7 +39,7 @@
 		if t.phase == phaseStartOrdered {
 			s.confirmRun(t, now)
 		}
-		t.runConfirmed, t.confirmedSequence = true, s.eventSequence
+		t.runConfirmed, t.confirmedAtSequence = true, s.eventSequence
 		return
 	}
 	if t.phase != phaseStartOrdered && t.phase != phaseStopping {
@@ -72,15 +72,15 @@
 	s.stopOtherGangMembers(t, now)
 }
 
-// applyEnd handles the end of a run that a worker has reported.
-func (s *Scheduler) applyEnd(w *worker, e *backend.End, now time.Time) {
+// applyRunEnd handles the end of a run that a worker has reported.
+func (s *Scheduler) applyRunEnd(w *worker, e *backend.End, now time.Time) {
 	s.log.Info("run_ended", "task", e.Task.String(), "run", e.Run, "worker", w.registration.Life.ID, "number", e.Number, "outcome", string(e.Outcome))
 	t := s.findTask(e.Task)
 	if t == nil {
 		return
 	}
 	if e.Run != t.runNumber || t.worker != w {
-		s.applyOrphanEnd(t, e, now)
+		s.applyOrphanRunEnd(t, e, now)
 		return
 	}
 	if e.Checkpoint != "" {
@@ -104,11 +104,11 @@
 	}
 }
 
-// applyOrphanEnd handles the end of an earlier run of a task, or of a run on a worker
-// that the task has left. A failed run counts as one of the attempts of the task. A
-// completed run completes the task, even if the task was placed again. The later run
-// is then stopped, and uses capacity until it has ended.
-func (s *Scheduler) applyOrphanEnd(t *task, e *backend.End, now time.Time) {
+// applyOrphanRunEnd handles the end of an earlier run of a task, or of a run on a
+// worker that the task has left. A failed run counts as one of the attempts of the
+// task. A completed run completes the task, even if the task was placed again. The
+// later run is then stopped, and uses capacity until it has ended.
+func (s *Scheduler) applyOrphanRunEnd(t *task, e *backend.End, now time.Time) {
 	if t.phase == phaseDone || t.step.spec.Lasting || t.step.job.state.Ended() {
 		return
 	}
--- a/internal/cell/scheduler/schedule.go
+++ b/internal/cell/scheduler/schedule.go
@@ -20,7 +20,7 @@
 	clear(s.dispatcher.pendingSteps)
 	s.poolOf("")
 	for _, p := range s.pools {
-		p.refreshReadyWorkers(now, s.holdWait()+maxAnswerDelay)
+		p.refreshReadyWorkers(now, s.holdWait()+maxHoldAnswerDelay)
 		p.largeStepWaiting = false
 	}
 	for _, j := range sortedJobs {
--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -45,12 +45,12 @@
 func TestScheduler(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		faults   faults
+		faults   faultProbabilities
 		prepare  func(sm *simulation)
 	}{
-		{"no faults", faults{}, func(*simulation) {}},
-		{"answers are lost and orders are executed late", faults{lostAnswerProbability: 0.1, lateCallProbability: 0.05}, func(*simulation) {}},
-		{"the leader freezes and its successor takes over", faults{lateCallProbability: 0.03}, func(sm *simulation) {
+		{"no faults", faultProbabilities{}, func(*simulation) {}},
+		{"answers are lost and orders are executed late", faultProbabilities{lostAnswerProbability: 0.1, lateCallProbability: 0.05}, func(*simulation) {}},
+		{"the leader freezes and its successor takes over", faultProbabilities{lateCallProbability: 0.03}, func(sm *simulation) {
 			for i := range 3 {
 				sm.schedule(time.Duration(i+1)*2*time.Second, func() {
 					old := sm.leaders[len(sm.leaders)-1]
@@ -60,17 +60,17 @@
 				})
 			}
 		}},
-		{"workers are unreachable but keep running", faults{}, func(sm *simulation) {
+		{"workers are unreachable but keep running", faultProbabilities{}, func(sm *simulation) {
 			sm.schedule(2*time.Second, func() {
 				for _, life := range sm.sortedLives() {
 					if sm.withProbability(0.5) {
-						sm.unreachable[life] = true
+						sm.unreachableWorkers[life] = true
 					}
 				}
-				sm.schedule(sm.randomDuration(time.Second, 9*time.Second), func() { clear(sm.unreachable) })
+				sm.schedule(sm.randomDuration(time.Second, 9*time.Second), func() { clear(sm.unreachableWorkers) })
 			})
 		}},
-		{"workers restart under the same ID", faults{lostAnswerProbability: 0.05}, func(sm *simulation) {
+		{"workers restart under the same ID", faultProbabilities{lostAnswerProbability: 0.05}, func(sm *simulation) {
 			for i := range 3 {
 				sm.schedule(time.Duration(i+1)*time.Second, func() {
 					for _, life := range sm.sortedLives() {
@@ -81,13 +81,13 @@
 				})
 			}
 		}},
-		{"a zone is unreachable and a new leader takes over", faults{lostAnswerProbability: 0.02, lateCallProbability: 0.02}, func(sm *simulation) {
+		{"a zone is unreachable and a new leader takes over", faultProbabilities{lostAnswerProbability: 0.02, lateCallProbability: 0.02}, func(sm *simulation) {
 			sm.schedule(2*time.Second, func() {
 				for _, life := range sm.sortedLives() {
-					sm.unreachable[life] = sm.workers[life].Registration.Zone == "zone-1"
+					sm.unreachableWorkers[life] = sm.workers[life].Registration.Zone == "zone-1"
 				}
 				sm.schedule(500*time.Millisecond, func() { sm.electLeader() })
-				sm.schedule(sm.randomDuration(time.Second, 8*time.Second), func() { clear(sm.unreachable) })
+				sm.schedule(sm.randomDuration(time.Second, 8*time.Second), func() { clear(sm.unreachableWorkers) })
 			})
 		}},
 	}
@@ -101,8 +101,8 @@
 				sm.addJobs(12)
 				s.prepare(sm)
 				sm.runFor(20 * time.Second)
-				sm.faults = faults{}
-				clear(sm.unreachable)
+				sm.faultProbabilities = faultProbabilities{}
+				clear(sm.unreachableWorkers)
 				sm.runFor(40 * time.Second)
 				for _, p := range sm.violations {
 					rt.Errorf("%s", p)
@@ -120,7 +120,7 @@
 
 func TestCancelStopsWhatRuns(t *testing.T) {
 	is := is.New(t)
-	sm := newSimulation(1, faults{})
+	sm := newSimulation(1, faultProbabilities{})
 	sm.addWorkers(2, workerCapacity)
 	sm.electLeader()
 	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 4, Size: taskSize}}}, fleet.TaskProfile{RunTime: time.Minute})
@@ -137,7 +137,7 @@
 
 func TestJobFailsAfterItsAttempts(t *testing.T) {
 	is := is.New(t)
-	sm := newSimulation(1, faults{})
+	sm := newSimulation(1, faultProbabilities{})
 	sm.addWorkers(3, workerCapacity)
 	sm.electLeader()
 	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.TaskProfile{RunTime: 10 * time.Millisecond, Fails: true})
@@ -152,17 +152,17 @@
 // job.
 func TestFailureReportedLateCounts(t *testing.T) {
 	is := is.New(t)
-	sm := newSimulation(1, faults{})
+	sm := newSimulation(1, faultProbabilities{})
 	sm.addWorkers(3, workerCapacity)
 	sm.electLeader()
 	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.TaskProfile{RunTime: 600 * time.Millisecond, Fails: true})
 	sm.runFor(500 * time.Millisecond)
 	for _, life := range sm.sortedLives() {
-		sm.unreachable[life] = len(sm.workers[life].Running()) > 0
+		sm.unreachableWorkers[life] = len(sm.workers[life].Running()) > 0
 	}
 	sm.runFor(6600 * time.Millisecond) // The leader does not know of the failure and has started a second run.
 	is.Equal(sm.startCount, 2)
-	clear(sm.unreachable)
+	clear(sm.unreachableWorkers)
 	sm.runFor(20 * time.Second)
 	is.Equal(sm.startCount, 4)
 	state, _ := sm.leaders[0].scheduler.Status("job", false)
@@ -172,7 +172,7 @@
 // A lasting task must start again after its worker has restarted.
 func TestLastingTaskReturns(t *testing.T) {
 	is := is.New(t)
-	sm := newSimulation(1, faults{})
+	sm := newSimulation(1, faultProbabilities{})
 	sm.addWorkers(2, workerCapacity)
 	sm.electLeader()
 	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 2, Size: taskSize, Lasting: true}}}, fleet.TaskProfile{})
@@ -187,7 +187,7 @@
 
 func TestDrainingWorkerGetsNothing(t *testing.T) {
 	is := is.New(t)
-	sm := newSimulation(1, faults{})
+	sm := newSimulation(1, faultProbabilities{})
 	sm.addWorkers(1, workerCapacity)
 	sm.electLeader()
 	for life, v := range sm.workers {
@@ -202,7 +202,7 @@
 
 func TestUnknownJob(t *testing.T) {
 	is := is.New(t)
-	sm := newSimulation(1, faults{})
+	sm := newSimulation(1, faultProbabilities{})
 	l := sm.electLeader()
 	_, known := l.scheduler.Status("nobody", false)
 	is.True(!known)
@@ -224,14 +224,14 @@
 // over meanwhile.
 func testCopiedTaskKeepsItsRoom(t *testing.T, runTime time.Duration, nextLeader bool) {
 	is := is.New(t)
-	sm := newSimulation(1, faults{})
+	sm := newSimulation(1, faultProbabilities{})
 	sm.addWorkers(3, workerCapacity)
 	leader := sm.electLeader()
 	sm.submit(&work.Job{ID: "first", Queue: "urgent", Steps: []work.Step{{Count: 6, Size: taskSize, Speculative: true}}}, fleet.TaskProfile{RunTime: runTime})
 	sm.runFor(500 * time.Millisecond)
 	is.Equal(sm.startCount, 6)
 	lives := sm.sortedLives()
-	sm.unreachable[lives[0]] = true
+	sm.unreachableWorkers[lives[0]] = true
 	sm.runFor(2500 * time.Millisecond)
 	is.Equal(sm.startCount, 9) // The three tasks on the unreachable worker were started again.
 	if nextLeader {
@@ -239,7 +239,7 @@
 	}
 	sm.submit(&work.Job{ID: "second", Queue: "urgent", Steps: []work.Step{{Count: 3, Size: taskSize}}}, fleet.TaskProfile{RunTime: 5 * time.Second})
 	sm.runFor(500 * time.Millisecond)
-	clear(sm.unreachable)
+	clear(sm.unreachableWorkers)
 	sm.runFor(30 * time.Second)
 	is.Equal(sm.violations, nil)
 	for _, id := range []string{"first", "second"} {
@@ -264,7 +264,7 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			is := is.New(t)
-			sm := newSimulation(1, faults{})
+			sm := newSimulation(1, faultProbabilities{})
 			sm.addWorkers(2, workerCapacity)
 			sm.electLeader()
 			sm.submit(&work.Job{ID: "first", Queue: "urgent", Steps: []work.Step{s.step}}, fleet.TaskProfile{RunTime: time.Hour})
@@ -279,12 +279,12 @@
 
 func TestTasksOfADeadWorkerRunElsewhere(t *testing.T) {
 	is := is.New(t)
-	sm := newSimulation(1, faults{})
+	sm := newSimulation(1, faultProbabilities{})
 	sm.addWorkers(2, workerCapacity)
 	sm.electLeader()
 	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 6, Size: taskSize}}}, fleet.TaskProfile{RunTime: time.Second})
 	sm.runFor(500 * time.Millisecond)
-	sm.unreachable[sm.sortedLives()[0]] = true // The worker stays registered but never answers again.
+	sm.unreachableWorkers[sm.sortedLives()[0]] = true // The worker stays registered but never answers again.
 	sm.runFor(10 * time.Second)
 	state, _ := sm.leaders[0].scheduler.Status("job", false)
 	is.Equal(state, work.Completed)
@@ -293,7 +293,7 @@
 
 func TestCheckpointedTaskLeavesADrainingWorker(t *testing.T) {
 	is := is.New(t)
-	sm := newSimulation(1, faults{})
+	sm := newSimulation(1, faultProbabilities{})
 	sm.addWorkers(1, workerCapacity)
 	sm.electLeader()
 	sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize, Checkpoints: true}}}, fleet.TaskProfile{RunTime: time.Hour})
@@ -308,7 +308,7 @@
 
 func TestOccurrencesStartWhenDue(t *testing.T) {
 	is := is.New(t)
-	sm := newSimulation(1, faults{})
+	sm := newSimulation(1, faultProbabilities{})
 	sm.addWorkers(2, workerCapacity)
 	sm.electLeader()
 	j := &work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}
@@ -331,7 +331,7 @@
 
 func TestGangStartsAndFailsAsOne(t *testing.T) {
 	is := is.New(t)
-	sm := newSimulation(1, faults{})
+	sm := newSimulation(1, faultProbabilities{})
 	sm.addWorkers(3, workerCapacity)
 	sm.electLeader()
 	whole := resource.Vector{Milliprocessors: 8000}
@@ -352,7 +352,7 @@
 // A gang must start only when there are places for all its members.
 func TestGangWaitsForAllItsPlaces(t *testing.T) {
 	is := is.New(t)
-	sm := newSimulation(1, faults{})
+	sm := newSimulation(1, faultProbabilities{})
 	sm.addWorkers(2, workerCapacity)
 	sm.electLeader()
 	sm.submit(&work.Job{ID: "small", Queue: "urgent", Steps: []work.Step{{Count: 1, Size: taskSize}}}, fleet.TaskProfile{RunTime: 2 * time.Second})
@@ -371,7 +371,7 @@
 	for _, after := range []time.Duration{0, 20 * time.Millisecond, 40 * time.Millisecond, 60 * time.Millisecond, 80 * time.Millisecond, 100 * time.Millisecond, 120 * time.Millisecond, 140 * time.Millisecond, 200 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
 			is := is.New(t)
-			sm := newSimulation(1, faults{})
+			sm := newSimulation(1, faultProbabilities{})
 			sm.addWorkers(2, workerCapacity)
 			sm.electLeader()
 			sm.submit(&work.Job{ID: "job", Queue: "urgent", Steps: []work.Step{
@@ -382,9 +382,9 @@
 			if len(sm.workers[first].Running()) == 0 {
 				first = sm.sortedLives()[1]
 			}
-			sm.unreachable[first] = true
+			sm.unreachableWorkers[first] = true
 			sm.runFor(1790*time.Millisecond + after) // The task is started a second time at about this moment.
-			clear(sm.unreachable)
+			clear(sm.unreachableWorkers)
 			sm.runFor(300 * time.Millisecond)
 			sm.electLeader()
 			sm.runFor(15 * time.Second)
@@ -400,7 +400,7 @@
 // so the scheduler must ask about more workers.
 func TestFurtherWorkersAreAskedAbout(t *testing.T) {
 	is := is.New(t)
-	sm := newSimulation(1, faults{})
+	sm := newSimulation(1, faultProbabilities{})
 	sm.addWorkers(60, workerCapacity)
 	sm.electLeader()
 	sm.submit(&work.Job{ID: "job", Queue: "advised", Steps: []work.Step{{Count: 20, Size: taskSize, MostPerWorker: 1, Lasting: true}}}, fleet.TaskProfile{})
@@ -434,7 +434,7 @@
 // tasks may backfill the worker until then; long tasks must not delay the large one.
 func TestShortTasksFillTheRoomBeforeAReservation(t *testing.T) {
 	is := is.New(t)
-	sm := newSimulation(1, faults{})
+	sm := newSimulation(1, faultProbabilities{})
 	sm.addWorkers(1, workerCapacity)
 	sm.electLeader()
 	half := resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 1000}
@@ -481,7 +481,7 @@
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
 	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, HoldWait: time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
-	s.SetTable(newSimulation(1, faults{}).table)
+	s.SetTable(newSimulation(1, faultProbabilities{}).table)
 	r := backend.Registration{Life: backend.Life{ID: "worker", Born: 1}, Service: "desk", Capacity: workerCapacity}
 	s.SetWorkers([]backend.Registration{r}, now)
 	hold := func(runs ...backend.Run) {
@@ -517,7 +517,7 @@
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
 	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
-	s.SetTable(newSimulation(1, faults{}).table)
+	s.SetTable(newSimulation(1, faultProbabilities{}).table)
 	j := &work.Job{ID: "job", Queue: "urgent", Accepted: now, Steps: []work.Step{{Count: 1, Size: taskSize}}}
 	dropped := func() []string {
 		now = now.Add(4 * time.Second)
--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -46,9 +46,9 @@
 	return v
 }
 
-// faults holds the probabilities of the faults that are simulated in each call to a
-// worker.
-type faults struct {
+// faultProbabilities holds the probabilities of the faults that are simulated in each
+// call to a worker.
+type faultProbabilities struct {
 	// lostAnswerProbability is the probability that the answer of the worker is lost.
 	// lateCallProbability is the probability that the worker executes the call
 	// seconds too late.
@@ -59,16 +59,16 @@
 // starts, it checks that the task does not run elsewhere and has not completed, that
 // the worker has enough capacity, and that the run was stored before.
 type simulation struct {
-	now               time.Time
-	events            eventHeap
-	lastEventSequence int
-	randomSource      *rand.Rand
-	faults            faults
-	table             *queue.Table
-	workers           map[backend.Life]*fleet.Worker
-	// unreachable contains the workers that no call can reach.
-	unreachable map[backend.Life]bool
-	jobs        []*work.Job
+	now                time.Time
+	events             eventHeap
+	lastEventSequence  int
+	randomSource       *rand.Rand
+	faultProbabilities faultProbabilities
+	table              *queue.Table
+	workers            map[backend.Life]*fleet.Worker
+	// unreachableWorkers contains the workers that no call can reach.
+	unreachableWorkers map[backend.Life]bool
+	jobs               []*work.Job
 	// storedProgress maps the ID of a job to its stored progress record.
 	storedProgress map[string]*work.Progress
 	cancelledJobs  map[string]bool
@@ -92,15 +92,15 @@
 // minEventDelay is the shortest time after which a scheduled event runs.
 const minEventDelay = time.Millisecond
 
-func newSimulation(seed uint64, f faults) *simulation {
+func newSimulation(seed uint64, f faultProbabilities) *simulation {
 	return &simulation{
-		now: time.Unix(1_700_000_000, 0), randomSource: rand.New(rand.NewPCG(seed, 1)), faults: f,
+		now: time.Unix(1_700_000_000, 0), randomSource: rand.New(rand.NewPCG(seed, 1)), faultProbabilities: f,
 		table: &queue.Table{Version: 1, Queues: []queue.Queue{
 			{Name: "urgent", Service: "desk", Priority: 0, MaxAttempts: 4, Stretch: 1.5, Objective: 250 * time.Millisecond},
 			{Name: "batch", Service: "desk", Priority: 3, MaxAttempts: 4, Stretch: 4, Objective: 3 * time.Second},
 			{Name: "advised", Service: "desk", Priority: 2, Stretch: 4, Objective: 3 * time.Second, Advice: &queue.AdviceCost{Fixed: 50 * time.Millisecond, PerWorker: time.Millisecond, Validity: 2 * time.Second}},
 		}},
-		workers: map[backend.Life]*fleet.Worker{}, unreachable: map[backend.Life]bool{}, storedProgress: map[string]*work.Progress{},
+		workers: map[backend.Life]*fleet.Worker{}, unreachableWorkers: map[backend.Life]bool{}, storedProgress: map[string]*work.Progress{},
 		cancelledJobs: map[string]bool{}, taskProfiles: map[work.TaskID]fleet.TaskProfile{}, completedTasks: map[work.TaskID]bool{}, lastExpiredLeaseEnd: map[backend.Life]int64{}, log: logr.Discard(),
 		adviceVMs: []string{"vm-1", "vm-2"},
 	}
@@ -346,7 +346,7 @@
 func (sm *simulation) callWorker(life backend.Life, call func(v *fleet.Worker) (answer func()), onLost func()) {
 	execute := func(answered bool) {
 		v := sm.workers[life]
-		if v == nil || sm.unreachable[life] {
+		if v == nil || sm.unreachableWorkers[life] {
 			if answered {
 				sm.schedule(500*minEventDelay, onLost)
 			}
@@ -358,10 +358,10 @@
 		}
 	}
 	switch {
-	case sm.withProbability(sm.faults.lateCallProbability):
+	case sm.withProbability(sm.faultProbabilities.lateCallProbability):
 		sm.schedule(sm.randomDuration(2*time.Second, 12*time.Second), func() { execute(false) })
 		sm.schedule(500*minEventDelay, onLost)
-	case sm.withProbability(sm.faults.lostAnswerProbability):
+	case sm.withProbability(sm.faultProbabilities.lostAnswerProbability):
 		sm.schedule(sm.randomDuration(minEventDelay, 8*minEventDelay), func() { execute(false) })
 		sm.schedule(500*minEventDelay, onLost)
 	default:
@@ -429,7 +429,7 @@
 			}
 		}
 		l.updateScheduler(func(at time.Time) {
-			l.scheduler.AdviceAnswered(a.Number, answer, sm.withProbability(sm.faults.lostAnswerProbability), at)
+			l.scheduler.AdviceAnswered(a.Number, answer, sm.withProbability(sm.faultProbabilities.lostAnswerProbability), at)
 		})
 	})
 }
