--- a/internal/cell/scheduler/advice.go
+++ b/internal/cell/scheduler/advice.go
@@ -158,7 +158,7 @@
 	step    *step
 	vm      string
 	workers []*worker
-	// expectedTime is how long the adviser needs for the request.
+	// expectedTime is how long the adviser is expected to take for the request.
 	expectedTime time.Duration
 	sentAt       time.Time
 	expiresAt    time.Time
--- a/internal/cell/scheduler/dispatch.go
+++ b/internal/cell/scheduler/dispatch.go
@@ -55,8 +55,8 @@
 	maxRequestsPerService, maxSlowRequests int
 }
 
-// newRequestLimits returns the limits. The requests that are unanswered now are
-// already counted.
+// newRequestLimits returns the limits for the current number of VMs, with all
+// unanswered requests counted.
 func (s *Scheduler) newRequestLimits() *requestLimits {
 	vms := float64(len(s.dispatcher.vms))
 	l := &requestLimits{requestsInFlightByService: map[string]int{}, maxRequestsPerService: max(int(maxVMSharePerService*vms), 1), maxSlowRequests: max(int(maxVMShareForSlowRequests*vms), 1)}
@@ -137,9 +137,10 @@
 	return nil
 }
 
-// needsMorePlaces reports whether a step needs tickets for more workers than it has
-// and has requested. A place is free capacity for one task; places is the number of
-// places on the workers with tickets.
+// needsMorePlaces reports whether a step should ask about further workers, because
+// its tickets and unanswered requests are not expected to bring enough places. A
+// place is free capacity for one task; the parameter places is the number of places
+// on the workers with tickets.
 //
 // A wide gang has several requests in flight at the same time. If they were sent one
 // after the other, the tickets from the first would have expired by the time the last
@@ -196,7 +197,7 @@
 	return int(places)
 }
 
-// mostLikelyFree returns the workers to ask about again, at most
+// mostLikelyFree selects the workers of list to ask about again, at most
 // maxWorkersPerRequest. Workers in the rack that holds the input data come first,
 // then those with the smallest used fraction.
 func mostLikelyFree(list []*worker, st *step) []*worker {
--- a/internal/cell/scheduler/hold.go
+++ b/internal/cell/scheduler/hold.go
@@ -39,7 +39,7 @@
 }
 
 // HoldSent identifies a hold that was sent. With it, the scheduler determines which
-// runs were confirmed after the hold was sent and may be missing in its report.
+// runs were confirmed only after the hold was sent, so that its report may lack them.
 type HoldSent struct {
 	eventSequence int64
 	token         int64
--- a/internal/cell/scheduler/lease.go
+++ b/internal/cell/scheduler/lease.go
@@ -176,7 +176,8 @@
 			s.requeueLapsedRuns(w, now)
 		}
 		if w.confirmedToken != 0 && now.Sub(w.lastAnswerAt) > s.timing.Lease {
-			// When the worker answers again, it may still run tasks that were requeued.
+			// The worker may still run tasks that were requeued. It gets no new tasks
+			// until it has answered a hold again.
 			w.confirmedToken = 0
 		}
 		s.removeIfIdle(w, now)
--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -109,7 +109,7 @@
 	table     *queue.Table
 
 	jobs map[string]*job
-	// activeJobs maps the ID of each job that has not ended to the job.
+	// activeJobs holds the jobs that have not ended, by ID.
 	activeJobs map[string]*job
 	// earlyCancellations contains the jobs whose cancellation was read from the store
 	// before their submission. It maps the ID of the job to the time at which the
--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -301,7 +301,7 @@
 	v := sm.workers[sm.sortedLives()[0]]
 	v.Registration.Draining, v.Registration.Remaining = true, 3*time.Second
 	sm.runFor(1500 * time.Millisecond)
-	is.Equal(len(v.Running()), 1) // The task still runs, because the worker exits only later.
+	is.Equal(len(v.Running()), 1) // The task still runs, because the worker does not exit soon.
 	sm.runFor(1500 * time.Millisecond)
 	is.Equal(len(v.Running()), 0)
 }
--- a/internal/cell/scheduler/timeliness.go
+++ b/internal/cell/scheduler/timeliness.go
@@ -31,9 +31,9 @@
 // takes twice as long as estimated.
 const minAmpleSlackShare = 0.5
 
-// maxJobsPerPass is the number of jobs from which a scheduling pass takes no further
-// jobs that are too late to be useful.
-const maxJobsPerPass = 500
+// tooLateJobsCutoff is a number of jobs. Once a scheduling pass contains that many,
+// it takes no further jobs whose results would come too late to be useful.
+const tooLateJobsCutoff = 500
 
 // rankedJob is a job that takes part in a scheduling pass, with the keys by which it
 // is sorted.
@@ -72,7 +72,7 @@
 	})
 	order := make([]*job, 0, len(ranks))
 	for i := range ranks {
-		if ranks[i].timeliness == timelinessTooLate && len(order) >= maxJobsPerPass {
+		if ranks[i].timeliness == timelinessTooLate && len(order) >= tooLateJobsCutoff {
 			break // No caller waits for these jobs any more, and the other jobs come first.
 		}
 		order = append(order, ranks[i].job)
--- a/internal/cell/work/job.go
+++ b/internal/cell/work/job.go
@@ -14,7 +14,7 @@
 // Kind classifies the errors of this package.
 type Kind string
 
-// The kinds of Error.
+// The kinds of errors that this package returns.
 const (
 	// KindInvalid means that a job has a field with an invalid value.
 	KindInvalid Kind = "invalid"
--- a/internal/cell/work/progress.go
+++ b/internal/cell/work/progress.go
@@ -15,8 +15,8 @@
 	// Ended is when the job ended, in Unix milliseconds; 0 means that it has
 	// not ended.
 	Ended int64 `json:"ended,omitempty"`
-	// Steps holds the steps of all occurrences of which any task was placed on a
-	// worker.
+	// Steps holds each step, in every occurrence, of which at least one task was
+	// placed on a worker.
 	Steps []StepProgress `json:"steps,omitempty"`
 }
 
