--- a/internal/node/entryvm/commits.go
+++ b/internal/node/entryvm/commits.go
@@ -10,22 +10,22 @@
 	"github.com/almondpost/almondpost/internal/peer/store"
 )
 
-// runEndsStored reports whether the ends of all runs that a worker has reported are
-// stored. The channel is closed by the next commit.
-func (l *leader) runEndsStored(life backend.Life) (bool, chan struct{}) {
+// reportedEndsStored reports whether all run ends that a worker process has reported
+// are stored. The returned channel is closed after the next commit.
+func (l *leader) reportedEndsStored(life backend.Life) (bool, chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.scheduler.EndsStored(life), l.committed
+	return l.scheduler.EndsStored(life), l.commitDone
 }
 
 // renewClaim makes the commit loop renew the claim at once. It is called when a worker
 // has seen a higher fencing token, which suggests that another VM leads.
-func (l *leader) renewClaim() { signal(l.renewSignal) }
+func (l *leader) renewClaim() { signal(l.renewClaimSignal) }
 
-// commitLoop stores the progress of jobs with one append at a time and renews the
-// claim. It returns when the claim is lost or the leader is stopped.
+// commitLoop stores the progress of jobs, one append at a time, and renews the claim.
+// It returns when the claim is lost or the leader is stopped.
 func (l *leader) commitLoop() {
-	renewal := time.NewTimer(renewInterval)
+	renewal := time.NewTimer(claimRenewInterval)
 	for {
 		renew := false
 		select {
@@ -34,10 +34,10 @@
 		case <-l.commitSignal:
 		case <-renewal.C:
 			renew = true
-		case <-l.renewSignal:
+		case <-l.renewClaimSignal:
 			renew = true
 		}
-		renewal.Reset(renewInterval)
+		renewal.Reset(claimRenewInterval)
 		l.mutex.Lock()
 		commit := l.scheduler.NextCommit(now())
 		l.mutex.Unlock()
@@ -50,7 +50,7 @@
 			records = commit.Records
 		}
 		if len(records) == 0 && renew {
-			records = l.renewalRecords()
+			records = l.claimRenewalRecords()
 		}
 		if len(records) > 0 {
 			if err := l.appendProgress(records); err != nil {
@@ -58,32 +58,33 @@
 				return
 			}
 		}
-		l.update(func(s *scheduler.Scheduler, at time.Time) {
+		l.updateScheduler(func(s *scheduler.Scheduler, at time.Time) {
 			if commit != nil {
 				s.Committed(commit, at)
 			} else {
 				s.AppendConfirmed(begun)
 			}
-			close(l.committed)
-			l.committed = make(chan struct{})
+			close(l.commitDone)
+			l.commitDone = make(chan struct{})
 		})
 		sleep(l.ctx, commitPause)
 	}
 }
 
-// renewalRecords returns a record without any progress. Storing it proves that this
-// leader still holds the claim.
-func (l *leader) renewalRecords() []store.Record {
-	return []store.Record{{Key: renewalKey, Value: work.Encode(&work.Progress{})}}
+// claimRenewalRecords returns a single record that contains no progress. Storing it
+// proves that this leader still holds the claim.
+func (l *leader) claimRenewalRecords() []store.Record {
+	return []store.Record{{Key: claimRenewalKey, Value: work.Encode(&work.Progress{})}}
 }
 
-// appendProgress appends progress records as the producer of this epoch. It retries an
-// append without an answer unchanged, since the store recognizes the sequence number
-// and repeats its first answer. It returns an error only if the claim is lost or the
-// leader is stopped.
+// appendProgress appends progress records as the producer of this epoch. It repeats an
+// append that the store refuses or does not answer. The repeated append has the same
+// sequence number, so that the store recognizes one that it has already carried out and
+// repeats its answer. It returns an error only if the claim is lost or the leader is
+// stopped.
 func (l *leader) appendProgress(records []store.Record) error {
-	a := store.Append{Topic: store.Progress, Records: records, Producer: &store.Producer{Name: producerName, Epoch: l.epoch, Sequence: l.nextSequence}}
-	l.nextSequence++
+	a := store.Append{Topic: store.Progress, Records: records, Producer: &store.Producer{Name: producerName, Epoch: l.epoch, Sequence: l.nextProducerSequence}}
+	l.nextProducerSequence++
 	for {
 		callCtx, cancel := context.WithTimeout(l.ctx, maxAppendTimeout+maxRelayAttempts*relayTimeout)
 		_, err := l.node.store.Append(callCtx, a)
@@ -107,15 +108,15 @@
 // appendRetryPause is the pause before an append is retried.
 const appendRetryPause = 50 * time.Millisecond
 
-// deleteSubmissions deletes the records of ended jobs from the partitions of jobs, so
-// that the next take-over has less to read. The final states remain in the progress
-// records.
+// deleteSubmissions deletes the submissions and cancellations of ended jobs from the
+// job partitions, so that the next take-over has less to read. The final states remain
+// in the progress records.
 func (l *leader) deleteSubmissions(ids []string) {
 	for part, records := range l.submissionTombstones(ids) {
 		if len(records) == 0 {
 			continue
 		}
-		callCtx, cancel := context.WithTimeout(l.ctx, storeTimeout)
+		callCtx, cancel := context.WithTimeout(l.ctx, storeCallTimeout)
 		_, err := l.node.store.Append(callCtx, store.Append{Topic: store.Jobs, Part: part, Records: records})
 		cancel()
 		if err != nil {
@@ -124,9 +125,9 @@
 	}
 }
 
-// submissionTombstones returns for each partition the records that delete the
-// submissions and cancellations of jobs there. A job that was not read from a
-// partition yet is deleted in all of them.
+// submissionTombstones returns, for each job partition, the records that delete the
+// submissions and cancellations of the given jobs. If it is not known which partitions
+// contain a job, the job is deleted in all of them.
 func (l *leader) submissionTombstones(ids []string) [][]store.Record {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/node/entryvm/configuration.go
+++ b/internal/node/entryvm/configuration.go
@@ -12,11 +12,12 @@
 // configurationKey is the key of the configuration record.
 const configurationKey = "config"
 
-// configurationWatcher follows the configuration in the store. It never replaces a
-// version by an older one.
+// configurationWatcher keeps the newest configuration that was published in the store.
+// It never replaces a version by an older one.
 type configurationWatcher struct {
 	node  *Node
 	mutex sync.Mutex
+	// table is the newest known configuration, or nil before the first one.
 	table *queue.Table
 }
 
@@ -37,20 +38,20 @@
 	return 0
 }
 
-// run follows the configuration in the store until ctx is done.
+// run applies each configuration that is stored, until ctx is done.
 func (c *configurationWatcher) run(ctx context.Context) {
 	followTopic(ctx, c.node, store.Configuration, c.pollWait, func(records []store.Record) {
 		for i := range records {
 			if records[i].Key == configurationKey && len(records[i].Value) > 0 {
-				c.accept(records[i].Value, "store")
+				c.applyIfNewer(records[i].Value, "store")
 			}
 		}
 	})
 }
 
-// accept decodes a configuration and makes it the current one if its version is
-// higher.
-func (c *configurationWatcher) accept(text []byte, source string) {
+// applyIfNewer decodes a configuration and makes it the current one if its version is
+// higher. source tells where it came from, for the log.
+func (c *configurationWatcher) applyIfNewer(text []byte, source string) {
 	table, err := c.node.dependencies.DecodeTable(text)
 	if err != nil {
 		c.node.log.Error(err, "configuration_unreadable", "source", source)
@@ -73,13 +74,14 @@
 	}
 }
 
-// leaderLongPollWait replaces longPollWait on the leader. When connections to the
-// store stop delivering messages, the other VMs get a new configuration from the
-// leader, so a read that hangs must not delay the leader for long.
+// leaderLongPollWait is used instead of longPollWait on the leader. A read hangs when
+// its connection to the store stops delivering messages. The other VMs then depend on
+// the leader for a new configuration, so the leader's read must time out soon and be
+// repeated.
 const leaderLongPollWait = 1500 * time.Millisecond
 
-// pollWait returns how long the store may delay the answer to a read of the
-// configuration.
+// pollWait returns how long the store may wait for a new configuration before it
+// answers a read.
 func (c *configurationWatcher) pollWait() time.Duration {
 	if c.node.activeLeader() != nil {
 		return leaderLongPollWait
--- a/internal/node/entryvm/election.go
+++ b/internal/node/entryvm/election.go
@@ -21,19 +21,20 @@
 	// leaderTimeout is how long the leader must be silent before another VM claims
 	// leadership: three heartbeat intervals and some delay.
 	leaderTimeout = 900 * time.Millisecond
-	// rankDelay is added to leaderTimeout for each VM that should claim first, so that
-	// two VMs rarely claim at the same time.
-	rankDelay = 200 * time.Millisecond
-	// maxRank is the highest rank. It limits how long a VM waits for others to claim
-	// first.
-	maxRank = 8
-	// maxFirstClaimDelay is how long the least fit VM waits before the first claim of a
-	// cell, so that fitter VMs claim first.
+	// delayPerRank is added to leaderTimeout once for each VM that should claim before
+	// this one, so that two VMs rarely claim at the same time.
+	delayPerRank = 200 * time.Millisecond
+	// maxClaimRank limits the rank that claimRank returns, and thereby how long a VM
+	// waits for others to claim first.
+	maxClaimRank = 8
+	// maxFirstClaimDelay is how long a VM of fitness 0 waits before it claims
+	// leadership if there has never been a leader. Fitter VMs wait less, so that they
+	// claim first.
 	maxFirstClaimDelay = 500 * time.Millisecond
-	// minStoreUptime is how long a VM that was cut off must have reached the store again
-	// before it claims leadership. If there is a leader, the VM hears it within two
-	// heartbeat intervals.
-	minStoreUptime = 2*heartbeatInterval + 100*time.Millisecond
+	// minStoreReachableTime is how long a VM that was cut off from the network must
+	// have reached the store again before it claims leadership. If there is a leader,
+	// its heartbeat arrives within two heartbeat intervals.
+	minStoreReachableTime = 2*heartbeatInterval + 100*time.Millisecond
 	// electionPollInterval is the pause between two checks for a silent leader.
 	electionPollInterval = 100 * time.Millisecond
 	// peerCallTimeout limits a call to another VM during an election or a hand-over.
@@ -42,15 +43,16 @@
 	claimKey = "leader"
 )
 
-// claim is the stored record by which a VM becomes leader. It supersedes claims with a
+// claim is the record that a VM stores to become leader. It supersedes claims with a
 // lower epoch.
 type claim struct {
-	Epoch   int64          `json:"epoch"`
+	Epoch int64 `json:"epoch"`
+	// Name and Address belong to the claiming VM.
 	Name    string         `json:"name"`
 	Address netip.AddrPort `json:"address"`
 	// Process is the start time of the claiming process in Unix nanoseconds. It
-	// distinguishes the VM from its earlier processes. It is 0 if the claim is known from
-	// a heartbeat only.
+	// distinguishes the process from earlier ones on the same VM. It is 0 if the claim
+	// is known only from a heartbeat.
 	Process int64 `json:"process"`
 }
 
@@ -60,20 +62,21 @@
 	// process is the start time of this process in Unix nanoseconds.
 	process int64
 	mutex   sync.Mutex
-	// claim is the known claim with the highest epoch.
-	claim claim
-	// claimsEnd is the end offset of the topic of claims, or -1 until it is known.
-	claimsEnd int64
+	// highestClaim is the known claim with the highest epoch.
+	highestClaim claim
+	// claimsEndOffset is the end offset of the topic store.Claims, or -1 until it is
+	// known.
+	claimsEndOffset int64
 	// lastHeartbeat is when the last heartbeat of the leader arrived.
 	lastHeartbeat time.Time
-	// timerStart is when the wait for the leader's next heartbeat began.
-	timerStart time.Time
+	// leaderWaitStart is the time from which the silence of the leader is counted.
+	leaderWaitStart time.Time
 	// takeOverRequests receives a value when another VM asks this one to lead.
 	takeOverRequests chan struct{}
 }
 
 func newElection(n *Node) *election {
-	return &election{node: n, process: now().UnixNano(), claimsEnd: -1, timerStart: now(), takeOverRequests: make(chan struct{}, 1)}
+	return &election{node: n, process: now().UnixNano(), claimsEndOffset: -1, leaderWaitStart: now(), takeOverRequests: make(chan struct{}, 1)}
 }
 
 // run follows the claims in the store and claims leadership when another VM asks for
@@ -83,7 +86,7 @@
 	for sleep(ctx, electionPollInterval) {
 		select {
 		case <-e.takeOverRequests:
-			if !e.node.isLeaving() {
+			if !e.node.isStopping() {
 				e.claimLeadership(ctx, e.epoch(), "invited")
 			}
 			continue
@@ -95,22 +98,23 @@
 	}
 }
 
-// applyClaims records claims that were stored. A claim with a higher epoch than the
-// known one stops a leader on this VM.
+// applyClaims processes claims that were read from the store. A claim with a higher
+// epoch than the highest known one replaces it and stops the leader on this VM, if
+// there is one.
 func (e *election) applyClaims(records []store.Record) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.claimsEnd = max(e.claimsEnd, 0)
+	e.claimsEndOffset = max(e.claimsEndOffset, 0)
 	for i := range records {
 		r := &records[i]
-		e.claimsEnd = max(e.claimsEnd, r.Offset+1)
+		e.claimsEndOffset = max(e.claimsEndOffset, r.Offset+1)
 		var c claim
 		if err := json.Unmarshal(r.Value, &c); err != nil {
 			e.node.log.Info("claim_unreadable", "key", r.Key)
 			continue
 		}
-		if c.Epoch > e.claim.Epoch {
-			e.claim, e.timerStart = c, now()
+		if c.Epoch > e.highestClaim.Epoch {
+			e.highestClaim, e.leaderWaitStart = c, now()
 			e.node.log.Info("leader_learned", "leader", c.Name, "epoch", c.Epoch)
 			e.node.stepDownIfSuperseded(c.Epoch)
 		}
@@ -122,9 +126,9 @@
 func (e *election) recordHeartbeat(a HeartbeatArgs) int64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if a.Epoch >= e.claim.Epoch {
-		if a.Epoch > e.claim.Epoch {
-			e.claim = claim{Epoch: a.Epoch, Name: a.Leader, Address: a.Address}
+	if a.Epoch >= e.highestClaim.Epoch {
+		if a.Epoch > e.highestClaim.Epoch {
+			e.highestClaim = claim{Epoch: a.Epoch, Name: a.Leader, Address: a.Address}
 			e.node.log.Info("leader_heard", "leader", a.Leader, "epoch", a.Epoch)
 			e.node.stepDownIfSuperseded(a.Epoch)
 		}
@@ -132,16 +136,17 @@
 			e.node.isolation.recordContact()
 		}
 		e.lastHeartbeat = now()
-		e.timerStart = e.lastHeartbeat
+		e.leaderWaitStart = e.lastHeartbeat
 	}
-	return e.claim.Epoch
+	return e.highestClaim.Epoch
 }
 
-// lastHeard returns the highest known epoch and the time since the last heartbeat.
-func (e *election) lastHeard() HeardReply {
+// heartbeatStatus returns the highest known epoch and the time since the last
+// heartbeat.
+func (e *election) heartbeatStatus() LastHeartbeatReply {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return HeardReply{Epoch: e.claim.Epoch, Ago: now().Sub(e.lastHeartbeat)}
+	return LastHeartbeatReply{Epoch: e.highestClaim.Epoch, Ago: now().Sub(e.lastHeartbeat)}
 }
 
 // knownLeader returns the claim of the current leader, and false if no leader is
@@ -149,7 +154,7 @@
 func (e *election) knownLeader() (claim, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.claim, e.claim.Name != ""
+	return e.highestClaim, e.highestClaim.Name != ""
 }
 
 // requestTakeOver makes this VM claim leadership soon. It does not block.
@@ -160,10 +165,10 @@
 	}
 }
 
-// rank returns how many VMs should claim leadership before this one, at most maxRank.
-// Fitter VMs claim first; VMs of equal fitness are ordered by a hash that depends on
-// the epoch. The previous leader does not count, unless it is this VM.
-func (e *election) rank(epoch int64, leader string) int {
+// claimRank returns how many VMs should claim leadership before this one, but at most
+// maxClaimRank. Fitter VMs claim first; VMs of equal fitness are ordered by a hash that
+// depends on the epoch. The previous leader does not count, unless it is this VM.
+func (e *election) claimRank(epoch int64, leader string) int {
 	self, _ := e.node.members.find(e.node.settings.Name)
 	candidates := append(e.node.members.others(), self)
 	candidates = slices.DeleteFunc(candidates, func(m member) bool { return m.Name == leader && m.Name != self.Name })
@@ -172,26 +177,26 @@
 		return cmp.Or(cmp.Compare(b.Fitness, a.Fitness), cmp.Compare(order(a), order(b)))
 	})
 	position := slices.IndexFunc(candidates, func(m member) bool { return m.Name == self.Name })
-	return min(position, maxRank)
+	return min(position, maxClaimRank)
 }
 
 // shouldClaim reports whether this VM should claim leadership: it has heard no leader
 // for long enough, and no VM that it reaches has heard one lately.
 func (e *election) shouldClaim(ctx context.Context) bool {
 	e.mutex.Lock()
-	c, end, silence := e.claim, e.claimsEnd, now().Sub(e.timerStart)
+	c, end, silence := e.highestClaim, e.claimsEndOffset, now().Sub(e.leaderWaitStart)
 	e.mutex.Unlock()
-	if end < 0 || e.node.isLeaving() || e.node.activeLeader() != nil {
+	if end < 0 || e.node.isStopping() || e.node.activeLeader() != nil {
 		return false
 	}
 	if c.Name == e.node.settings.Name && c.Process != 0 && c.Process != e.process && !e.node.members.hasMuchFitterVM() {
-		return true // The claim is of an earlier process of this VM, which no longer runs.
+		return true // The claim belongs to an earlier process on this VM, which no longer runs.
 	}
 	own := candidacy{
-		epoch: c.Epoch, silence: silence, storeReachable: e.node.store.reachableFor(now()),
-		rank: e.rank(c.Epoch, c.Name), fitness: e.node.settings.Fitness, majoritySilent: e.majoritySilent(),
+		epoch: c.Epoch, leaderSilence: silence, storeReachableFor: e.node.store.reachableFor(now()),
+		rank: e.claimRank(c.Epoch, c.Name), fitness: e.node.settings.Fitness, majoritySilent: e.majoritySilent(),
 	}
-	if !own.isDue() {
+	if !own.mayClaim() {
 		return false
 	}
 	if c.Epoch > 0 && e.othersHearLeader(ctx, c) {
@@ -206,50 +211,50 @@
 type candidacy struct {
 	// epoch is the highest known epoch, or 0 before the first claim.
 	epoch int64
-	// silence is the time since the leader was last heard.
-	silence time.Duration
-	// storeReachable is how long the store has been directly reachable. It is negative
-	// while the store is not.
-	storeReachable time.Duration
-	// majoritySilent is true if most other VMs have left calls unanswered lately.
+	// leaderSilence is the time without a heartbeat from the leader.
+	leaderSilence time.Duration
+	// storeReachableFor is how long the store has been directly reachable. It is
+	// negative while the store is unreachable.
+	storeReachableFor time.Duration
+	// majoritySilent is true if most other VMs have recently not answered calls.
 	majoritySilent bool
-	// rank is the number of VMs that should claim first.
+	// rank is the number of VMs that should claim before this one.
 	rank    int
 	fitness float64
 }
 
-// isDue reports whether the VM should claim leadership now.
+// mayClaim reports whether the VM may claim leadership now.
 //
 // A VM that was cut off has heard no leader for seconds. If it claimed as soon as the
-// connection is back, before it hears the leader again, the needless take-over would
-// halt all starts. It therefore waits until the store has been reachable for
-// minStoreUptime.
-func (c candidacy) isDue() bool {
+// connection is back, before it hears the leader again, no task could be started during
+// the needless take-over. It therefore waits until the store has been reachable for
+// minStoreReachableTime.
+func (c candidacy) mayClaim() bool {
 	wait := leaderTimeout
 	switch {
 	case c.epoch == 0:
 		wait = time.Duration(float64(maxFirstClaimDelay) * (1 - min(c.fitness, 1)))
-	case c.storeReachable < 0, c.majoritySilent && c.storeReachable < minStoreUptime:
+	case c.storeReachableFor < 0, c.majoritySilent && c.storeReachableFor < minStoreReachableTime:
 		return false
 	}
-	return c.silence >= wait+time.Duration(c.rank)*rankDelay
+	return c.leaderSilence >= wait+time.Duration(c.rank)*delayPerRank
 }
 
-// majoritySilent reports whether most other VMs have left calls unanswered lately.
+// majoritySilent reports whether most other VMs have recently not answered calls.
 func (e *election) majoritySilent() bool {
 	others := e.node.members.others()
 	silent := 0
 	for _, m := range others {
-		if e.node.client.Silent(m.Address) {
+		if e.node.peerClient.Silent(m.Address) {
 			silent++
 		}
 	}
 	return 2*silent > len(others)
 }
 
-// othersHearLeader asks the VMs other than the leader whether they have heard it
-// within leaderTimeout, and reports whether one has. It does not wait for VMs that
-// left calls unanswered lately, unless they are at least half of all.
+// othersHearLeader asks the VMs other than the leader whether they have heard it within
+// leaderTimeout, and reports whether one has. It does not wait for VMs that have
+// recently not answered calls, unless these are at least half of the VMs asked.
 func (e *election) othersHearLeader(ctx context.Context, c claim) bool {
 	others := slices.DeleteFunc(e.node.members.others(), func(m member) bool { return m.Name == c.Name })
 	heard := make(chan bool, len(others))
@@ -257,11 +262,11 @@
 	callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	for _, m := range others {
-		if e.node.client.Silent(m.Address) {
+		if e.node.peerClient.Silent(m.Address) {
 			silent++
 		}
 		go func() {
-			r, err := link.Call[Nothing, HeardReply](callCtx, e.node.client, m.Address, "Heard", Nothing{})
+			r, err := link.Call[Nothing, LastHeartbeatReply](callCtx, e.node.peerClient, m.Address, "Heard", Nothing{})
 			heard <- err == nil && r.Epoch >= c.Epoch && r.Ago < leaderTimeout
 		}()
 	}
@@ -281,26 +286,26 @@
 func (e *election) epoch() int64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.claim.Epoch
+	return e.highestClaim.Epoch
 }
 
 // claimLeadership stores a claim with the next epoch and starts to lead if that
-// succeeds. It does nothing if this VM already leads, or if decidedEpoch is no longer
-// the highest known epoch.
-func (e *election) claimLeadership(ctx context.Context, decidedEpoch int64, reason string) {
+// succeeds. It does nothing if this VM already leads, or if an epoch higher than
+// epochAtDecision has become known since the decision to claim.
+func (e *election) claimLeadership(ctx context.Context, epochAtDecision int64, reason string) {
 	if e.node.activeLeader() != nil {
 		return
 	}
 	e.mutex.Lock()
-	if e.claim.Epoch != decidedEpoch {
+	if e.highestClaim.Epoch != epochAtDecision {
 		e.mutex.Unlock()
 		return
 	}
-	c := claim{Epoch: e.claim.Epoch + 1, Name: e.node.settings.Name, Address: e.node.settings.ListenAddress, Process: e.process}
-	end := e.claimsEnd
+	c := claim{Epoch: e.highestClaim.Epoch + 1, Name: e.node.settings.Name, Address: e.node.settings.ListenAddress, Process: e.process}
+	end := e.claimsEndOffset
 	e.mutex.Unlock()
 	value, _ := json.Marshal(c)
-	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	_, err := e.node.store.Append(callCtx, store.Append{
 		Topic: store.Claims, Records: []store.Record{{Key: claimKey, Value: value}}, Condition: store.Condition{Set: true, End: end},
@@ -317,10 +322,10 @@
 		}
 	}
 	e.mutex.Lock()
-	if c.Epoch >= e.claim.Epoch {
-		e.claim, e.claimsEnd = c, max(e.claimsEnd, end+1)
+	if c.Epoch >= e.highestClaim.Epoch {
+		e.highestClaim, e.claimsEndOffset = c, max(e.claimsEndOffset, end+1)
 	}
-	e.timerStart = now()
+	e.leaderWaitStart = now()
 	e.mutex.Unlock()
 	e.node.log.Info("claim_gained", "epoch", c.Epoch, "reason", reason)
 	l := newLeader(ctx, e.node, c.Epoch)
@@ -328,24 +333,25 @@
 	go l.run()
 }
 
-// postponeClaim restarts the wait for the leader, with half of leaderTimeout already
-// passed.
+// postponeClaim restarts the wait for the leader, but counts half of leaderTimeout as
+// already passed.
 func (e *election) postponeClaim() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.timerStart = now().Add(-leaderTimeout / 2)
+	e.leaderWaitStart = now().Add(-leaderTimeout / 2)
 }
 
 // handOver asks the other VMs, one after the other, to take over the leadership, until
-// one accepts. Fitter VMs come first, and among equals the one that started last: in a
-// rolling replacement it has already been replaced and does not stop again soon.
+// one accepts. Fitter VMs come first. Among VMs of equal fitness, the one that started
+// last comes first: in a rolling replacement it has already been replaced and does not
+// stop again soon.
 func (e *election) handOver(ctx context.Context, others []member) {
 	slices.SortStableFunc(others, func(a, b member) int {
 		return cmp.Or(cmp.Compare(b.Fitness, a.Fitness), cmp.Compare(b.Started, a.Started))
 	})
 	for _, m := range others {
 		callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
-		_, err := link.Call[Nothing, Nothing](callCtx, e.node.client, m.Address, "TakeOver", Nothing{})
+		_, err := link.Call[Nothing, Nothing](callCtx, e.node.peerClient, m.Address, "TakeOver", Nothing{})
 		cancel()
 		if err == nil {
 			e.node.log.Info("cell_handed_over", "vm", m.Name)
--- a/internal/node/entryvm/heartbeats.go
+++ b/internal/node/entryvm/heartbeats.go
@@ -12,21 +12,22 @@
 	"github.com/almondpost/almondpost/internal/peer/link"
 )
 
-// successors returns the VMs that should lead instead of this one, if any. Candidates
-// are the VMs that answer heartbeats and reach the store directly. All of them are
-// successors if this VM has not reached the store directly for yieldWithoutStoreAfter;
-// after yieldToFitterAfter, those that are much fitter are.
+// successors returns the VMs that should lead instead of this one, if any. It considers
+// only VMs that answer heartbeats and reach the store directly. If this VM has not
+// reached the store directly for handOverWithoutStoreDelay, it returns all of them.
+// Otherwise, once handOverToFitterDelay has passed, it returns those that are much
+// fitter than this VM.
 func (l *leader) successors(at time.Time) []member {
 	l.mutex.Lock()
 	names := l.reachableVMs(at)
-	reachesStore := maps.Clone(l.reachesStore)
+	vmReachesStore := maps.Clone(l.vmReachesStore)
 	l.mutex.Unlock()
-	others := slices.DeleteFunc(l.node.members.others(), func(m member) bool { return !slices.Contains(names, m.Name) || !reachesStore[m.Name] })
-	switch leadingFor := at.Sub(l.leadingSince); {
-	case l.node.store.reachableFor(at) < -yieldWithoutStoreAfter && leadingFor > yieldWithoutStoreAfter:
+	others := slices.DeleteFunc(l.node.members.others(), func(m member) bool { return !slices.Contains(names, m.Name) || !vmReachesStore[m.Name] })
+	switch sinceTimerStart := at.Sub(l.handOverTimerStart); {
+	case l.node.store.reachableFor(at) < -handOverWithoutStoreDelay && sinceTimerStart > handOverWithoutStoreDelay:
 		return others
-	case leadingFor > yieldToFitterAfter:
-		return slices.DeleteFunc(others, func(m member) bool { return m.Fitness <= fitterFactor*l.node.settings.Fitness })
+	case sinceTimerStart > handOverToFitterDelay:
+		return slices.DeleteFunc(others, func(m member) bool { return m.Fitness <= muchFitterRatio*l.node.settings.Fitness })
 	}
 	return nil
 }
@@ -35,7 +36,7 @@
 // heartbeat within leaderTimeout. The caller must hold the mutex.
 func (l *leader) reachableVMs(at time.Time) []string {
 	names := []string{l.node.settings.Name}
-	for name, answered := range l.lastAnswer {
+	for name, answered := range l.lastHeartbeatAnswer {
 		if at.Sub(answered) < leaderTimeout {
 			names = append(names, name)
 		}
@@ -47,9 +48,10 @@
 // leaderTimeout, so that no other VM can have become leader. The caller must hold the
 // mutex.
 //
-// With a quorum, the leader reports jobs as completed before that is stored, so that
-// an outage of the store does not make callers miss their deadlines. Without one it
-// may be cut off, and reports only stored states.
+// With a quorum, the leader reports a job as completed even before the completion is
+// stored, so that an outage of the store does not make callers miss their deadlines.
+// Without one, another VM may have become leader, and this one reports only stored
+// states.
 func (l *leader) hasQuorum(at time.Time) bool {
 	others := len(l.node.members.others())
 	return 2*(len(l.reachableVMs(at))-1) > others || others == 0
@@ -68,19 +70,19 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat to a VM and records the answer. It starts sending
-// the configuration if the VM needs it.
+// sendHeartbeat sends one heartbeat to a VM and records the answer. It also starts to
+// send the configuration if the VM has an older one and shouldSend allows it.
 func (l *leader) sendHeartbeat(m member) {
 	ctx, cancel := context.WithTimeout(l.ctx, leaderTimeout)
 	defer cancel()
 	args := HeartbeatArgs{Epoch: l.epoch, Leader: l.node.settings.Name, Address: l.node.settings.ListenAddress, Version: l.node.configuration.version()}
-	r, err := link.Call[HeartbeatArgs, HeartbeatReply](ctx, l.node.client, m.Address, "Heartbeat", args)
+	r, err := link.Call[HeartbeatArgs, HeartbeatReply](ctx, l.node.peerClient, m.Address, "Heartbeat", args)
 	if err != nil {
 		return
 	}
 	l.mutex.Lock()
-	l.lastAnswer[m.Name], l.reachesStore[m.Name] = now(), r.ReachesStore
-	send := l.outdated.shouldSend(m.Name, r.Version < args.Version, now())
+	l.lastHeartbeatAnswer[m.Name], l.vmReachesStore[m.Name] = now(), r.ReachesStore
+	send := l.outdatedVMs.shouldSend(m.Name, r.Version < args.Version, now())
 	l.mutex.Unlock()
 	if send {
 		go l.sendConfiguration(m)
@@ -88,32 +90,34 @@
 }
 
 const (
-	// sendConfigurationAfter is how long a VM must have an outdated configuration before
+	// configurationSendDelay is how long a VM must have an outdated configuration before
 	// the leader sends it the current one. A VM that reaches the store reads the
 	// configuration by itself in that time.
-	sendConfigurationAfter = 600 * time.Millisecond
-	// sendConfigurationTimeout limits sending a configuration, possibly over a slow link.
-	sendConfigurationTimeout = 3 * time.Second
-	// maxConfigurationSends limits the configurations that are sent at the same time, to
-	// keep the leader's link usable.
-	maxConfigurationSends = 6
+	configurationSendDelay = 600 * time.Millisecond
+	// configurationSendTimeout limits sending a configuration, possibly over a slow link.
+	configurationSendTimeout = 3 * time.Second
+	// maxConcurrentConfigurationSends limits the number of VMs that the configuration
+	// is sent to at the same time, to keep the leader's network link usable.
+	maxConcurrentConfigurationSends = 6
 )
 
 // outdatedVMs tracks the entry VMs whose configuration is older than the leader's.
 type outdatedVMs struct {
-	// outdatedSince is when each outdated VM was first seen to be outdated.
+	// outdatedSince maps the name of each outdated VM to the time at which the leader
+	// first noticed that.
 	outdatedSince map[string]time.Time
-	// sending holds the VMs that the configuration is being sent to.
-	sending map[string]bool
+	// sendingTo holds the names of the VMs that the configuration is being sent to.
+	sendingTo map[string]bool
 }
 
 func newOutdatedVMs() *outdatedVMs { return &outdatedVMs{map[string]time.Time{}, map[string]bool{}} }
 
 // shouldSend records whether a VM is outdated and reports whether the configuration
-// must be sent to it now. If so, it adds the VM to sending.
+// must be sent to it now. If so, it adds the VM to sendingTo.
 //
-// A large configuration takes a long time over a slow link. A VM is therefore not sent
-// one that it may still be reading from the store or receiving already.
+// A large configuration takes a long time over a slow link. The leader therefore does
+// not send it to a VM that may still be reading it from the store or is already
+// receiving it.
 func (o *outdatedVMs) shouldSend(name string, outdated bool, at time.Time) bool {
 	if !outdated {
 		delete(o.outdatedSince, name)
@@ -124,22 +128,22 @@
 		o.outdatedSince[name] = at
 		return false
 	}
-	if at.Sub(since) < sendConfigurationAfter || o.sending[name] || len(o.sending) >= maxConfigurationSends {
+	if at.Sub(since) < configurationSendDelay || o.sendingTo[name] || len(o.sendingTo) >= maxConcurrentConfigurationSends {
 		return false
 	}
-	o.sending[name] = true
+	o.sendingTo[name] = true
 	return true
 }
 
 // sendConfiguration sends the current configuration to an outdated VM.
 func (l *leader) sendConfiguration(m member) {
-	ctx, cancel := context.WithTimeout(l.ctx, sendConfigurationTimeout)
+	ctx, cancel := context.WithTimeout(l.ctx, configurationSendTimeout)
 	defer cancel()
 	table := l.node.configuration.current()
-	_, err := link.Call[TableArgs, Nothing](ctx, l.node.client, m.Address, "Table", TableArgs{Version: table.Version, Text: compress(table.Text)})
+	_, err := link.Call[TableArgs, Nothing](ctx, l.node.peerClient, m.Address, "Table", TableArgs{Version: table.Version, Text: compress(table.Text)})
 	l.node.log.Info("configuration_told", "vm", m.Name, "version", table.Version, "told", err == nil)
 	l.mutex.Lock()
-	delete(l.outdated.sending, m.Name)
+	delete(l.outdatedVMs.sendingTo, m.Name)
 	l.mutex.Unlock()
 }
 
@@ -155,7 +159,7 @@
 // maxConfigurationSize limits the uncompressed size of a configuration in bytes.
 const maxConfigurationSize = 16 << 20
 
-// decompress is the inverse of compress. It cuts the text off at maxConfigurationSize.
+// decompress is the inverse of compress. It truncates the text to maxConfigurationSize.
 func decompress(data []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
--- a/internal/node/entryvm/heartbeats_test.go
+++ b/internal/node/entryvm/heartbeats_test.go
@@ -8,12 +8,14 @@
 	"github.com/matryer/is"
 )
 
-// The leader must not send the configuration to a VM that reads it from the store, nor
-// twice to the same VM: large configurations block slow links.
+// Laggards are VMs with an outdated configuration. A large configuration blocks a slow
+// network link for a while. The leader must therefore not send it to a VM that reads it
+// from the store, and must not send it to the same VM twice.
 func TestLaggardsAreToldOnce(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		// outdated is, for each heartbeat, whether the VM's configuration is older.
+		// outdated tells for each heartbeat whether the VM's configuration is older
+		// than the leader's.
 		outdated []bool
 		expected int
 	}{
@@ -51,7 +53,7 @@
 			}
 		}
 	}
-	is.Equal(sends, maxConfigurationSends)
+	is.Equal(sends, maxConcurrentConfigurationSends)
 }
 
 func TestConfigurationIsCompressed(t *testing.T) {
--- a/internal/node/entryvm/isolation.go
+++ b/internal/node/entryvm/isolation.go
@@ -16,46 +16,48 @@
 	// trips between failure domains.
 	isolationCheckInterval = 150 * time.Millisecond
 	isolationCallTimeout   = 200 * time.Millisecond
-	// maxContactAge is the age of the last contact outside the failure domain above which
-	// the VM checks whether it is isolated. It is longer than a heartbeat interval, so
-	// that heartbeats from another domain make the checks unnecessary.
+	// maxContactAge is the maximum age of the last contact with the store or another
+	// failure domain. When it is exceeded, the VM checks whether it is isolated. It is
+	// longer than a heartbeat interval, so that no checks are needed while heartbeats
+	// arrive from another domain.
 	maxContactAge = heartbeatInterval + 200*time.Millisecond
 )
 
-// isolation detects whether this VM reaches neither the store nor a VM of another
-// failure domain. An isolated VM can neither store jobs nor learn their states, while
-// VMs of other domains can, so callers should use those.
-type isolation struct {
+// isolationDetector detects whether this VM reaches neither the store nor a VM of
+// another failure domain. An isolated VM can neither store jobs nor find out their
+// states. VMs of other domains can, so callers should use those.
+type isolationDetector struct {
 	node     *Node
 	isolated atomic.Bool
-	// lastContact is when the store or a VM of another domain was last heard, in Unix
-	// nanoseconds.
+	// lastContact is when this VM last received a message from the store or from a VM
+	// of another domain, in Unix nanoseconds.
 	lastContact atomic.Int64
 }
 
-// recordContact records that the store or a VM of another domain was heard.
-func (i *isolation) recordContact() { i.lastContact.Store(now().UnixNano()) }
+// recordContact records that a message from the store or from a VM of another domain
+// has arrived.
+func (i *isolationDetector) recordContact() { i.lastContact.Store(now().UnixNano()) }
 
 // run checks for isolation until ctx is done. When the VM becomes isolated, all
 // pending job records fail at once, so that their callers can use another VM.
-func (i *isolation) run(ctx context.Context) {
+func (i *isolationDetector) run(ctx context.Context) {
 	i.recordContact()
 	for sleep(ctx, isolationCheckInterval) {
 		silent := now().Sub(time.Unix(0, i.lastContact.Load())) > maxContactAge
-		isolated := silent && !i.reachesOthers(ctx) && !i.reachesStore()
+		isolated := silent && !i.reachesOtherVMs(ctx) && !i.reachesStore()
 		if i.isolated.Swap(isolated) == isolated {
 			continue
 		}
 		i.node.log.Info("isolation_changed", "isolated", isolated)
 		if isolated {
-			i.node.writer.expireAll()
+			i.node.writer.failAll()
 		}
 	}
 }
 
-// reachesStore reports whether the store answers directly. It is false while the store
-// counts as down.
-func (i *isolation) reachesStore() bool {
+// reachesStore reports whether the store answers directly. It makes no call and returns
+// false while the store is marked as down.
+func (i *isolationDetector) reachesStore() bool {
 	if i.node.store.down.Load() {
 		return false
 	}
@@ -66,11 +68,11 @@
 	return true
 }
 
-// reachesOthers reports whether a VM of another failure domain answers, or any other
-// VM if all are in one domain. It is true if there are no other VMs. It asks one VM
-// first and all others only if that one does not answer, since usually one call
-// suffices.
-func (i *isolation) reachesOthers(ctx context.Context) bool {
+// reachesOtherVMs reports whether a VM of another failure domain answers, or any other
+// VM if all are in one domain. It is true if there are no other VMs. It calls one VM
+// first, since usually one call suffices, and all others only if that one does not
+// answer.
+func (i *isolationDetector) reachesOtherVMs(ctx context.Context) bool {
 	others := i.node.members.others()
 	otherDomains := slices.DeleteFunc(slices.Clone(others), func(m member) bool { return m.Domain == i.node.settings.Domain })
 	if len(otherDomains) > 0 {
@@ -80,17 +82,18 @@
 		return true
 	}
 	first := rand.IntN(len(others))
-	return i.anyAnswers(ctx, others[first:first+1]) || i.anyAnswers(ctx, slices.Delete(others, first, first+1))
+	return i.anyVMAnswers(ctx, others[first:first+1]) || i.anyVMAnswers(ctx, slices.Delete(others, first, first+1))
 }
 
-// anyAnswers asks several VMs at the same time and reports whether one answers.
-func (i *isolation) anyAnswers(ctx context.Context, others []member) bool {
+// anyVMAnswers calls several VMs at the same time and reports whether at least one
+// answers.
+func (i *isolationDetector) anyVMAnswers(ctx context.Context, others []member) bool {
 	callCtx, cancel := context.WithTimeout(ctx, isolationCallTimeout)
 	defer cancel()
 	answered := make(chan bool, len(others))
 	for _, m := range others {
 		go func() {
-			_, err := link.Call[Nothing, HeardReply](callCtx, i.node.client, m.Address, "Heard", Nothing{})
+			_, err := link.Call[Nothing, LastHeartbeatReply](callCtx, i.node.peerClient, m.Address, "Heard", Nothing{})
 			answered <- err == nil
 		}()
 	}
--- a/internal/node/entryvm/jobs.go
+++ b/internal/node/entryvm/jobs.go
@@ -13,11 +13,11 @@
 const (
 	// leaderCallTimeout limits one call to the leader.
 	leaderCallTimeout = 500 * time.Millisecond
-	// askLeaderTimeout limits a question to the leader with its retries. Callers can ask
-	// again.
+	// askLeaderTimeout limits a question to the leader including all retries. After
+	// that, callers can ask again.
 	askLeaderTimeout = 1500 * time.Millisecond
-	// leaderRetryPause is the pause before a question to the leader is retried.
-	leaderRetryPause = 100 * time.Millisecond
+	// askLeaderRetryPause is the pause before a question to the leader is repeated.
+	askLeaderRetryPause = 100 * time.Millisecond
 )
 
 // Submit stores a job. The error has KindNotStored if the job is not stored and never
@@ -26,8 +26,8 @@
 	return n.write(ctx, store.Record{Key: j.ID, Value: work.Encode(j)})
 }
 
-// errIsolated is the error of Submit and Cancel while this VM is isolated. Nothing was
-// sent to the store.
+// errIsolated is the error of Submit and Cancel while this VM is isolated. In that case
+// they send nothing to the store.
 var errIsolated = fault.Newf("store_job", KindNotStored, "this VM reaches neither the store nor another failure domain")
 
 // Cancel stores the cancellation of a job. It returns the same errors as Submit.
@@ -48,7 +48,7 @@
 // isolated.
 func (n *Node) State(ctx context.Context, id string) (state work.State, known bool, err error) {
 	r, err := askLeader(ctx, n, "State", JobArgs{ID: id},
-		func(l *leader) StateReply { return l.status(id) },
+		func(l *leader) StateReply { return l.jobStatus(id) },
 		func(r StateReply) bool { return r.Leading && (r.Known || r.Fresh) })
 	return r.State, r.Known, err
 }
@@ -57,14 +57,14 @@
 // same errors as State.
 func (n *Node) Pending(ctx context.Context, queue string) (int, error) {
 	r, err := askLeader(ctx, n, "Pending", PendingArgs{Queue: queue},
-		func(l *leader) PendingReply { return l.pending(queue) },
+		func(l *leader) PendingReply { return l.pendingJobs(queue) },
 		func(r PendingReply) bool { return r.Leading })
 	return r.Pending, err
 }
 
-// askLeader calls a method of the leader and returns the first reply that accept
-// allows. It retries, since a take-over by another VM takes a while. If this VM leads,
-// it calls local instead.
+// askLeader calls an RPC method of the leader and returns the first reply for which
+// accept returns true. It retries, since it takes a while until a new leader has taken
+// over. If this VM leads, askLeader calls local instead of the RPC method.
 func askLeader[Args, Reply any](ctx context.Context, n *Node, method string, args Args, local func(*leader) Reply, accept func(Reply) bool) (Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, askLeaderTimeout)
 	defer cancel()
@@ -75,13 +75,13 @@
 			}
 		} else if c, ok := n.election.knownLeader(); ok {
 			callCtx, cancel := context.WithTimeout(ctx, leaderCallTimeout)
-			r, err := link.Call[Args, Reply](callCtx, n.client, c.Address, method, args)
+			r, err := link.Call[Args, Reply](callCtx, n.peerClient, c.Address, method, args)
 			cancel()
 			if err == nil && accept(r) {
 				return r, nil
 			}
 		}
-		if n.isolation.isolated.Load() || !sleep(ctx, leaderRetryPause) {
+		if n.isolation.isolated.Load() || !sleep(ctx, askLeaderRetryPause) {
 			var zero Reply
 			return zero, fault.Newf("ask_leader", KindNoLeader, "no leader answers")
 		}
--- a/internal/node/entryvm/keepers.go
+++ b/internal/node/entryvm/keepers.go
@@ -9,43 +9,47 @@
 	"github.com/almondpost/almondpost/internal/peer/link"
 )
 
-// newForwarder returns the forwarder that calls workers for other VMs while they lead.
+// newForwarder returns the forwarder that calls workers on behalf of the leader while
+// another VM leads.
 func newForwarder(n *Node) *keeper.Forwarder {
 	return keeper.NewForwarder(n.ctx, n.dependencies.Dial, func(ctx context.Context, leader netip.AddrPort, a keeper.Answers) error {
-		_, err := link.Call[keeper.Answers, Nothing](ctx, n.client, leader, "Answered", a)
+		_, err := link.Call[keeper.Answers, Nothing](ctx, n.peerClient, leader, "Answered", a)
 		return err
 	}, n.log)
 }
 
-// newDispatcher returns the dispatcher that sends calls to keepers while this VM
-// leads. Call numbers continue from the current time in nanoseconds, so they are
-// higher than those of earlier processes of this VM.
+// newDispatcher returns the dispatcher that sends calls to keepers while this VM leads.
+// Call numbers start at the current time in nanoseconds, so they are higher than those
+// of earlier processes on this VM.
 func newDispatcher(n *Node) *keeper.Dispatcher {
 	return keeper.NewDispatcher(n.settings.ListenAddress, now().UnixNano(), func(ctx context.Context, to netip.AddrPort, b keeper.Batch) error {
-		_, err := link.Call[keeper.Batch, Nothing](ctx, n.client, to, "Carry", b)
+		_, err := link.Call[keeper.Batch, Nothing](ctx, n.peerClient, to, "Carry", b)
 		return err
 	}, n.log)
 }
 
-// Carry makes calls to workers for the leader. It returns before they are answered.
-func (h *handler) Carry(b keeper.Batch, _ *Nothing) error {
+// Carry makes calls to workers on behalf of the leader. It returns before they are
+// answered.
+func (h *rpcHandler) Carry(b keeper.Batch, _ *Nothing) error {
 	h.node.forwarder.Forward(b)
 	return nil
 }
 
-// Answered receives the answers of workers to forwarded calls.
-func (h *handler) Answered(a keeper.Answers, _ *Nothing) error {
+// Answered receives from a keeper the workers' answers to calls that this VM sent as
+// leader.
+func (h *rpcHandler) Answered(a keeper.Answers, _ *Nothing) error {
 	h.node.dispatcher.HandleAnswers(a.Answers)
 	return nil
 }
 
 // dialWorker returns a client that calls a worker through its keeper.
 func (l *leader) dialWorker(r backend.Registration) backend.Worker {
-	return keeper.NewWorker(l.node.dispatcher, r, l.node.dependencies.Dial(r))
+	return keeper.NewWorkerClient(l.node.dispatcher, r, l.node.dependencies.Dial(r))
 }
 
-// assignKeepers assigns the workers to the entry VMs that answer heartbeats and other
-// calls. The leader is no keeper, since it needs its processor time to schedule.
+// assignKeepers assigns workers to keepers: to other entry VMs that answer heartbeats
+// and other calls. The leader itself is never a keeper, since it needs its processor
+// time for scheduling.
 func (l *leader) assignKeepers() {
 	l.mutex.Lock()
 	answering := l.reachableVMs(now())
@@ -57,7 +61,7 @@
 	var list []keeper.Member
 	for _, name := range answering {
 		m, ok := l.node.members.find(name)
-		if ok && name != l.node.settings.Name && !l.node.client.Silent(m.Address) {
+		if ok && name != l.node.settings.Name && !l.node.peerClient.Silent(m.Address) {
 			list = append(list, keeper.Member{Name: m.Name, Domain: m.Domain, Address: m.Address, Fitness: m.Fitness})
 		}
 	}
--- a/internal/node/entryvm/keepers_test.go
+++ b/internal/node/entryvm/keepers_test.go
@@ -12,12 +12,11 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// largeFleetSize is more workers than a leader calls directly, so that it uses
+// largeFleetSize is a number of workers that is large enough for the leader to use
 // keepers.
 const largeFleetSize = 110
 
-// addLargeFleet adds workers in two failure domains, enough for the leader to use
-// keepers.
+// addLargeFleet adds largeFleetSize workers, spread over two failure domains.
 func (f *fixture) addLargeFleet() {
 	for i := range largeFleetSize {
 		f.is.NoErr(f.fleet.Add(f.store, backend.Registration{
@@ -32,7 +31,8 @@
 func TestTasksRunOnceWhileKeepersChange(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		// closed returns the indexes of the VMs to close.
+		// closed returns the indexes of the VMs that the test closes, given the index
+		// of the leader.
 		closed func(leader int) []int
 	}{
 		{"no VM is killed", func(int) []int { return nil }},
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -14,43 +14,51 @@
 )
 
 const (
-	// producerName is the producer name of progress records. The producer epoch is the
-	// epoch of the claim.
+	// producerName is the producer name under which a leader appends progress records.
+	// The producer epoch is the epoch of its claim.
 	producerName = "leader"
-	// minPlanPause is the shortest pause after a planning pass.
-	minPlanPause = 4 * time.Millisecond
-	// planPauseFactor is the least ratio of the pause after a planning pass to the
-	// duration of the pass. The pause leaves processor time for orders and reports.
-	planPauseFactor = 2
+	// minPlanningPause is the shortest pause between two planning passes. A planning
+	// pass places waiting tasks on workers.
+	minPlanningPause = 4 * time.Millisecond
+	// planningPauseFactor is the lowest ratio between the pause after a planning pass
+	// and the duration of that pass. The pause leaves processor time for orders and
+	// reports.
+	planningPauseFactor = 2
 	// tickInterval is the pause between two ticks of the scheduler's clock.
 	tickInterval = 100 * time.Millisecond
-	// jobsReadInterval is the pause between two reads of a partition of jobs. VMs that
-	// store a job also send it to the leader directly. The interval is well below
-	// maxJobsReadAge, since only a read proves that no stored job is missing.
+	// jobsReadInterval is the pause between two reads of a job partition. It need not
+	// be shorter, because a VM that stores a job also sends it to the leader directly.
+	// It is well below maxJobsReadAge, because only a read shows that the leader knows
+	// all stored jobs.
 	jobsReadInterval = 1200 * time.Millisecond
-	// maxJobsReadAge is how long ago the last read of a partition of jobs may have begun
-	// for the leader to report an unknown job as non-existent.
+	// maxJobsReadAge is the maximum age of the last read of each job partition, counted
+	// from the beginning of the read. While one is older, the leader does not report an
+	// unknown job as non-existent.
 	maxJobsReadAge = 2 * time.Second
 	// registrationsReadInterval is the pause between two reads of worker registrations.
 	registrationsReadInterval = 350 * time.Millisecond
-	// commitPause is the pause between two commits, so that each contains more changes.
+	// commitPause is the pause between two commits. It lets more changes accumulate for
+	// each commit.
 	commitPause = 6 * time.Millisecond
-	// renewInterval is the longest pause between appends that renew the claim.
-	renewInterval = time.Second
-	// renewalKey is the key of records that only renew the claim.
-	renewalKey = "renewal"
-	// restoreTimeout limits the time for which a new leader may read the stored state.
-	// Then it steps down, so that another VM can lead.
+	// claimRenewInterval is how long the commit loop waits for a signal before it
+	// renews the claim.
+	claimRenewInterval = time.Second
+	// claimRenewalKey is the key of records that contain no progress and only renew the
+	// claim.
+	claimRenewalKey = "renewal"
+	// restoreTimeout limits how long a new leader may take to read the stored state. If
+	// it takes longer, it steps down so that another VM can lead.
 	restoreTimeout = 12 * time.Second
-	// yieldToFitterAfter is how long a leader leads before it hands over to a much fitter
-	// VM, and yieldWithoutStoreAfter how long before it hands over because it does not
-	// reach the store directly. Relaying every record through another VM delays jobs of
-	// several steps.
-	yieldToFitterAfter     = 3 * time.Second
-	yieldWithoutStoreAfter = 700 * time.Millisecond
-	// adviceMargin is how much longer than the adviser's timeout the leader waits for
-	// another VM to return the advice. It covers the round trip and some load.
-	adviceMargin = 250 * time.Millisecond
+	// handOverToFitterDelay is how long a leader leads before it hands over to a much
+	// fitter VM. handOverWithoutStoreDelay is how long a leader must have led without a
+	// direct connection to the store before it hands over: if it relays every record
+	// through another VM, jobs of several steps are delayed.
+	handOverToFitterDelay     = 3 * time.Second
+	handOverWithoutStoreDelay = 700 * time.Millisecond
+	// adviceReplyMargin is added to the adviser's timeout to get the time for which the
+	// leader waits until another VM returns the advice. It covers the round trip and
+	// delays on a busy VM.
+	adviceReplyMargin = 250 * time.Millisecond
 	// cancelSuffix follows the job ID in the key of a cancellation record.
 	cancelSuffix = "/cancel"
 )
@@ -62,55 +70,61 @@
 	epoch int64
 	ctx   context.Context
 	stop  context.CancelFunc
-	// commitSignal wakes the commit loop, and planSignal the planning loop.
-	commitSignal chan struct{}
-	planSignal   chan struct{}
-	// renewSignal makes the commit loop renew the claim at once.
-	renewSignal chan struct{}
+	// commitSignal wakes the commit loop, and planningSignal the planning loop.
+	commitSignal   chan struct{}
+	planningSignal chan struct{}
+	// renewClaimSignal makes the commit loop renew the claim at once.
+	renewClaimSignal chan struct{}
 
 	mutex     sync.Mutex
 	scheduler *scheduler.Scheduler
-	sessions  map[backend.Life]*session
-	// committed is closed and replaced after each commit.
-	committed chan struct{}
-	// lastJobsRead is when the last successful read of each partition of jobs began.
+	sessions  map[backend.Life]*workerSession
+	// commitDone is closed and replaced by a new channel after each commit.
+	commitDone chan struct{}
+	// lastJobsRead is when the last successful read of each job partition began.
 	lastJobsRead []time.Time
-	// jobPartitions holds a bit mask of the partitions that contain records of each job.
+	// jobPartitions maps a job ID to a bit mask of the job partitions that contain
+	// records of the job.
 	jobPartitions map[string]uint64
-	// serving is true once the stored state is restored.
-	serving bool
-	// nextSequence is the sequence number of the next append as producer.
-	nextSequence int64
+	// restored is true once the scheduler has the stored state. Until then the leader
+	// does not answer questions about jobs.
+	restored bool
+	// nextProducerSequence is the sequence number for the next append of progress
+	// records.
+	nextProducerSequence int64
 
-	// registrations holds the registration of each worker by its ID.
+	// registrations maps a worker ID to the registration of the worker.
 	registrations map[string]backend.Registration
-	// leadingSince is when this VM began to lead, or last tried to hand over.
-	leadingSince time.Time
-	// lastAnswer is when each entry VM last answered a heartbeat, and reachesStore
-	// whether it then reached the store directly.
-	lastAnswer   map[string]time.Time
-	reachesStore map[string]bool
-	// outdated tracks the entry VMs with an older configuration.
-	outdated *outdatedVMs
+	// handOverTimerStart is when this VM began to lead or, if later, last tried to hand
+	// over the leadership. The next attempt is made some time after that.
+	handOverTimerStart time.Time
+	// lastHeartbeatAnswer maps the name of an entry VM to the time at which it last
+	// answered a heartbeat. vmReachesStore tells whether the VM then reached the store
+	// directly.
+	lastHeartbeatAnswer map[string]time.Time
+	vmReachesStore      map[string]bool
+	// outdatedVMs tracks the entry VMs whose configuration is older than the leader's.
+	outdatedVMs *outdatedVMs
 }
 
 func newLeader(ctx context.Context, n *Node, epoch int64) *leader {
 	ctx, stop := context.WithCancel(ctx)
 	return &leader{
 		node: n, epoch: epoch, ctx: ctx, stop: stop,
-		commitSignal: make(chan struct{}, 1), planSignal: make(chan struct{}, 1), renewSignal: make(chan struct{}, 1),
+		commitSignal: make(chan struct{}, 1), planningSignal: make(chan struct{}, 1), renewClaimSignal: make(chan struct{}, 1),
 		scheduler: scheduler.New(n.settings.Timing, epoch, now(), time.Now(), n.log),
-		sessions:  map[backend.Life]*session{}, committed: make(chan struct{}),
+		sessions:  map[backend.Life]*workerSession{}, commitDone: make(chan struct{}),
 		lastJobsRead: make([]time.Time, n.settings.Partitions), jobPartitions: map[string]uint64{},
-		registrations: map[string]backend.Registration{}, lastAnswer: map[string]time.Time{}, reachesStore: map[string]bool{}, outdated: newOutdatedVMs(), leadingSince: now(),
+		registrations: map[string]backend.Registration{}, lastHeartbeatAnswer: map[string]time.Time{}, vmReachesStore: map[string]bool{}, outdatedVMs: newOutdatedVMs(), handOverTimerStart: now(),
 	}
 }
 
-// run restores the stored state and leads until the claim is lost.
+// run restores the stored state and then leads until the claim is lost or the leader is
+// stopped.
 func (l *leader) run() {
-	defer l.retire()
+	defer l.shutDown()
 	go l.sendHeartbeats()
-	restoreTimer := time.AfterFunc(restoreTimeout, l.abortRestore)
+	restoreTimer := time.AfterFunc(restoreTimeout, l.stopIfNotRestored)
 	offsets, err := l.restore()
 	restoreTimer.Stop()
 	if err != nil {
@@ -125,13 +139,13 @@
 	}
 	l.assignKeepers()
 	go l.tailRegistrations()
-	go l.planLoop()
+	go l.planningLoop()
 	go l.tickLoop()
 	l.commitLoop()
 }
 
-// retire stops the leader and closes its connections to workers.
-func (l *leader) retire() {
+// shutDown stops the leader and closes its connections to workers.
+func (l *leader) shutDown() {
 	l.stop()
 	l.node.swapLeader(l, nil)
 	l.mutex.Lock()
@@ -142,9 +156,10 @@
 	l.node.log.Info("leader_retired", "epoch", l.epoch)
 }
 
-// update changes the state of the scheduler and applies the effects. It does nothing
-// once the leader is stopped.
-func (l *leader) update(change func(s *scheduler.Scheduler, at time.Time)) {
+// updateScheduler calls change with the scheduler and the current time, and then
+// carries out the effects that the scheduler requests, such as sending orders. It does
+// nothing once the leader is stopped.
+func (l *leader) updateScheduler(change func(s *scheduler.Scheduler, at time.Time)) {
 	l.mutex.Lock()
 	if l.ctx.Err() != nil {
 		l.mutex.Unlock()
@@ -157,7 +172,7 @@
 	l.mutex.Unlock()
 	signal(l.commitSignal)
 	if needsPlan {
-		signal(l.planSignal)
+		signal(l.planningSignal)
 	}
 }
 
@@ -170,7 +185,8 @@
 }
 
 // applyEffects opens and closes sessions and starts the calls that the scheduler has
-// requested. It does not wait for them. The caller must hold the mutex.
+// requested. It does not wait until the calls are answered. The caller must hold the
+// mutex.
 func (l *leader) applyEffects(e *scheduler.Effects) {
 	for i := range e.Opened {
 		r := e.Opened[i]
@@ -201,7 +217,7 @@
 	}
 	for _, life := range e.Wake {
 		if s := l.sessions[life]; s != nil {
-			s.wake()
+			s.interruptHold()
 		}
 	}
 	for i := range e.AdviceRequests {
@@ -217,76 +233,78 @@
 
 // setTable passes the configuration to the scheduler.
 func (l *leader) setTable(t *queue.Table) {
-	l.update(func(s *scheduler.Scheduler, _ time.Time) { s.SetTable(t) })
+	l.updateScheduler(func(s *scheduler.Scheduler, _ time.Time) { s.SetTable(t) })
 }
 
-// planLoop plans the placement of waiting tasks after each planSignal.
-func (l *leader) planLoop() {
+// planningLoop runs a planning pass, which places waiting tasks on workers, after each
+// planningSignal.
+func (l *leader) planningLoop() {
 	for {
 		select {
 		case <-l.ctx.Done():
 			return
-		case <-l.planSignal:
+		case <-l.planningSignal:
 		}
 		begun := now()
-		l.update(func(s *scheduler.Scheduler, at time.Time) { s.Plan(at) })
-		sleep(l.ctx, max(minPlanPause, planPauseFactor*now().Sub(begun)))
+		l.updateScheduler(func(s *scheduler.Scheduler, at time.Time) { s.Plan(at) })
+		sleep(l.ctx, max(minPlanningPause, planningPauseFactor*now().Sub(begun)))
 	}
 }
 
-// tickLoop advances the scheduler's clock every tickInterval, refreshes the keepers
-// and hands the leadership over if another VM should lead.
+// tickLoop advances the scheduler's clock every tickInterval. It also updates the
+// assignment of workers to keepers, and hands the leadership over if another VM should
+// lead.
 func (l *leader) tickLoop() {
 	for sleep(l.ctx, tickInterval) {
 		l.assignKeepers()
-		l.update(func(s *scheduler.Scheduler, at time.Time) {
+		l.updateScheduler(func(s *scheduler.Scheduler, at time.Time) {
 			s.Tick(at)
 			s.SetAdviceVMs(l.reachableVMs(at))
 		})
 		if successors := l.successors(now()); len(successors) > 0 {
-			l.leadingSince = now() // Delays the next attempt to hand over.
+			l.handOverTimerStart = now() // Delays the next attempt to hand over.
 			l.node.election.handOver(l.ctx, successors)
 		}
 	}
 }
 
 // requestAdvice has an entry VM call the adviser and passes the answer to the
-// scheduler. The VM applies the timeout itself and the leader waits adviceMargin
-// longer: if the leader's call timed out, it would lose the connection to the VM,
-// which other calls share.
+// scheduler. The VM applies the timeout itself, and the leader waits adviceReplyMargin
+// longer. If the leader's call timed out first, the leader would lose its connection to
+// the VM, which other calls use as well.
 func (l *leader) requestAdvice(a scheduler.AdviceRequest) {
-	ctx, cancel := context.WithTimeout(l.ctx, a.Timeout+adviceMargin)
+	ctx, cancel := context.WithTimeout(l.ctx, a.Timeout+adviceReplyMargin)
 	defer cancel()
 	var answer backend.Advice
 	var err error
 	if a.VM == l.node.settings.Name {
 		answer, err = l.node.dependencies.Adviser.Advise(ctx, a.Step, a.Workers)
 	} else if m, ok := l.node.members.find(a.VM); ok {
-		answer, err = link.Call[AdviceArgs, backend.Advice](ctx, l.node.client, m.Address, "Advise", AdviceArgs{Step: a.Step, Workers: a.Workers, Timeout: a.Timeout})
+		answer, err = link.Call[AdviceArgs, backend.Advice](ctx, l.node.peerClient, m.Address, "Advise", AdviceArgs{Step: a.Step, Workers: a.Workers, Timeout: a.Timeout})
 	} else {
 		err = fault.Newf("ask", KindNoLeader, "entry VM %s is not known", a.VM)
 	}
 	if err != nil && l.ctx.Err() == nil {
 		l.node.log.Info("advice_not_received", "vm", a.VM, "job", a.Step.Job, "error", err.Error())
 	}
-	l.update(func(s *scheduler.Scheduler, at time.Time) { s.AdviceAnswered(a.Number, answer, err != nil, at) })
+	l.updateScheduler(func(s *scheduler.Scheduler, at time.Time) { s.AdviceAnswered(a.Number, answer, err != nil, at) })
 }
 
-// status returns the reply to a question about the state of a job.
-func (l *leader) status(id string) StateReply {
+// jobStatus returns the reply to a question about the state of a job.
+func (l *leader) jobStatus(id string) StateReply {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if !l.serving || l.ctx.Err() != nil {
+	if !l.restored || l.ctx.Err() != nil {
 		return StateReply{}
 	}
 	state, known := l.scheduler.Status(id, l.hasQuorum(now()))
 	return StateReply{Leading: true, Known: known, State: state, Fresh: l.jobsUpToDate()}
 }
 
-// pending returns the reply to a question about the number of jobs of a queue that
+// pendingJobs returns the reply to a question about the number of jobs of a queue that
 // have not started.
-func (l *leader) pending(queue string) PendingReply {
+func (l *leader) pendingJobs(queue string) PendingReply {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return PendingReply{Leading: l.serving && l.ctx.Err() == nil, Pending: l.scheduler.Pending(queue)}
+	return PendingReply{Leading: l.restored && l.ctx.Err() == nil, Pending: l.scheduler.Pending(queue)}
 }
--- a/internal/node/entryvm/members.go
+++ b/internal/node/entryvm/members.go
@@ -24,45 +24,48 @@
 	Started int64 `json:"started"`
 }
 
-// members tracks the entry VMs that are recorded in the store.
-type members struct {
+// memberList tracks the entry VMs that are recorded in the store.
+type memberList struct {
 	node  *Node
 	mutex sync.Mutex
-	// byName includes this VM.
+	// byName maps the names of all known entry VMs, including this one, to their
+	// records.
 	byName map[string]member
 }
 
-func newMembers(n *Node) *members {
+func newMembers(n *Node) *memberList {
 	self := member{Name: n.settings.Name, Domain: n.settings.Domain, Address: n.settings.ListenAddress, Fitness: n.settings.Fitness, Started: time.Now().UnixMilli()}
-	return &members{node: n, byName: map[string]member{self.Name: self}}
+	return &memberList{node: n, byName: map[string]member{self.Name: self}}
 }
 
 const (
-	// longPollWait is how long the store may delay the answer to a read until a record is
-	// appended, on topics that rarely change.
+	// longPollWait is how long the store may wait for a new record before it answers a
+	// read of a topic that rarely changes.
 	longPollWait = 20 * time.Second
-	// storeRetryPause is the pause after a failed call to the store.
+	// storeRetryPause is the shortest pause after a failed call to the store.
 	storeRetryPause = 200 * time.Millisecond
-	// storeTimeout limits a call to the store, in addition to the wait of a long poll.
-	storeTimeout = 1500 * time.Millisecond
-	// snapshotTimeout limits the read of a snapshot: several megabytes over the slowest
-	// link of an entry VM.
+	// storeCallTimeout limits a call to the store. For a long poll, the time that the
+	// store may wait is added to it.
+	storeCallTimeout = 1500 * time.Millisecond
+	// snapshotTimeout limits the read of a snapshot. It allows for several megabytes
+	// over the slowest network link of an entry VM.
 	snapshotTimeout = 8 * time.Second
 )
 
-// run registers this VM and follows the records of the others until ctx is done.
-func (m *members) run(ctx context.Context) {
+// run registers this VM and applies the records of the others as they are stored, until
+// ctx is done.
+func (m *memberList) run(ctx context.Context) {
 	go m.register(ctx)
 	followTopic(ctx, m.node, store.VMs, fixedWait(longPollWait), m.applyRecords)
 }
 
-// register stores the record of this VM, so that the others find it. It retries until
-// that succeeds.
-func (m *members) register(ctx context.Context) {
+// register stores the record of this VM, so that the other VMs can call it. It retries
+// until that succeeds.
+func (m *memberList) register(ctx context.Context) {
 	self, _ := m.find(m.node.settings.Name)
 	value, _ := json.Marshal(self)
 	for {
-		callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 		_, err := m.node.store.Append(callCtx, store.Append{Topic: store.VMs, Records: []store.Record{{Key: m.node.settings.Name, Value: value}}})
 		cancel()
 		if err == nil || !sleep(ctx, storeRetryPause+rand.N(storeRetryPause)) {
@@ -72,7 +75,7 @@
 }
 
 // applyRecords applies records of entry VMs. A record without a value removes the VM.
-func (m *members) applyRecords(records []store.Record) {
+func (m *memberList) applyRecords(records []store.Record) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for i := range records {
@@ -89,7 +92,7 @@
 }
 
 // others returns the other entry VMs, sorted by name.
-func (m *members) others() []member {
+func (m *memberList) others() []member {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	list := make([]member, 0, len(m.byName))
@@ -103,21 +106,21 @@
 }
 
 // find returns the entry VM with a name, and false if it is not known.
-func (m *members) find(name string) (member, bool) {
+func (m *memberList) find(name string) (member, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	vm, ok := m.byName[name]
 	return vm, ok
 }
 
-// fitterFactor is the ratio of fitness above which a VM should lead instead of another
-// one.
-const fitterFactor = 1.5
+// muchFitterRatio is the ratio between the fitness values of two VMs above which the
+// fitter one counts as much fitter and should lead instead of the other.
+const muchFitterRatio = 1.5
 
-// hasMuchFitterVM reports whether the fitness of another VM is more than fitterFactor
-// times that of this one.
-func (m *members) hasMuchFitterVM() bool {
-	return slices.ContainsFunc(m.others(), func(vm member) bool { return vm.Fitness > fitterFactor*m.node.settings.Fitness })
+// hasMuchFitterVM reports whether the fitness of another VM is more than
+// muchFitterRatio times that of this one.
+func (m *memberList) hasMuchFitterVM() bool {
+	return slices.ContainsFunc(m.others(), func(vm member) bool { return vm.Fitness > muchFitterRatio*m.node.settings.Fitness })
 }
 
 // fixedWait returns a function that always returns d.
@@ -125,8 +128,9 @@
 
 // followTopic passes the records of a topic to apply until ctx is done: first a
 // snapshot with the newest record of each key, then the appended records. wait returns
-// the time for which the store may delay the answer to the next read. If the store has
-// dropped the next records, followTopic starts again with a snapshot.
+// how long the store may wait for a new record before it answers the next read. If the
+// store has already dropped the records that are to be read next, followTopic starts
+// again with a snapshot.
 func followTopic(ctx context.Context, n *Node, topic store.Topic, wait func() time.Duration, apply func([]store.Record)) {
 	from := int64(-1)
 	for ctx.Err() == nil {
@@ -149,8 +153,8 @@
 	}
 }
 
-// readFrom reads the records from an offset on, or a snapshot if the offset is -1. It
-// also returns the offset to continue from.
+// readFrom reads the records from the offset r.From on, or a snapshot if r.From is -1.
+// It also returns the offset from which to continue reading.
 func readFrom(ctx context.Context, s store.Store, r store.Read) ([]store.Record, int64, error) {
 	if r.From < 0 {
 		callCtx, cancel := context.WithTimeout(ctx, snapshotTimeout)
@@ -158,7 +162,7 @@
 		snapshot, err := s.Newest(callCtx, r.Topic, r.Part)
 		return snapshot.Records, snapshot.End, err
 	}
-	callCtx, cancel := context.WithTimeout(ctx, r.Wait+storeTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, r.Wait+storeCallTimeout)
 	defer cancel()
 	batch, err := s.Read(callCtx, r)
 	return batch.Records, batch.Next, err
--- a/internal/node/entryvm/node.go
+++ b/internal/node/entryvm/node.go
@@ -1,7 +1,9 @@
 // Package entryvm runs an entry VM. Every entry VM accepts jobs from callers and
-// appends them to the store. One of them, the leader, also runs the scheduler: it
-// reads the jobs, calls the workers and stores the progress. VMs become leader by
-// storing a claim, and the claim with the highest epoch fences all earlier leaders.
+// appends them to the store. One of them, the leader, also runs the scheduler: it reads
+// the jobs, calls the workers and stores the progress. A VM becomes leader by storing a
+// claim with a higher epoch than any earlier claim. Earlier leaders are then fenced:
+// the store refuses their progress records, which carry a lower epoch, and the workers
+// refuse their orders, which carry a lower fencing token.
 package entryvm
 
 import (
@@ -32,8 +34,8 @@
 const (
 	// KindNotStored means that a job or cancellation is not stored and never will be.
 	KindNotStored Kind = "not_stored"
-	// KindUnknown means that a job or cancellation may be stored: an append was not
-	// answered.
+	// KindUnknown means that a job or cancellation may be stored or not, because the
+	// store did not answer an append.
 	KindUnknown Kind = "unknown"
 	// KindNoLeader means that the leader, or the entry VM that was addressed, is not
 	// available at the moment.
@@ -48,7 +50,8 @@
 
 // Settings configures a Node.
 type Settings struct {
-	// Name is unique among the entry VMs of the cell.
+	// Name identifies the VM among the entry VMs of its cell. The VMs of a cell share
+	// one store and have one leader.
 	Name string
 	// Domain is the failure domain of the VM.
 	Domain string
@@ -57,11 +60,11 @@
 	Fitness float64
 	// ListenAddress is the TCP address to listen on for other entry VMs.
 	ListenAddress netip.AddrPort
-	// Partitions is the number of store partitions that jobs are written to. It must be
-	// the same on every VM; 0 means defaultPartitions. A partition handles one append at
-	// a time.
+	// Partitions is the number of job partitions: the partitions of the topic
+	// store.Jobs that jobs are written to. It must be the same on every VM; 0 means
+	// defaultPartitions. A partition handles one append at a time.
 	Partitions int
-	// Timing holds the lease and retention times of the scheduler.
+	// Timing holds the durations that the scheduler uses, such as those of leases.
 	Timing scheduler.Timing
 }
 
@@ -85,17 +88,18 @@
 	settings     Settings
 	dependencies Dependencies
 	store        *relayedStore
-	client       *link.Client
+	peerClient   *link.Client
 	listener     net.Listener
 	// ctx is done once the node is closed.
 	ctx           context.Context
 	cancel        context.CancelFunc
-	members       *members
+	members       *memberList
 	writer        *jobWriter
 	configuration *configurationWatcher
 	election      *election
-	// isolation detects whether callers should use the VMs of other failure domains.
-	isolation *isolation
+	// isolation detects whether this VM is isolated, so that callers should use a VM of
+	// another failure domain.
+	isolation *isolationDetector
 	// forwarder calls workers on behalf of the leader. dispatcher sends the calls to
 	// other VMs while this one leads.
 	forwarder  *keeper.Forwarder
@@ -104,11 +108,11 @@
 	mutex sync.Mutex
 	// leader is nil unless this VM leads.
 	leader *leader
-	// leaving is true once a planned stop has begun.
-	leaving bool
+	// stopping is true once Drain has begun a planned stop.
+	stopping bool
 }
 
-// New starts an entry VM. It returns an error if it cannot listen on s.Peers.
+// New starts an entry VM. It returns an error if it cannot listen on s.ListenAddress.
 func New(s Settings, p Dependencies, measures *measure.Set, log logr.Logger) (*Node, error) {
 	l, err := net.Listen("tcp", s.ListenAddress.String())
 	if err != nil {
@@ -119,16 +123,16 @@
 		s.Partitions = defaultPartitions
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	n := &Node{log: log, measures: measures, settings: s, dependencies: p, client: link.NewClient(serviceName), listener: l, ctx: ctx, cancel: cancel}
+	n := &Node{log: log, measures: measures, settings: s, dependencies: p, peerClient: link.NewClient(rpcServiceName), listener: l, ctx: ctx, cancel: cancel}
 	n.members = newMembers(n)
 	n.store = newRelayedStore(p.Store, n)
 	n.configuration = newConfigurationWatcher(n)
 	n.writer = newJobWriter(n)
 	n.election = newElection(n)
-	n.isolation = &isolation{node: n}
+	n.isolation = &isolationDetector{node: n}
 	n.forwarder, n.dispatcher = newForwarder(n), newDispatcher(n)
 	go func() {
-		if err := link.Serve(l, serviceName, &handler{n}); err != nil {
+		if err := link.Serve(l, rpcServiceName, &rpcHandler{n}); err != nil {
 			log.Error(err, "peer_server_failed")
 		}
 	}()
@@ -149,14 +153,14 @@
 func (n *Node) Ready() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return !n.leaving && !n.isolation.isolated.Load() && n.configuration.current() != nil
+	return !n.stopping && !n.isolation.isolated.Load() && n.configuration.current() != nil
 }
 
 // Drain begins a planned stop. The VM is no longer ready and, if it leads, hands the
 // leadership over to another VM. It serves calls until Close.
 func (n *Node) Drain(ctx context.Context) {
 	n.mutex.Lock()
-	n.leaving = true
+	n.stopping = true
 	l := n.leader
 	n.mutex.Unlock()
 	n.log.Info("drain_started", "leading", l != nil)
@@ -169,7 +173,7 @@
 func (n *Node) Close() {
 	n.cancel()
 	_ = n.listener.Close()
-	n.client.Close()
+	n.peerClient.Close()
 	n.log.Info("stopped")
 }
 
@@ -180,7 +184,8 @@
 	return n.leader
 }
 
-// stepDownIfSuperseded stops the leader on this VM if its epoch is lower than epoch.
+// stepDownIfSuperseded stops the leader on this VM, if there is one and its epoch is
+// lower than the given one.
 func (n *Node) stepDownIfSuperseded(epoch int64) {
 	if l := n.activeLeader(); l != nil && l.epoch < epoch {
 		n.log.Info("claim_superseded", "epoch", l.epoch, "by", epoch)
@@ -188,7 +193,8 @@
 	}
 }
 
-// swapLeader sets the leader on this VM to next if it currently is expected.
+// swapLeader replaces the leader on this VM by next, but only if the current leader is
+// expected. Both can be nil.
 func (n *Node) swapLeader(expected, next *leader) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -197,10 +203,11 @@
 	}
 }
 
-func (n *Node) isLeaving() bool {
+// isStopping reports whether a planned stop of this VM has begun.
+func (n *Node) isStopping() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.leaving
+	return n.stopping
 }
 
 // sleep waits for d or until ctx is done. It reports whether the full time has passed.
--- a/internal/node/entryvm/node_test.go
+++ b/internal/node/entryvm/node_test.go
@@ -33,17 +33,19 @@
 	store *memory.Store
 	fleet *memory.Fleet
 	nodes []*entryvm.Node
-	// links holds the connection of each entry VM to the store, with fault injection.
-	links []*memory.Link
+	// storeLinks holds the connection of each entry VM to the store. Faults can be
+	// injected into each one.
+	storeLinks []*memory.Link
 }
 
 // testTimeout limits each wait for an expected state.
 const testTimeout = 15 * time.Second
 
-// newFixture starts entry VMs and three workers, on which each task runs for runTime.
+// newFixture starts the given number of entry VMs and three simulated workers. Each
+// task runs for runTime.
 func newFixture(t *testing.T, vms int, runTime time.Duration) *fixture {
 	f := &fixture{is: is.New(t), store: memory.New(), fleet: memory.NewFleet(runTime)}
-	f.publish(1, "mail")
+	f.publishConfiguration(1, "mail")
 	for i := range 3 {
 		f.is.NoErr(f.fleet.Add(f.store, backend.Registration{
 			Life: backend.Life{ID: fmt.Sprintf("worker-%d", i), Born: 1}, Service: "desk",
@@ -60,7 +62,7 @@
 		}, measure.New(), logr.Discard())
 		f.is.NoErr(err)
 		t.Cleanup(n.Close)
-		f.nodes, f.links = append(f.nodes, n), append(f.links, link)
+		f.nodes, f.storeLinks = append(f.nodes, n), append(f.storeLinks, link)
 	}
 	return f
 }
@@ -73,8 +75,8 @@
 	return t, err
 }
 
-// publish stores a configuration with one queue.
-func (f *fixture) publish(version int64, name string) {
+// publishConfiguration stores a configuration with one queue.
+func (f *fixture) publishConfiguration(version int64, name string) {
 	text, err := json.Marshal(queue.Table{Version: version, Queues: []queue.Queue{{Name: name, Host: "h", Prefix: "/", Service: "desk", MaxAttempts: 3, Stretch: 2, Objective: time.Second}}})
 	f.is.NoErr(err)
 	_, err = f.store.Append(store.Append{Topic: store.Configuration, Records: []store.Record{{Key: "config", Value: text}}})
@@ -146,7 +148,7 @@
 	f.is.True(!known)
 }
 
-// A caller that got no answer submits the job again. It must not run twice.
+// A caller that gets no answer submits its job again. The job must not run twice.
 func TestSameJobAgainStaysOne(t *testing.T) {
 	f := newFixture(t, 3, 50*time.Millisecond)
 	for _, n := range f.nodes {
@@ -210,7 +212,7 @@
 	first := f.leaderIndex()
 	f.is.NoErr(f.submit(f.nodes[first], "before"))
 	f.awaitState(f.nodes[first], "before", work.Completed)
-	f.links[first].RefuseCalls(true)
+	f.storeLinks[first].RefuseCalls(true)
 	f.is.NoErr(f.submit(f.nodes[(first+1)%3], "during"))
 	for end := time.Now().Add(testTimeout); f.leaderIndex() == first && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
@@ -226,24 +228,24 @@
 	first := f.leaderIndex()
 	f.is.NoErr(f.submit(f.nodes[first], "job"))
 	f.awaitState(f.nodes[first], "job", work.Completed)
-	f.links[first].RefuseCalls(true) // The VM loses the store both for submissions and as leader.
+	f.storeLinks[first].RefuseCalls(true) // The VM can no longer reach the store, neither to submit jobs nor to lead.
 	f.is.NoErr(f.submit(f.nodes[first], "cut"))
 	f.awaitState(f.nodes[first], "cut", work.Completed)
 }
 
-// While no VM reaches the store, a job is not accepted. It must not run after the
-// outage either.
+// A job that is submitted while no VM reaches the store is not accepted. It must not
+// run after the outage either.
 func TestStoreAway(t *testing.T) {
 	f := newFixture(t, 2, 50*time.Millisecond)
 	f.leaderIndex()
-	for _, l := range f.links {
+	for _, l := range f.storeLinks {
 		l.RefuseCalls(true)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
 	err := f.nodes[0].Submit(ctx, &work.Job{ID: "job", Queue: "mail", Accepted: time.Now(), Steps: []work.Step{{Count: 1}}})
 	f.is.Equal(fault.KindOf[entryvm.Kind](err), entryvm.KindNotStored)
-	for _, l := range f.links {
+	for _, l := range f.storeLinks {
 		l.RefuseCalls(false)
 	}
 	time.Sleep(2 * time.Second)
@@ -252,12 +254,12 @@
 	f.awaitState(f.nodes[1], "later", work.Completed)
 }
 
-// Appends that succeed without an answer are repeated. The job must run once all the
-// same.
+// If the answer to a successful append is lost, the append is repeated. The job must
+// still run only once.
 func TestLostAnswers(t *testing.T) {
 	f := newFixture(t, 2, 50*time.Millisecond)
 	f.leaderIndex()
-	for _, l := range f.links {
+	for _, l := range f.storeLinks {
 		l.LoseAnswers(3)
 	}
 	f.is.NoErr(f.submit(f.nodes[0], "job"))
@@ -270,8 +272,8 @@
 func TestUnansweredSubmissionIsUnknown(t *testing.T) {
 	f := newFixture(t, 2, 50*time.Millisecond)
 	f.leaderIndex()
-	f.links[0].LoseAnswers(100)
-	f.links[1].LoseAnswers(100)
+	f.storeLinks[0].LoseAnswers(100)
+	f.storeLinks[1].LoseAnswers(100)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	err := f.nodes[0].Submit(ctx, &work.Job{ID: "job", Queue: "mail", Accepted: time.Now(), Steps: []work.Step{{Count: 1}}})
@@ -282,7 +284,7 @@
 func TestConfigurationNeverReverts(t *testing.T) {
 	f := newFixture(t, 3, 50*time.Millisecond)
 	f.leaderIndex()
-	f.publish(9, "newer")
+	f.publishConfiguration(9, "newer")
 	end := time.Now().Add(2 * time.Second)
 	for _, n := range f.nodes {
 		for (n.Table() == nil || n.Table().Version != 9) && time.Now().Before(end) {
@@ -290,7 +292,7 @@
 		}
 		f.is.Equal(n.Table().Version, int64(9))
 	}
-	f.publish(4, "older")
+	f.publishConfiguration(4, "older")
 	time.Sleep(300 * time.Millisecond)
 	for _, n := range f.nodes {
 		f.is.Equal(n.Table().Version, int64(9))
@@ -302,8 +304,8 @@
 	f := newFixture(t, 3, 50*time.Millisecond)
 	f.leaderIndex()
 	time.Sleep(300 * time.Millisecond)
-	f.links[2].RefuseCalls(true)
-	f.publish(9, "newer")
+	f.storeLinks[2].RefuseCalls(true)
+	f.publishConfiguration(9, "newer")
 	end := time.Now().Add(2 * time.Second)
 	for f.nodes[2].Table().Version != 9 && time.Now().Before(end) {
 		time.Sleep(5 * time.Millisecond)
@@ -311,8 +313,9 @@
 	f.is.Equal(f.nodes[2].Table().Version, int64(9))
 }
 
-// The submissions of ended jobs are deleted from the store. A new leader must know
-// these jobs all the same, and must not run them again when they are submitted again.
+// The submissions of ended jobs are deleted from the store. A new leader must
+// nevertheless know these jobs, and must not run them again when they are submitted
+// again.
 func TestEndedJobsAreKnownAfterTakeOver(t *testing.T) {
 	f := newFixture(t, 3, 50*time.Millisecond)
 	first := f.leaderIndex()
@@ -351,7 +354,7 @@
 			f.store.Drop(topic, part)
 		}
 	}
-	f.publish(9, "mail")
+	f.publishConfiguration(9, "mail")
 	f.is.NoErr(f.submit(f.nodes[1], "after"))
 	f.awaitState(f.nodes[2], "after", work.Completed)
 	f.awaitState(f.nodes[2], "before", work.Completed)
@@ -363,7 +366,7 @@
 }
 
 // The leader deletes the records of an ended job. A leader that reads the deletion
-// while it still has the job must not take it for a cancellation.
+// while the job is still running must not treat it as a cancellation.
 func TestDroppedSubmissionIsNoCancellation(t *testing.T) {
 	f := newFixture(t, 2, 4*time.Second)
 	f.is.NoErr(f.submit(f.nodes[0], "a"))
@@ -382,14 +385,14 @@
 	first := f.leaderIndex()
 	f.is.NoErr(f.submit(f.nodes[first], "before"))
 	f.awaitState(f.nodes[first], "before", work.Running)
-	f.links[1-first].DelayAppends(store.Progress, 150*time.Millisecond)
+	f.storeLinks[1-first].DelayAppends(store.Progress, 150*time.Millisecond)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	f.nodes[first].Drain(ctx)
 	for f.leaderIndex() == first {
 		time.Sleep(5 * time.Millisecond)
 	}
-	time.Sleep(50 * time.Millisecond) // The successor reads, and its fencing append is in flight.
+	time.Sleep(50 * time.Millisecond) // The successor is reading, and its append that fences the previous leader is in flight.
 	f.is.NoErr(f.submit(f.nodes[first], "job"))
 	f.awaitState(f.nodes[1-first], "job", work.Completed)
 	f.is.Equal(f.fleet.Starts(firstTask("job")), 1)
@@ -402,7 +405,7 @@
 	f.is.NoErr(f.submit(f.nodes[0], "before"))
 	f.awaitState(f.nodes[0], "before", work.Completed)
 	f.nodes[1].Close()
-	f.links[0].RefuseCalls(true)
+	f.storeLinks[0].RefuseCalls(true)
 	waiting := make(chan error, 1)
 	go func() { waiting <- f.submit(f.nodes[0], "meanwhile") }()
 	for end := time.Now().Add(testTimeout); f.nodes[0].Ready() && time.Now().Before(end); {
@@ -414,7 +417,7 @@
 	err := f.submit(f.nodes[0], "during")
 	f.is.Equal(fault.KindOf[entryvm.Kind](err), entryvm.KindNotStored)
 	f.is.True(time.Since(begun) < 200*time.Millisecond)
-	f.links[0].RefuseCalls(false)
+	f.storeLinks[0].RefuseCalls(false)
 	for end := time.Now().Add(testTimeout); !f.nodes[0].Ready() && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -423,8 +426,8 @@
 	f.awaitState(f.nodes[0], "after", work.Completed)
 }
 
-// Some partitions of the store fail for all VMs, among them the first of each topic
-// and those that the VMs write to first. The VMs must write jobs to the remaining one.
+// Three of four partitions fail for all VMs, among them the first of each topic and
+// those that the VMs write to first. The VMs must write jobs to the remaining one.
 func TestPartOfTheStoreAway(t *testing.T) {
 	f := newFixture(t, 2, 50*time.Millisecond)
 	f.is.NoErr(f.submit(f.nodes[0], "before"))
@@ -440,7 +443,7 @@
 			break
 		}
 	}
-	for _, l := range f.links {
+	for _, l := range f.storeLinks {
 		for _, part := range failed {
 			l.RefusePartition(part, true)
 		}
@@ -452,7 +455,7 @@
 	}
 	f.is.NoErr(g.Wait())
 	f.is.True(time.Since(begun) < time.Second)
-	for _, l := range f.links {
+	for _, l := range f.storeLinks {
 		for _, part := range failed {
 			l.RefusePartition(part, false)
 		}
@@ -468,7 +471,7 @@
 	f := newFixture(t, 2, 50*time.Millisecond)
 	f.is.NoErr(f.submit(f.nodes[0], "before"))
 	f.awaitState(f.nodes[0], "before", work.Completed)
-	for _, l := range f.links {
+	for _, l := range f.storeLinks {
 		l.DelayCalls(350 * time.Millisecond)
 	}
 	for i := range 4 {
@@ -493,13 +496,13 @@
 	f := newFixture(t, 3, time.Second)
 	f.is.NoErr(f.submit(f.nodes[0], "job"))
 	f.awaitState(f.nodes[1], "job", work.Running)
-	for _, l := range f.links {
+	for _, l := range f.storeLinks {
 		l.RefuseCalls(true)
 	}
 	begun := time.Now()
 	f.awaitState(f.nodes[1], "job", work.Completed)
 	f.is.True(time.Since(begun) < 5*time.Second)
-	for _, l := range f.links {
+	for _, l := range f.storeLinks {
 		l.RefuseCalls(false)
 	}
 	leader := f.leaderIndex()
--- a/internal/node/entryvm/protocol.go
+++ b/internal/node/entryvm/protocol.go
@@ -11,15 +11,17 @@
 	"github.com/almondpost/almondpost/internal/peer/store"
 )
 
-// serviceName is the name of the net/rpc service that entry VMs offer each other.
-const serviceName = "EntryVM"
+// rpcServiceName is the name of the net/rpc service that entry VMs offer each other.
+const rpcServiceName = "EntryVM"
 
 // Nothing is the empty argument or reply of a call.
 type Nothing struct{}
 
-// HeartbeatArgs is a heartbeat of the leader.
+// HeartbeatArgs is the heartbeat that the leader sends to every other entry VM.
 type HeartbeatArgs struct {
-	Epoch  int64
+	// Epoch is the epoch of the leader's claim.
+	Epoch int64
+	// Leader is the name of the leader.
 	Leader string
 	// Address is the address of the leader. A VM that has just started may not know it
 	// yet.
@@ -28,33 +30,35 @@
 	Version int64
 }
 
-// HeartbeatReply is a follower's answer to a heartbeat.
+// HeartbeatReply is the answer of an entry VM to a heartbeat.
 type HeartbeatReply struct {
-	// Epoch is the highest epoch that the follower knows.
+	// Epoch is the highest epoch that the answering VM knows.
 	Epoch int64
-	// Version is the version of the follower's configuration.
+	// Version is the version of the answering VM's configuration.
 	Version int64
-	// ReachesStore is true if the follower reaches the store directly.
+	// ReachesStore is true if the answering VM reaches the store without another VM.
 	ReachesStore bool
 }
 
-// HeardReply reports when a VM last received a heartbeat.
-type HeardReply struct {
+// LastHeartbeatReply is the answer to the question when a VM last received a heartbeat.
+type LastHeartbeatReply struct {
 	// Epoch is the highest epoch that the VM knows.
 	Epoch int64
-	// Ago is the time since the last heartbeat from any leader.
+	// Ago is the time since the last heartbeat. Heartbeats from superseded leaders do
+	// not count.
 	Ago time.Duration
 }
 
 // JobArgs identifies a job.
 type JobArgs struct{ ID string }
 
-// StateReply is the state of a job.
+// StateReply is the answer to a question about the state of a job.
 type StateReply struct {
 	// Leading is false if the VM does not lead; the other fields are then unset.
 	Leading bool
-	// Fresh is true if the leader has read every partition of jobs within the last
-	// maxJobsReadAge. Only then is a job that it does not know reported as non-existent.
+	// Fresh is true if the leader has read every job partition within the last
+	// maxJobsReadAge. If it is false, a job that the leader does not know may still
+	// exist.
 	Fresh bool
 	// Known is true if the leader knows the job.
 	Known bool
@@ -64,44 +68,46 @@
 // PendingArgs identifies a queue.
 type PendingArgs struct{ Queue string }
 
-// PendingReply is the number of jobs of a queue that have not started.
+// PendingReply is the answer to a question about the number of jobs of a queue that
+// have not started.
 type PendingReply struct {
 	// Leading is false if the VM does not lead; Pending is then unset.
 	Leading bool
 	Pending int
 }
 
-// JobsArgs holds job records that another VM has stored.
+// JobsArgs holds job records that the calling VM has stored.
 type JobsArgs struct{ Records []store.Record }
 
 // JobsReply reports whether the leader has accepted the records. Taken is false if the
 // VM does not lead or has not restored the stored state yet.
 type JobsReply struct{ Taken bool }
 
-// AdviceArgs asks an entry VM to call the adviser about the workers for a step.
+// AdviceArgs asks an entry VM to call the adviser, which decides which workers a step
+// may use.
 type AdviceArgs struct {
 	Step work.StepID
-	// Workers holds worker IDs.
+	// Workers holds the IDs of the workers to ask about.
 	Workers []string
 	// Timeout limits the call to the adviser.
 	Timeout time.Duration
 }
 
-// TableArgs is a published configuration.
+// TableArgs is a published configuration that the leader sends to another VM.
 type TableArgs struct {
 	Version int64
 	// Text is the text of the configuration, compressed with gzip.
 	Text []byte
 }
 
-// AppendArgs asks an entry VM to append to the store for the caller.
+// AppendArgs asks an entry VM to append to the store on behalf of the caller.
 type AppendArgs struct {
 	Append store.Append
 	// Timeout limits the call to the store.
 	Timeout time.Duration
 }
 
-// ReadArgs asks an entry VM to read from the store for the caller.
+// ReadArgs asks an entry VM to read from the store on behalf of the caller.
 type ReadArgs struct {
 	Read store.Read
 	// Snapshot requests the newest record of each key instead of the records from
@@ -111,9 +117,11 @@
 	Timeout time.Duration
 }
 
-// StoreReply is the answer of the store to a relayed call, or its error.
+// StoreReply is the result of a call that an entry VM made to the store on behalf of
+// another VM.
 type StoreReply struct {
-	// End is the end offset of an append or snapshot, or the next offset of a read.
+	// End is the end offset after an append, the end offset of a snapshot, or the
+	// offset at which the next read continues.
 	End     int64
 	Records []store.Record
 	// Kind is the error kind. It is empty on success.
@@ -122,28 +130,28 @@
 	Message string
 }
 
-// errStoreDown is the error of a relayed call if this VM does not reach the store
-// directly.
+// errStoreDown is the answer to a VM that asks this one to call the store, while this
+// VM does not reach the store directly either.
 var errStoreDown = fault.Newf("relay", store.KindRefused, "this VM does not reach the store directly either")
 
-// handler implements the net/rpc service that other entry VMs call.
-type handler struct{ node *Node }
+// rpcHandler implements the net/rpc service that other entry VMs call.
+type rpcHandler struct{ node *Node }
 
 // Heartbeat records a heartbeat of the leader.
-func (h *handler) Heartbeat(a HeartbeatArgs, r *HeartbeatReply) error {
+func (h *rpcHandler) Heartbeat(a HeartbeatArgs, r *HeartbeatReply) error {
 	*r = HeartbeatReply{Epoch: h.node.election.recordHeartbeat(a), Version: h.node.configuration.version(), ReachesStore: h.node.store.reachableFor(now()) > 0}
 	return nil
 }
 
 // Heard reports when this VM last received a heartbeat.
-func (h *handler) Heard(_ Nothing, r *HeardReply) error {
-	*r = h.node.election.lastHeard()
+func (h *rpcHandler) Heard(_ Nothing, r *LastHeartbeatReply) error {
+	*r = h.node.election.heartbeatStatus()
 	return nil
 }
 
 // TakeOver asks this VM to claim leadership. It fails if the VM is about to stop.
-func (h *handler) TakeOver(_ Nothing, _ *Nothing) error {
-	if h.node.isLeaving() {
+func (h *rpcHandler) TakeOver(_ Nothing, _ *Nothing) error {
+	if h.node.isStopping() {
 		return fault.Newf("take_over", KindNoLeader, "this VM is about to stop")
 	}
 	h.node.election.requestTakeOver()
@@ -151,25 +159,25 @@
 }
 
 // State returns the state of a job, if this VM leads.
-func (h *handler) State(a JobArgs, r *StateReply) error {
+func (h *rpcHandler) State(a JobArgs, r *StateReply) error {
 	if l := h.node.activeLeader(); l != nil {
-		*r = l.status(a.ID)
+		*r = l.jobStatus(a.ID)
 	}
 	return nil
 }
 
 // Pending returns the number of jobs of a queue that have not started, if this VM
 // leads.
-func (h *handler) Pending(a PendingArgs, r *PendingReply) error {
+func (h *rpcHandler) Pending(a PendingArgs, r *PendingReply) error {
 	if l := h.node.activeLeader(); l != nil {
-		*r = l.pending(a.Queue)
+		*r = l.pendingJobs(a.Queue)
 	}
 	return nil
 }
 
-// Jobs passes stored job records to the scheduler before the leader reads them from
-// the store.
-func (h *handler) Jobs(a JobsArgs, r *JobsReply) error {
+// Jobs passes job records that the caller has stored to the scheduler, if this VM
+// leads. The scheduler then knows the jobs before the leader reads them from the store.
+func (h *rpcHandler) Jobs(a JobsArgs, r *JobsReply) error {
 	if l := h.node.activeLeader(); l != nil {
 		r.Taken = l.addStoredJobs(a.Records)
 	}
@@ -177,7 +185,7 @@
 }
 
 // Advise calls the adviser for the leader.
-func (h *handler) Advise(a AdviceArgs, r *backend.Advice) error {
+func (h *rpcHandler) Advise(a AdviceArgs, r *backend.Advice) error {
 	ctx, cancel := context.WithTimeout(h.node.ctx, a.Timeout)
 	defer cancel()
 	advice, err := h.node.dependencies.Adviser.Advise(ctx, a.Step, a.Workers)
@@ -186,7 +194,7 @@
 }
 
 // Table applies a configuration that the leader sends.
-func (h *handler) Table(a TableArgs, _ *Nothing) error {
+func (h *rpcHandler) Table(a TableArgs, _ *Nothing) error {
 	if a.Version <= h.node.configuration.version() {
 		return nil
 	}
@@ -195,12 +203,12 @@
 		h.node.log.Error(err, "configuration_unreadable", "source", "peer")
 		return err
 	}
-	h.node.configuration.accept(text, "peer")
+	h.node.configuration.applyIfNewer(text, "peer")
 	return nil
 }
 
 // Append appends to the store for a VM that does not reach it.
-func (h *handler) Append(a AppendArgs, r *StoreReply) error {
+func (h *rpcHandler) Append(a AppendArgs, r *StoreReply) error {
 	if h.node.store.down.Load() {
 		r.setError(errStoreDown)
 		return nil
@@ -214,7 +222,7 @@
 }
 
 // Read reads from the store for a VM that does not reach it.
-func (h *handler) Read(a ReadArgs, r *StoreReply) error {
+func (h *rpcHandler) Read(a ReadArgs, r *StoreReply) error {
 	if h.node.store.down.Load() {
 		r.setError(errStoreDown)
 		return nil
--- a/internal/node/entryvm/relay.go
+++ b/internal/node/entryvm/relay.go
@@ -15,32 +15,33 @@
 
 const (
 	// minAppendTimeout and maxAppendTimeout are the limits of the append timeout, which
-	// is appendTimeoutFactor times the average latency of appends. maxAppendTimeout also
-	// limits each direct append on its own, since callers wait three seconds.
+	// is appendTimeoutFactor times the average latency of appends. maxAppendTimeout
+	// also limits the total time of each direct append, since callers wait only three
+	// seconds.
 	minAppendTimeout    = 200 * time.Millisecond
 	maxAppendTimeout    = 2 * time.Second
 	appendTimeoutFactor = 5
 	// readProbeTimeout limits the read that distinguishes a slow store from an
 	// unreachable one.
 	readProbeTimeout = 450 * time.Millisecond
-	// slowStoreFactor is the ratio of the append timeout of a slow store to the duration
-	// of the probing read. An append takes longer, since it waits for the earlier ones in
-	// its partition.
-	slowStoreFactor = 6
+	// slowStoreTimeoutFactor is the ratio between the append timeout while the store is
+	// slow and the duration of the read that has shown that it is slow. An append takes
+	// longer than a read, since it waits for earlier appends to its partition.
+	slowStoreTimeoutFactor = 6
 	// relayTimeout limits a call to the store through another VM.
 	relayTimeout = 800 * time.Millisecond
-	// probeInterval is the pause between two attempts to reach the store directly again.
-	probeInterval = 300 * time.Millisecond
+	// storeProbeInterval is the pause between two attempts to reach the store directly again.
+	storeProbeInterval = 300 * time.Millisecond
 	// partitionCheckTimeout limits the check of other partitions after failed appends.
 	partitionCheckTimeout = 300 * time.Millisecond
 	// failuresUntilCheck is the number of consecutive direct appends without an answer
-	// after which the VM checks whether it still reaches the store. A single one may be a
-	// lost answer.
+	// after which the VM checks whether it still reaches the store. A single one may be
+	// due to one lost message.
 	failuresUntilCheck = 2
-	// emptyReadPause is the pause after a relayed read that returned no records. It
+	// relayedEmptyReadPause is the pause after a relayed read that returned no records. It
 	// replaces the long poll of a direct read.
-	emptyReadPause = 300 * time.Millisecond
-	// maxRelayAttempts limits the number of VMs that are tried for one call.
+	relayedEmptyReadPause = 300 * time.Millisecond
+	// maxRelayAttempts limits the number of VMs through which one call is tried.
 	maxRelayAttempts = 2
 )
 
@@ -51,7 +52,7 @@
 // relayedStore calls the store directly, or through other entry VMs while this one
 // does not reach it.
 type relayedStore struct {
-	// direct calls the store without other VMs.
+	// direct calls the store from this VM.
 	direct store.Store
 	node   *Node
 	// down is true while the store is not reached directly.
@@ -59,20 +60,23 @@
 	// checkingPartitions is true while a goroutine decides whether the store is down.
 	// Only one does so at a time.
 	checkingPartitions atomic.Bool
-	// failures counts the consecutive direct appends that failed.
-	failures atomic.Int32
+	// consecutiveFailures counts the direct appends that have failed since the last
+	// successful one.
+	consecutiveFailures atomic.Int32
 	// downChangedAt is when down last changed, in Unix nanoseconds.
 	downChangedAt atomic.Int64
-	// latency is a moving average of the duration of direct appends, in nanoseconds.
-	latency atomic.Int64
+	// appendLatency is a moving average of the duration of direct appends, in
+	// nanoseconds.
+	appendLatency atomic.Int64
 }
 
 func newRelayedStore(direct store.Store, n *Node) *relayedStore {
 	return &relayedStore{direct: direct, node: n}
 }
 
-// reachableFor returns how long the store has been directly reachable. While it is
-// not, it returns a negative time: for how long it has been unreachable.
+// reachableFor returns how long the store has been directly reachable. While the store
+// is not reachable, it returns a negative duration: the time since the store became
+// unreachable, negated.
 func (s *relayedStore) reachableFor(at time.Time) time.Duration {
 	since := at.Sub(time.Unix(0, s.downChangedAt.Load()))
 	if s.down.Load() {
@@ -102,27 +106,27 @@
 
 // appendTimeout returns how long a direct append may take while the store is healthy.
 func (s *relayedStore) appendTimeout() time.Duration {
-	return min(max(appendTimeoutFactor*time.Duration(s.latency.Load()), minAppendTimeout), maxAppendTimeout)
+	return min(max(appendTimeoutFactor*time.Duration(s.appendLatency.Load()), minAppendTimeout), maxAppendTimeout)
 }
 
-// recordAppend updates the metrics, the average latency and the failure count with the
-// result of a direct append. After failuresUntilCheck failures, or one refusal, it
-// starts a check whether the store is down.
-func (s *relayedStore) recordAppend(ctx context.Context, err error, took time.Duration) {
+// recordAppendResult updates the metrics, the average latency and the failure count
+// with the result of a direct append. After failuresUntilCheck consecutive failures, or
+// one refusal, it starts to check whether the store is down.
+func (s *relayedStore) recordAppendResult(ctx context.Context, err error, took time.Duration) {
 	if ctx.Err() == context.Canceled {
 		return
 	}
 	s.node.measures.Observe(measure.Key{Name: "store_append", Label: string(appendOutcome(err))}, took)
 	if !isUnreachable(err) {
 		s.node.isolation.recordContact()
-		s.failures.Store(0)
-		s.latency.Store((s.latency.Load() + int64(took)) / 2)
+		s.consecutiveFailures.Store(0)
+		s.appendLatency.Store((s.appendLatency.Load() + int64(took)) / 2)
 		return
 	}
 	if storeKind(err) == store.KindUnknown && took >= minAppendTimeout {
-		s.latency.Store(min(2*max(s.latency.Load(), int64(minAppendTimeout/appendTimeoutFactor)), int64(maxAppendTimeout/appendTimeoutFactor)))
+		s.appendLatency.Store(min(2*max(s.appendLatency.Load(), int64(minAppendTimeout/appendTimeoutFactor)), int64(maxAppendTimeout/appendTimeoutFactor)))
 	}
-	if s.failures.Add(1) < failuresUntilCheck && storeKind(err) == store.KindUnknown {
+	if s.consecutiveFailures.Add(1) < failuresUntilCheck && storeKind(err) == store.KindUnknown {
 		return
 	}
 	if !s.down.Load() && s.checkingPartitions.CompareAndSwap(false, true) {
@@ -130,13 +134,14 @@
 	}
 }
 
-// checkPartitions finds out whether this VM has lost the whole store or only some of
-// its partitions. If only some are lost, the store does not count as down, since other
-// VMs cannot reach them either.
+// checkPartitions finds out whether this VM has lost the connection to all partitions
+// of the store or only to some. If at least one answers, the store is not marked as
+// down: other VMs cannot reach the lost partitions either, so relaying calls would not
+// help.
 func (s *relayedStore) checkPartitions(cause error) {
 	defer s.checkingPartitions.Store(false)
 	if s.anyPartitionAnswers(partitionCheckTimeout, probedPartitions[:]...) {
-		s.failures.Store(0)
+		s.consecutiveFailures.Store(0)
 		s.node.log.Info("store_partly_lost", "error", cause.Error())
 		return
 	}
@@ -173,12 +178,12 @@
 	return false
 }
 
-// probeUntilReachable probes one partition after the other until one answers directly,
-// and then clears down.
+// probeUntilReachable reads from one partition after the other until one answers
+// directly. Then it marks the store as reachable.
 func (s *relayedStore) probeUntilReachable() {
-	for part := 0; sleep(s.node.ctx, probeInterval); part = (part + 1) % len(probedPartitions) {
+	for part := 0; sleep(s.node.ctx, storeProbeInterval); part = (part + 1) % len(probedPartitions) {
 		if s.anyPartitionAnswers(maxAppendTimeout, part) {
-			s.failures.Store(0)
+			s.consecutiveFailures.Store(0)
 			s.downChangedAt.Store(now().UnixNano())
 			s.down.Store(false)
 			s.node.log.Info("store_regained")
@@ -194,20 +199,21 @@
 	if !s.down.Load() {
 		begun := now()
 		end, err := s.appendDirect(ctx, a)
-		s.recordAppend(ctx, err, now().Sub(begun))
+		s.recordAppendResult(ctx, err, now().Sub(begun))
 		if storeKind(err) != store.KindRefused || err == nil {
 			return end, err
 		}
 	}
 	reply, err := s.relay(ctx, "Append", func(ctx context.Context, m member) (StoreReply, error) {
-		return link.Call[AppendArgs, StoreReply](ctx, s.node.client, m.Address, "Append", AppendArgs{Append: a, Timeout: relayTimeout})
+		return link.Call[AppendArgs, StoreReply](ctx, s.node.peerClient, m.Address, "Append", AppendArgs{Append: a, Timeout: relayTimeout})
 	})
 	return reply.End, err
 }
 
-// appendDirect appends without other VMs. If half of the append timeout passes without
-// an answer, it reads from the store: if a partition answers, the store is only slow
-// and the append gets more time, otherwise the store is marked as down.
+// appendDirect appends to the store without relaying the call through another VM. If
+// half of the append timeout passes without an answer, it reads from the store: if a
+// partition answers, the store is only slow and the append gets more time, otherwise
+// the store is marked as down.
 //
 // Without the extra time, a slow store would still carry out the append that was given
 // up, and the caller's retries would fill the partitions until the store refuses all
@@ -227,7 +233,7 @@
 		readBegun := now()
 		limit := timeout
 		if s.anyPartitionAnswers(readProbeTimeout, probedPartitions[:]...) {
-			limit = max(timeout, slowStoreFactor*now().Sub(readBegun))
+			limit = max(timeout, slowStoreTimeoutFactor*now().Sub(readBegun))
 		} else if s.checkingPartitions.CompareAndSwap(false, true) {
 			s.markDown("neither appends nor reads are answered")
 			s.checkingPartitions.Store(false)
@@ -257,10 +263,10 @@
 		return s.direct.Read(ctx, r)
 	}
 	reply, err := s.relay(ctx, "Read", func(ctx context.Context, m member) (StoreReply, error) {
-		return link.Call[ReadArgs, StoreReply](ctx, s.node.client, m.Address, "Read", ReadArgs{Read: store.Read{Topic: r.Topic, Part: r.Part, From: r.From}, Timeout: relayTimeout})
+		return link.Call[ReadArgs, StoreReply](ctx, s.node.peerClient, m.Address, "Read", ReadArgs{Read: store.Read{Topic: r.Topic, Part: r.Part, From: r.From}, Timeout: relayTimeout})
 	})
 	if err == nil && len(reply.Records) == 0 {
-		sleep(ctx, min(r.Wait, emptyReadPause))
+		sleep(ctx, min(r.Wait, relayedEmptyReadPause))
 	}
 	return store.Batch{Records: reply.Records, Next: reply.End}, err
 }
@@ -271,16 +277,16 @@
 		return s.direct.Newest(ctx, t, part)
 	}
 	reply, err := s.relay(ctx, "Newest", func(ctx context.Context, m member) (StoreReply, error) {
-		return link.Call[ReadArgs, StoreReply](ctx, s.node.client, m.Address, "Read", ReadArgs{Read: store.Read{Topic: t, Part: part}, Snapshot: true, Timeout: relayTimeout})
+		return link.Call[ReadArgs, StoreReply](ctx, s.node.peerClient, m.Address, "Read", ReadArgs{Read: store.Read{Topic: t, Part: part}, Snapshot: true, Timeout: relayTimeout})
 	})
 	return store.Snapshot{Records: reply.Records, End: reply.End}, err
 }
 
-// relay makes a call through other VMs, one after the other. The error has
-// store.KindUnknown if a VM may have carried the call out, and store.KindRefused if
-// none has.
+// relay tries a call through other VMs, one after the other, until one succeeds. It
+// tries at most maxRelayAttempts VMs. The error has store.KindUnknown if a VM may have
+// carried the call out, and store.KindRefused if none has.
 func (s *relayedStore) relay(ctx context.Context, operation string, call func(context.Context, member) (StoreReply, error)) (StoreReply, error) {
-	others := slices.DeleteFunc(s.node.members.others(), func(m member) bool { return s.node.client.Silent(m.Address) })
+	others := slices.DeleteFunc(s.node.members.others(), func(m member) bool { return s.node.peerClient.Silent(m.Address) })
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	uncertain := false
 	for i, m := range others {
--- a/internal/node/entryvm/session.go
+++ b/internal/node/entryvm/session.go
@@ -13,26 +13,29 @@
 )
 
 const (
-	// orderTimeout limits an order. The scheduler replaces an order without an answer.
-	// Workers answer within milliseconds; the rest allows for a busy leader.
+	// orderTimeout is how long the leader waits for a worker's answer to an order. The
+	// scheduler sends a new order if there is none. Workers answer within milliseconds;
+	// the remaining time allows for delays on a busy leader.
 	orderTimeout = 250*time.Millisecond + keeper.ForwardingMargin
-	// holdMargin is how much longer than Hold.Wait the leader waits for the answer to a
-	// hold.
-	holdMargin = 250*time.Millisecond + keeper.ForwardingMargin
+	// holdReplyMargin is added to Hold.Wait to get the timeout of a hold. Hold.Wait is
+	// the longest time that the worker may take before it answers.
+	holdReplyMargin = 250*time.Millisecond + keeper.ForwardingMargin
 	// holdRetryPause is the pause after a failed hold.
 	holdRetryPause = 100 * time.Millisecond
-	// fencedPause is the pause after a worker has refused a hold for its fencing token.
-	// The leader renews its claim in the meantime, to find out whether it was superseded.
-	fencedPause = 300 * time.Millisecond
-	// maxCommitWait limits the wait for the ends of runs to be stored. Afterwards the
-	// next hold extends the lease without acknowledging them.
+	// fencedHoldPause is the pause after a worker has refused a hold because of its
+	// fencing token. Meanwhile the leader renews its claim to find out whether it was
+	// superseded.
+	fencedHoldPause = 300 * time.Millisecond
+	// maxCommitWait limits how long the next hold is delayed until the run ends that
+	// the worker has reported are stored. After that the hold is sent without
+	// acknowledging them, so that it extends the lease in time.
 	maxCommitWait = 400 * time.Millisecond
 )
 
-// session is the leader's connection to one worker process. It sends orders, and one
-// hold after the other. A hold is a long poll that extends the lease of all runs on
-// the worker and returns which runs have ended.
-type session struct {
+// workerSession is the leader's connection to one worker process. It sends orders and,
+// one at a time, holds. A hold is a long poll that extends the lease of all runs on the
+// worker and returns which runs have ended.
+type workerSession struct {
 	leader *leader
 	// life identifies the worker process.
 	life   backend.Life
@@ -40,39 +43,40 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	mutex  sync.Mutex
-	// interruptHold cancels the hold that is in flight.
-	interruptHold context.CancelFunc
-	// woken is true if wake was called since the current hold began.
-	woken bool
+	// cancelHold cancels the hold that is in flight.
+	cancelHold context.CancelFunc
+	// holdInterrupted is true if interruptHold was called since the current hold began.
+	holdInterrupted bool
 }
 
-func newSession(l *leader, r backend.Registration) *session {
+func newSession(l *leader, r backend.Registration) *workerSession {
 	ctx, cancel := context.WithCancel(l.ctx)
-	return &session{leader: l, life: r.Life, worker: l.dialWorker(r), ctx: ctx, cancel: cancel}
+	return &workerSession{leader: l, life: r.Life, worker: l.dialWorker(r), ctx: ctx, cancel: cancel}
 }
 
 // close ends the session and closes the connection to the worker.
-func (s *session) close() {
+func (s *workerSession) close() {
 	s.cancel()
 	s.worker.Close()
 }
 
-// wake interrupts the current hold, so that the next one is sent at once.
-func (s *session) wake() {
+// interruptHold interrupts the current hold, so that the next one is sent at once.
+func (s *workerSession) interruptHold() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.woken = true
-	if s.interruptHold != nil {
-		s.interruptHold()
+	s.holdInterrupted = true
+	if s.cancelHold != nil {
+		s.cancelHold()
 	}
 }
 
-// run sends holds until the session is closed.
-func (s *session) run() {
+// run sends holds until the session is closed or the scheduler has no hold for the
+// worker.
+func (s *workerSession) run() {
 	for s.ctx.Err() == nil {
 		ctx, cancel := context.WithCancel(s.ctx)
 		s.mutex.Lock()
-		s.interruptHold, s.woken = cancel, false
+		s.cancelHold, s.holdInterrupted = cancel, false
 		s.mutex.Unlock()
 		ok := s.sendHold(ctx)
 		cancel()
@@ -82,19 +86,19 @@
 	}
 }
 
-// sendHold sends one hold and passes the report to the scheduler. It returns false if
-// the session must end.
-func (s *session) sendHold(interruptible context.Context) bool {
+// sendHold sends one hold and passes the worker's report to the scheduler. It returns
+// false if the session must end.
+func (s *workerSession) sendHold(interruptible context.Context) bool {
 	var hold backend.Hold
 	var sent scheduler.HoldSent
 	ok := false
-	s.leader.update(func(c *scheduler.Scheduler, at time.Time) {
+	s.leader.updateScheduler(func(c *scheduler.Scheduler, at time.Time) {
 		hold, sent, ok = c.HoldRequest(s.life, at)
 	})
 	if !ok {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(interruptible, hold.Wait+holdMargin)
+	ctx, cancel := context.WithTimeout(interruptible, hold.Wait+holdReplyMargin)
 	report, err := s.worker.Hold(ctx, hold)
 	cancel()
 	if s.ctx.Err() != nil {
@@ -102,32 +106,33 @@
 	}
 	if err != nil {
 		kind := fault.KindOr(err, backend.KindUnknown)
-		if !s.wasWoken() {
+		if !s.wasHoldInterrupted() {
 			s.leader.node.log.Info("hold_failed", "worker", s.life.ID, "kind", string(kind), "error", err.Error())
 		}
-		s.leader.update(func(c *scheduler.Scheduler, at time.Time) { c.HoldFailed(s.life, kind, at) })
+		s.leader.updateScheduler(func(c *scheduler.Scheduler, at time.Time) { c.HoldFailed(s.life, kind, at) })
 		if kind == backend.KindFenced {
 			s.leader.renewClaim()
-			sleep(s.ctx, fencedPause)
-		} else if !s.wasWoken() {
+			sleep(s.ctx, fencedHoldPause)
+		} else if !s.wasHoldInterrupted() {
 			sleep(s.ctx, holdRetryPause)
 		}
 		return true
 	}
-	s.leader.update(func(c *scheduler.Scheduler, at time.Time) { c.HoldAnswered(s.life, sent, &report, at) })
+	s.leader.updateScheduler(func(c *scheduler.Scheduler, at time.Time) { c.HoldAnswered(s.life, sent, &report, at) })
 	if len(report.Ended) > 0 {
-		s.awaitRunEndsStored()
+		s.awaitReportedEndsStored()
 	}
 	return true
 }
 
-// awaitRunEndsStored waits until the ends of runs in the last report are stored, so
-// that the next hold can acknowledge them.
-func (s *session) awaitRunEndsStored() {
+// awaitReportedEndsStored waits until the run ends that the worker has reported are
+// stored, so that the next hold can acknowledge them. It waits for at most
+// maxCommitWait.
+func (s *workerSession) awaitReportedEndsStored() {
 	timer := time.NewTimer(maxCommitWait)
 	defer timer.Stop()
 	for {
-		done, next := s.leader.runEndsStored(s.life)
+		done, next := s.leader.reportedEndsStored(s.life)
 		if done {
 			return
 		}
@@ -141,15 +146,16 @@
 	}
 }
 
-// wasWoken reports whether wake was called since the current hold began.
-func (s *session) wasWoken() bool {
+// wasHoldInterrupted reports whether interruptHold was called since the current hold
+// began.
+func (s *workerSession) wasHoldInterrupted() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.woken
+	return s.holdInterrupted
 }
 
 // sendStart sends an order to start a run and passes the answer to the scheduler.
-func (s *session) sendStart(o backend.Start) {
+func (s *workerSession) sendStart(o backend.Start) {
 	ctx, cancel := context.WithTimeout(s.ctx, orderTimeout)
 	defer cancel()
 	begun := now()
@@ -159,11 +165,11 @@
 	if err != nil {
 		kind = fault.KindOr(err, backend.KindUnknown)
 	}
-	s.leader.update(func(c *scheduler.Scheduler, at time.Time) { c.StartAnswered(s.life, &o, kind, clock, at) })
+	s.leader.updateScheduler(func(c *scheduler.Scheduler, at time.Time) { c.StartAnswered(s.life, &o, kind, clock, at) })
 }
 
 // sendStop sends an order to stop a run. A failure is only logged.
-func (s *session) sendStop(o backend.Stop) {
+func (s *workerSession) sendStop(o backend.Stop) {
 	ctx, cancel := context.WithTimeout(s.ctx, orderTimeout)
 	defer cancel()
 	if err := s.worker.Stop(ctx, o); err != nil && s.ctx.Err() == nil {
@@ -171,8 +177,9 @@
 	}
 }
 
-// sendPace sends an order that changes the pace of a run. A failure is only logged.
-func (s *session) sendPace(o backend.Pace) {
+// sendPace sends an order that changes how fast a run proceeds. A failure is only
+// logged.
+func (s *workerSession) sendPace(o backend.Pace) {
 	ctx, cancel := context.WithTimeout(s.ctx, orderTimeout)
 	defer cancel()
 	if err := s.worker.Pace(ctx, o); err != nil && s.ctx.Err() == nil {
--- a/internal/node/entryvm/tail.go
+++ b/internal/node/entryvm/tail.go
@@ -10,15 +10,15 @@
 	"github.com/almondpost/almondpost/internal/peer/store"
 )
 
-// applyJobs passes submissions and then cancellations to the scheduler. While a new
-// leader restores the stored state, progress holds the stored progress of jobs by ID;
-// afterwards it is nil.
-func (l *leader) applyJobs(s *scheduler.Scheduler, records []store.Record, progress map[string]*work.Progress, at time.Time) {
+// applyJobRecords passes first the submissions and then the cancellations among the
+// records to the scheduler. While a new leader restores the stored state, progress
+// holds the stored progress of jobs by ID; afterwards it is nil.
+func (l *leader) applyJobRecords(s *scheduler.Scheduler, records []store.Record, progress map[string]*work.Progress, at time.Time) {
 	var cancelled []string
 	for i := range records {
 		r := &records[i]
 		if len(r.Value) == 0 {
-			continue // The leader has deleted the record.
+			continue // An empty value marks a record that a leader has deleted.
 		}
 		if id, ok := strings.CutSuffix(r.Key, cancelSuffix); ok {
 			cancelled = append(cancelled, id)
@@ -40,8 +40,8 @@
 	}
 }
 
-// tailJobs reads a partition of jobs every jobsReadInterval until the leader is
-// stopped.
+// tailJobs reads the new records of a job partition every jobsReadInterval until the
+// leader is stopped.
 func (l *leader) tailJobs(part int, from int64) {
 	for sleep(l.ctx, jobsReadInterval) {
 		begun := now()
@@ -53,16 +53,16 @@
 			continue
 		}
 		from = next
-		l.update(func(s *scheduler.Scheduler, at time.Time) {
+		l.updateScheduler(func(s *scheduler.Scheduler, at time.Time) {
 			l.recordJobPartitions(part, records)
-			l.applyJobs(s, records, nil, at)
+			l.applyJobRecords(s, records, nil, at)
 			l.lastJobsRead[part] = begun
 		})
 	}
 }
 
-// recordJobPartitions records that a partition contains records of jobs, so that they
-// can be deleted there later. The caller must hold the mutex.
+// recordJobPartitions notes in jobPartitions that a partition contains the given
+// records, so that they can be deleted there later. The caller must hold the mutex.
 func (l *leader) recordJobPartitions(part int, records []store.Record) {
 	for i := range records {
 		if id := strings.TrimSuffix(records[i].Key, cancelSuffix); len(records[i].Value) > 0 {
@@ -76,15 +76,15 @@
 // yet or is stopped.
 func (l *leader) addStoredJobs(records []store.Record) bool {
 	l.mutex.Lock()
-	serving := l.serving && l.ctx.Err() == nil
+	ready := l.restored && l.ctx.Err() == nil
 	l.mutex.Unlock()
-	if serving {
-		l.update(func(s *scheduler.Scheduler, at time.Time) { l.applyJobs(s, records, nil, at) })
+	if ready {
+		l.updateScheduler(func(s *scheduler.Scheduler, at time.Time) { l.applyJobRecords(s, records, nil, at) })
 	}
-	return serving
+	return ready
 }
 
-// tailRegistrations reads the registrations of workers every registrationsReadInterval
+// tailRegistrations reads new worker registrations every registrationsReadInterval
 // until the leader is stopped.
 func (l *leader) tailRegistrations() {
 	from := int64(-1)
@@ -101,7 +101,7 @@
 		if len(records) == 0 && !isSnapshot {
 			continue
 		}
-		l.update(func(s *scheduler.Scheduler, at time.Time) {
+		l.updateScheduler(func(s *scheduler.Scheduler, at time.Time) {
 			if isSnapshot {
 				clear(l.registrations)
 			}
@@ -112,9 +112,9 @@
 	}
 }
 
-// applyRegistrations records registrations of workers. It reports whether the
-// scheduler must learn of a change: a worker was added or removed, or one of the
-// fields that are compared below differs.
+// applyRegistrations updates the known worker registrations. It reports whether the
+// scheduler must be told: a worker was added or removed, or one of the fields compared
+// below has changed.
 func (l *leader) applyRegistrations(records []store.Record) bool {
 	newest := map[string]*store.Record{}
 	for i := range records {
@@ -150,8 +150,8 @@
 	return list
 }
 
-// jobsUpToDate reports whether every partition of jobs was read within maxJobsReadAge.
-// The caller must hold the mutex.
+// jobsUpToDate reports whether every job partition was read within maxJobsReadAge. The
+// caller must hold the mutex.
 func (l *leader) jobsUpToDate() bool {
 	for _, t := range l.lastJobsRead {
 		if now().Sub(t) >= maxJobsReadAge {
--- a/internal/node/entryvm/takeover.go
+++ b/internal/node/entryvm/takeover.go
@@ -13,12 +13,12 @@
 	"github.com/almondpost/almondpost/internal/peer/store"
 )
 
-// abortRestore stops the leader if it has not restored the stored state yet, so that
-// another VM can lead.
-func (l *leader) abortRestore() {
+// stopIfNotRestored stops the leader if it has not restored the stored state yet, so
+// that another VM can lead.
+func (l *leader) stopIfNotRestored() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if !l.serving {
+	if !l.restored {
 		l.stop()
 	}
 }
@@ -26,15 +26,15 @@
 // storedState is the state of the cell as read from the store.
 type storedState struct {
 	progress []store.Record
-	// jobs holds the records of each partition of jobs, and nextJobOffsets the offset
-	// from which to continue reading it.
+	// jobs holds the records of each job partition. nextJobOffsets holds, for each job
+	// partition, the offset from which to continue reading.
 	jobs           [][]store.Record
 	nextJobOffsets []int64
 	registrations  []store.Record
 }
 
 // restore fences the previous leader and restores the scheduler from the store. It
-// returns the offset of each partition of jobs from which to continue reading.
+// returns, for each job partition, the offset from which to continue reading.
 func (l *leader) restore() ([]int64, error) {
 	begun := now()
 	saved, err := l.readStored()
@@ -51,30 +51,30 @@
 		}
 		progress[r.Key] = p
 	}
-	l.update(func(s *scheduler.Scheduler, at time.Time) {
+	l.updateScheduler(func(s *scheduler.Scheduler, at time.Time) {
 		s.AppendConfirmed(begun)
 		l.applyRegistrations(saved.registrations)
 		s.SetWorkers(l.registrationList(), at)
 		for part, records := range saved.jobs {
 			l.recordJobPartitions(part, records)
 		}
-		l.applyJobs(s, slices.Concat(saved.jobs...), progress, at)
+		l.applyJobRecords(s, slices.Concat(saved.jobs...), progress, at)
 		for id, p := range progress {
 			s.RestoreEnded(id, p, at)
 		}
 		for part := range l.lastJobsRead {
 			l.lastJobsRead[part] = begun
 		}
-		l.serving = true
+		l.restored = true
 	})
 	l.node.measures.Observe(measure.Key{Name: "take_over"}, now().Sub(begun))
 	l.node.log.Info("take_over_done", "epoch", l.epoch, "partitions", len(saved.jobs), "progress", len(saved.progress), "workers", len(l.registrations), "took_ms", now().Sub(begun).Milliseconds())
 	return saved.nextJobOffsets, nil
 }
 
-// readStored reads the stored state with concurrent calls. It reads jobs and progress
-// only after it has fenced the previous leader, which until then can start jobs that
-// are submitted during the take-over.
+// readStored reads the stored state with concurrent calls. It fences the previous
+// leader before it reads jobs and progress, since the previous leader can start newly
+// submitted jobs until it is fenced.
 func (l *leader) readStored() (storedState, error) {
 	parts := l.node.settings.Partitions
 	saved := storedState{jobs: make([][]store.Record, parts), nextJobOffsets: make([]int64, parts)}
@@ -85,7 +85,7 @@
 		return err
 	})
 	g.Go(func() error {
-		if err := l.appendProgress(l.renewalRecords()); err != nil {
+		if err := l.appendProgress(l.claimRenewalRecords()); err != nil {
 			return err
 		}
 		afterFence.Go(func() error {
@@ -105,7 +105,7 @@
 	return saved, g.Wait()
 }
 
-// readSnapshot reads the newest record of each key of a partition. It retries until
+// readSnapshot reads the newest record of each key in a partition. It retries until
 // that succeeds or the leader is stopped.
 func (l *leader) readSnapshot(t store.Topic, part int) (store.Snapshot, error) {
 	for {
--- a/internal/node/entryvm/writer.go
+++ b/internal/node/entryvm/writer.go
@@ -16,85 +16,87 @@
 const (
 	// writeRetryPause is the pause after a failed append.
 	writeRetryPause = 60 * time.Millisecond
-	// maxAppendRecords limits the records of one append.
-	maxAppendRecords = 200
-	// minAppendMargin is the shortest time before the deadline of a caller at which an
-	// append may be retried. The margin is longer while the store is slow, and
-	// relayedAppendMargin while it is reached through other VMs.
-	minAppendMargin     = 30 * time.Millisecond
-	relayedAppendMargin = 300 * time.Millisecond
-	// defaultWriteTimeout limits the writing of a record for a caller without a deadline.
+	// maxRecordsPerAppend is the maximum number of records in one append.
+	maxRecordsPerAppend = 200
+	// minTimeForAppend is the shortest time before a caller's deadline in which a
+	// failed append is retried. The required time is longer while the store is slow,
+	// and relayedTimeForAppend while the store is reached through other VMs.
+	minTimeForAppend     = 30 * time.Millisecond
+	relayedTimeForAppend = 300 * time.Millisecond
+	// defaultWriteTimeout limits how long a caller without a deadline waits until its
+	// record is stored.
 	defaultWriteTimeout = 10 * time.Second
 )
 
 // jobWriter stores job records. One append contains all pending records, up to
-// maxAppendRecords. It writes to one partition and moves on to the next when an append
-// fails: the leader reads all partitions and ignores a record that it already knows.
+// maxRecordsPerAppend. It writes to one partition and moves on to the next when an append
+// fails. A record may therefore be stored in two partitions; the leader reads all of
+// them and ignores a record that it already knows.
 type jobWriter struct {
 	node *Node
-	// wake wakes run after a record is added.
-	wake  chan struct{}
-	mutex sync.Mutex
-	// pending holds the records that are not stored, oldest first.
-	pending []*pendingWrite
+	// recordAdded wakes run after a record was added to pendingWrites.
+	recordAdded chan struct{}
+	mutex       sync.Mutex
+	// pendingWrites holds the records that are not stored yet, oldest first.
+	pendingWrites []*pendingWrite
 	// partition is the partition that the next append goes to.
 	partition int
 }
 
-// pendingWrite is a record that a caller waits to be stored.
+// pendingWrite is a record whose caller waits until it is stored.
 type pendingWrite struct {
 	record store.Record
 	// stored is closed when the record is stored.
 	stored chan struct{}
-	// deadline is when the caller needs an answer.
+	// deadline is the time until which the caller waits for the result.
 	deadline time.Time
-	// expired is closed when the record is given up: too little time is left for another
-	// append, or this VM is isolated.
-	expired chan struct{}
-	// inFlight is true while an append with the record has no answer.
+	// failed is closed when no further attempt is made to store the record, because too
+	// little time is left or this VM is isolated.
+	failed chan struct{}
+	// inFlight is true while an append that contains the record is not answered.
 	inFlight bool
-	// attempted is true once an append with the record was started.
+	// attempted is true once an append that contains the record was started.
 	attempted bool
 	// maybeStored is true if a failed append may have stored the record.
 	maybeStored bool
 }
 
 func newJobWriter(n *Node) *jobWriter {
-	return &jobWriter{node: n, wake: make(chan struct{}, 1), partition: int(xxhash.Sum64String(n.settings.Name) % uint64(n.settings.Partitions))}
+	return &jobWriter{node: n, recordAdded: make(chan struct{}, 1), partition: int(xxhash.Sum64String(n.settings.Name) % uint64(n.settings.Partitions))}
 }
 
 // write stores a record. The error has KindNotStored if the record is not stored and
 // never will be, and KindUnknown if it may be.
 func (w *jobWriter) write(ctx context.Context, r store.Record) error {
-	p := &pendingWrite{record: r, stored: make(chan struct{}), expired: make(chan struct{}), deadline: time.Now().Add(defaultWriteTimeout)}
+	p := &pendingWrite{record: r, stored: make(chan struct{}), failed: make(chan struct{}), deadline: time.Now().Add(defaultWriteTimeout)}
 	if deadline, ok := ctx.Deadline(); ok {
 		p.deadline = deadline
 	}
 	w.mutex.Lock()
-	w.pending = append(w.pending, p)
+	w.pendingWrites = append(w.pendingWrites, p)
 	w.mutex.Unlock()
-	signal(w.wake)
+	signal(w.recordAdded)
 	select {
 	case <-p.stored:
 		return nil
-	case <-p.expired:
+	case <-p.failed:
 		return w.withdraw(p)
 	case <-ctx.Done():
 		return w.withdraw(p)
 	}
 }
 
-// appendMargin returns the time that must be left until a caller's deadline to retry
-// an append.
-func (w *jobWriter) appendMargin() time.Duration {
+// timeForAppend returns how much time must be left until a caller's deadline for an
+// append to be retried.
+func (w *jobWriter) timeForAppend() time.Duration {
 	if w.node.store.down.Load() {
-		return relayedAppendMargin
+		return relayedTimeForAppend
 	}
-	return max(2*time.Duration(w.node.store.latency.Load()), minAppendMargin)
+	return max(2*time.Duration(w.node.store.appendLatency.Load()), minTimeForAppend)
 }
 
-// withdraw removes a record from the pending ones. It returns nil if the record is
-// already stored, and otherwise the error for the caller.
+// withdraw stops trying to store a record. It returns nil if the record is already
+// stored, and otherwise the error for the caller.
 func (w *jobWriter) withdraw(p *pendingWrite) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -103,9 +105,9 @@
 		return nil
 	default:
 	}
-	for i := range w.pending {
-		if w.pending[i] == p {
-			w.pending = append(w.pending[:i:i], w.pending[i+1:]...)
+	for i := range w.pendingWrites {
+		if w.pendingWrites[i] == p {
+			w.pendingWrites = append(w.pendingWrites[:i:i], w.pendingWrites[i+1:]...)
 			break
 		}
 	}
@@ -115,14 +117,15 @@
 	return fault.Newf("store_job", KindNotStored, "the store has not accepted the record in time")
 }
 
-// expireAll fails all pending records, so that their callers can use another VM.
-func (w *jobWriter) expireAll() {
+// failAll makes write return an error for all pending records, so that their callers
+// can use another VM.
+func (w *jobWriter) failAll() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for _, p := range w.pending {
-		close(p.expired)
+	for _, p := range w.pendingWrites {
+		close(p.failed)
 	}
-	w.pending = nil
+	w.pendingWrites = nil
 }
 
 // run appends the pending records until ctx is done.
@@ -131,7 +134,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.wake:
+		case <-w.recordAdded:
 		}
 		for ctx.Err() == nil {
 			batch := w.nextBatch()
@@ -151,15 +154,15 @@
 func (w *jobWriter) nextBatch() []*pendingWrite {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	margin := w.appendMargin()
-	w.pending = slices.DeleteFunc(w.pending, func(p *pendingWrite) bool {
+	margin := w.timeForAppend()
+	w.pendingWrites = slices.DeleteFunc(w.pendingWrites, func(p *pendingWrite) bool {
 		late := p.attempted && time.Until(p.deadline) < margin
 		if late {
-			close(p.expired)
+			close(p.failed)
 		}
 		return late
 	})
-	batch := append([]*pendingWrite(nil), w.pending[:min(len(w.pending), maxAppendRecords)]...)
+	batch := append([]*pendingWrite(nil), w.pendingWrites[:min(len(w.pendingWrites), maxRecordsPerAppend)]...)
 	for _, p := range batch {
 		p.inFlight, p.attempted = true, true
 	}
@@ -190,32 +193,33 @@
 	for _, p := range batch {
 		close(p.stored)
 	}
-	kept := w.pending[:0]
-	for _, p := range w.pending {
+	kept := w.pendingWrites[:0]
+	for _, p := range w.pendingWrites {
 		select {
 		case <-p.stored:
 		default:
 			kept = append(kept, p)
 		}
 	}
-	w.pending = kept
+	w.pendingWrites = kept
 	go w.notifyLeader(records)
 	return true
 }
 
 const (
-	// maxNotifyAttempts limits the attempts to notify the leader, and notifyRetryPause is
-	// the pause between them. Together they last about as long as a take-over. If all
-	// fail, the leader reads the records from the store later.
-	maxNotifyAttempts = 8
-	notifyRetryPause  = 150 * time.Millisecond
+	// maxNotifyLeaderAttempts limits the attempts to notify the leader, and
+	// notifyLeaderRetryPause is the pause between them. All attempts together take
+	// about as long as a take-over. If all fail, the leader reads the records from the
+	// store later.
+	maxNotifyLeaderAttempts = 8
+	notifyLeaderRetryPause  = 150 * time.Millisecond
 )
 
-// notifyLeader sends stored records to the leader, so that it knows them before it
-// reads them from the store.
+// notifyLeader sends stored records to the leader, so that the leader knows them before
+// it reads them from the store.
 func (w *jobWriter) notifyLeader(records []store.Record) {
-	for range maxNotifyAttempts {
-		if w.tryNotifyLeader(records) || !sleep(w.node.ctx, notifyRetryPause) {
+	for range maxNotifyLeaderAttempts {
+		if w.tryNotifyLeader(records) || !sleep(w.node.ctx, notifyLeaderRetryPause) {
 			return
 		}
 	}
@@ -234,7 +238,7 @@
 	}
 	ctx, cancel := context.WithTimeout(w.node.ctx, leaderCallTimeout)
 	defer cancel()
-	r, err := link.Call[JobsArgs, JobsReply](ctx, w.node.client, c.Address, "Jobs", JobsArgs{Records: records})
+	r, err := link.Call[JobsArgs, JobsReply](ctx, w.node.peerClient, c.Address, "Jobs", JobsArgs{Records: records})
 	if err != nil {
 		w.node.log.V(1).Info("leader_did_not_answer", "leader", c.Name, "records", len(records), "error", err.Error())
 	}
--- a/internal/node/keeper/assignment.go
+++ b/internal/node/keeper/assignment.go
@@ -11,13 +11,14 @@
 
 const (
 	// maxDirectWorkers is the largest number of workers that the leader calls directly.
-	// In a fleet this small, the extra hop through keepers costs more than it saves.
+	// With so few workers, the extra hop through keepers costs more than it saves.
 	maxDirectWorkers = 100
-	// workersPerKeeper is the target number of workers per keeper. A higher number
-	// makes fuller batches, but the loss of a keeper interrupts calls to more workers.
+	// workersPerKeeper is the target number of workers per keeper. With a higher number
+	// each batch contains more calls, but the loss of a keeper interrupts calls to more
+	// workers.
 	workersPerKeeper = 40
-	// minFitnessShare is the lowest fitness of a keeper, as a share of the highest
-	// fitness in its failure domain.
+	// minFitnessShare is the lowest fitness that a keeper may have, as a fraction of
+	// the highest fitness in its failure domain.
 	minFitnessShare = 0.5
 )
 
@@ -34,8 +35,8 @@
 
 // Assignment maps workers to keepers. It is immutable.
 type Assignment struct {
-	// byDomain lists the keepers of each failure domain.
-	byDomain map[string][]hashedMember
+	// keepersByDomain maps each failure domain to its keepers.
+	keepersByDomain map[string][]hashedMember
 }
 
 // hashedMember is an entry VM with the hash of its name.
@@ -45,10 +46,10 @@
 }
 
 // NewAssignment selects the fittest entry VMs of each failure domain as its keepers.
-// workers is the number of workers in each domain. There are no keepers if the whole
-// fleet has at most maxDirectWorkers workers.
+// workers maps each domain to its number of workers. There are no keepers if there are
+// at most maxDirectWorkers workers in total.
 func NewAssignment(members []Member, workers map[string]int) *Assignment {
-	a := &Assignment{byDomain: map[string][]hashedMember{}}
+	a := &Assignment{keepersByDomain: map[string][]hashedMember{}}
 	total := 0
 	for _, n := range workers {
 		total += n
@@ -57,10 +58,10 @@
 		return a
 	}
 	for _, m := range members {
-		a.byDomain[m.Domain] = append(a.byDomain[m.Domain], hashedMember{m, xxhash.Sum64String(m.Name)})
+		a.keepersByDomain[m.Domain] = append(a.keepersByDomain[m.Domain], hashedMember{m, xxhash.Sum64String(m.Name)})
 	}
-	for domain, list := range a.byDomain {
-		a.byDomain[domain] = selectKeepers(list, 1+(workers[domain]+workersPerKeeper-1)/workersPerKeeper)
+	for domain, list := range a.keepersByDomain {
+		a.keepersByDomain[domain] = selectKeepers(list, 1+(workers[domain]+workersPerKeeper-1)/workersPerKeeper)
 	}
 	return a
 }
@@ -85,8 +86,8 @@
 		return m, false
 	}
 	hash, best := xxhash.Sum64String(worker), math.Inf(-1)
-	for i := range a.byDomain[domain] {
-		k := &a.byDomain[domain][i]
+	for i := range a.keepersByDomain[domain] {
+		k := &a.keepersByDomain[domain][i]
 		if score := -k.member.Fitness / math.Log(hashToUnitInterval(hash^k.hash)); score > best {
 			m, ok, best = k.member, true, score
 		}
@@ -96,7 +97,7 @@
 
 // hasKeeper reports whether the VM at an address is a keeper.
 func (a *Assignment) hasKeeper(address netip.AddrPort) bool {
-	for _, list := range a.byDomain {
+	for _, list := range a.keepersByDomain {
 		if slices.ContainsFunc(list, func(k hashedMember) bool { return k.member.Address == address }) {
 			return true
 		}
--- a/internal/node/keeper/batcher.go
+++ b/internal/node/keeper/batcher.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// batcher collects items for one peer and sends them in batches, one batch at a time.
+// batcher collects items for one receiver and sends them in batches, one batch at a
+// time.
 type batcher[T any] struct {
 	// delay is the wait before a batch is sent, so that more items can join it.
 	delay time.Duration
-	// send sends a batch. It returns when the peer has confirmed the batch or no further
-	// attempt is made.
+	// send sends a batch. It returns when the receiver has confirmed the batch or no
+	// further attempt is made.
 	send func(items []T)
 
 	mutex sync.Mutex
-	// pending holds the items of the next batch.
-	pending []T
-	// sending is true while a goroutine runs sendPending.
+	// pendingItems holds the items of the next batch.
+	pendingItems []T
+	// sending is true while a goroutine runs sendBatches.
 	sending bool
 }
 
@@ -28,22 +29,22 @@
 func (b *batcher[T]) add(item T) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.pending = append(b.pending, item)
+	b.pendingItems = append(b.pendingItems, item)
 	if !b.sending {
 		b.sending = true
-		go b.sendPending()
+		go b.sendBatches()
 	}
 }
 
-// sendPending sends batches until no item is pending.
-func (b *batcher[T]) sendPending() {
+// sendBatches sends batches until no item is pending.
+func (b *batcher[T]) sendBatches() {
 	for {
 		if b.delay > 0 {
 			time.Sleep(b.delay)
 		}
 		b.mutex.Lock()
-		items := b.pending
-		b.pending = nil
+		items := b.pendingItems
+		b.pendingItems = nil
 		b.sending = len(items) > 0
 		b.mutex.Unlock()
 		if len(items) == 0 {
--- a/internal/node/keeper/bench_test.go
+++ b/internal/node/keeper/bench_test.go
@@ -17,8 +17,8 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// benchWorkers is the number of workers in BenchmarkRun, and benchTasks the number of tasks
-// in each of its jobs.
+// benchWorkers is the number of workers in BenchmarkRun. benchTasks is the number of
+// tasks in each job of the benchmark.
 const (
 	benchWorkers = 1100
 	benchTasks   = 20
@@ -29,8 +29,8 @@
 	life backend.Life
 	// endedRuns is the number of runs that have ended on the worker.
 	endedRuns int64
-	// sent identifies the last hold that was sent to the worker.
-	sent scheduler.HoldSent
+	// lastHold describes the last hold that was sent to the worker.
+	lastHold scheduler.HoldSent
 }
 
 // BenchmarkRun measures the leader's work for one run of a task in a fleet of 1,100
@@ -50,8 +50,8 @@
 	}
 	s.SetWorkers(list, now)
 	for _, w := range workers {
-		_, w.sent, _ = s.HoldRequest(w.life, now)
-		s.HoldAnswered(w.life, w.sent, &backend.Report{Life: w.life, Clock: time.Second}, now)
+		_, w.lastHold, _ = s.HoldRequest(w.life, now)
+		s.HoldAnswered(w.life, w.lastHold, &backend.Report{Life: w.life, Clock: time.Second}, now)
 	}
 	batches := gob.NewEncoder(io.Discard)
 	runs := 0
--- a/internal/node/keeper/dispatcher.go
+++ b/internal/node/keeper/dispatcher.go
@@ -15,10 +15,11 @@
 
 const (
 	// ForwardingMargin is the extra time allowed for a call that goes through a keeper:
-	// the leader waits this much longer for the answer than the keeper does.
+	// the leader waits this much longer for the answer than the keeper waits for the
+	// worker.
 	ForwardingMargin = 300 * time.Millisecond
-	// batchTimeout limits the sending of a batch to its keeper. A keeper that does not
-	// confirm a batch in time gets no calls for failedKeeperPause.
+	// batchTimeout is how long the leader waits until a keeper confirms a batch. A
+	// keeper that does not confirm one in time is sent no calls for failedKeeperPause.
 	batchTimeout      = 400 * time.Millisecond
 	failedKeeperPause = 2 * time.Second
 )
@@ -28,21 +29,22 @@
 type Dispatcher struct {
 	// leaderAddress is the address that keepers send answers to.
 	leaderAddress netip.AddrPort
-	// send sends a batch to a keeper. It returns when the keeper has confirmed it.
-	send func(ctx context.Context, keeper netip.AddrPort, b Batch) error
-	log  logr.Logger
-	// lastNumber is the number of the last call.
-	lastNumber atomic.Int64
-	// assignment is nil until SetAssignment is called, and there are no keepers then.
+	// sendToKeeper sends a batch to a keeper. It returns when the keeper has confirmed it.
+	sendToKeeper func(ctx context.Context, keeper netip.AddrPort, b Batch) error
+	log          logr.Logger
+	// lastCallNumber is the number of the last call.
+	lastCallNumber atomic.Int64
+	// assignment is nil until SetAssignment is called. Until then there are no keepers.
 	assignment atomic.Pointer[Assignment]
 
 	mutex sync.Mutex
-	// batchers holds the batcher for each keeper.
+	// batchers maps the address of each keeper to the batcher of the calls to it.
 	batchers map[netip.AddrPort]*batcher[Call]
-	// failedAt is the time at which each keeper last failed to confirm a batch.
-	failedAt map[netip.AddrPort]time.Time
-	// pending holds the unanswered calls by number.
-	pending map[int64]pendingCall
+	// batchFailedAt maps the address of a keeper to the time at which it last failed to
+	// confirm a batch.
+	batchFailedAt map[netip.AddrPort]time.Time
+	// pendingCalls maps the number of each unanswered call to the call.
+	pendingCalls map[int64]pendingCall
 }
 
 // pendingCall is a call that has no answer yet.
@@ -53,18 +55,19 @@
 }
 
 // NewDispatcher returns a dispatcher without keepers. leader is the address of this VM.
-// lastNumber must be at least the number of every call of earlier processes of this VM.
+// Calls are numbered from lastNumber+1 on. No earlier process on this VM may have used
+// a higher number than lastNumber.
 func NewDispatcher(leader netip.AddrPort, lastNumber int64, send func(context.Context, netip.AddrPort, Batch) error, log logr.Logger) *Dispatcher {
 	d := &Dispatcher{
-		leaderAddress: leader, send: send, log: log,
-		batchers: map[netip.AddrPort]*batcher[Call]{}, failedAt: map[netip.AddrPort]time.Time{}, pending: map[int64]pendingCall{},
+		leaderAddress: leader, sendToKeeper: send, log: log,
+		batchers: map[netip.AddrPort]*batcher[Call]{}, batchFailedAt: map[netip.AddrPort]time.Time{}, pendingCalls: map[int64]pendingCall{},
 	}
-	d.lastNumber.Store(lastNumber)
+	d.lastCallNumber.Store(lastNumber)
 	return d
 }
 
-// SetAssignment replaces the assignment of workers to keepers. Pending calls through VMs
-// that are no longer keepers fail with backend.KindUnknown.
+// SetAssignment replaces the assignment of workers to keepers. Pending calls through a
+// VM that is no longer a keeper fail with backend.KindUnknown.
 func (d *Dispatcher) SetAssignment(a *Assignment) {
 	d.assignment.Store(a)
 	d.mutex.Lock()
@@ -72,40 +75,40 @@
 	for k := range d.batchers {
 		if !a.hasKeeper(k) {
 			delete(d.batchers, k)
-			delete(d.failedAt, k)
+			delete(d.batchFailedAt, k)
 			removed = append(removed, k)
 		}
 	}
 	d.mutex.Unlock()
 	for _, k := range removed {
-		d.log.Info("keeper_left", "keeper", k.String(), "calls", d.failPending(k))
+		d.log.Info("keeper_left", "keeper", k.String(), "calls", d.failPendingCalls(k))
 	}
 }
 
-// keeperOf returns the address of the keeper to call a worker through. ok is false if the
-// leader must call the worker directly: the worker has no keeper, or its keeper failed
-// less than failedKeeperPause ago.
-func (d *Dispatcher) keeperOf(r *backend.Registration) (address netip.AddrPort, ok bool) {
+// usableKeeper returns the address of the keeper through which to call a worker. ok is
+// false if the leader must call the worker directly, because the worker has no keeper
+// or its keeper failed to confirm a batch less than failedKeeperPause ago.
+func (d *Dispatcher) usableKeeper(r *backend.Registration) (address netip.AddrPort, ok bool) {
 	m, ok := d.assignment.Load().KeeperFor(r.Zone, r.Life.ID)
 	if !ok {
 		return address, false
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	at, failed := d.failedAt[m.Address]
+	at, failed := d.batchFailedAt[m.Address]
 	return m.Address, !failed || time.Since(at) > failedKeeperPause
 }
 
-// call makes a call through a keeper and waits for its answer. The error kind is
-// backend.KindUnknown if no answer arrives before ctx is done.
+// call makes a call through a keeper and waits for the worker's answer. The error kind
+// is backend.KindUnknown if no answer arrives before ctx is done.
 func (d *Dispatcher) call(ctx context.Context, keeper netip.AddrPort, operation string, c Call) (Answer, error) {
-	c.Number = d.lastNumber.Add(1)
+	c.Number = d.lastCallNumber.Add(1)
 	if deadline, ok := ctx.Deadline(); ok {
 		c.Timeout = max(time.Until(deadline)-ForwardingMargin, 0)
 	}
 	p := pendingCall{keeper: keeper, answer: make(chan Answer, 1)}
 	d.mutex.Lock()
-	d.pending[c.Number] = p
+	d.pendingCalls[c.Number] = p
 	b := d.batchers[keeper]
 	if b == nil {
 		b = newBatcher(0, func(list []Call) { d.sendBatch(keeper, list) })
@@ -120,16 +123,16 @@
 		}
 		return a, nil
 	case <-ctx.Done():
-		d.removePending(c.Number)
+		d.removePendingCall(c.Number)
 		return Answer{}, fault.New(operation, backend.KindUnknown, ctx.Err())
 	}
 }
 
-// removePending stops waiting for the answer to a call.
-func (d *Dispatcher) removePending(number int64) {
+// removePendingCall stops waiting for the answer to a call.
+func (d *Dispatcher) removePendingCall(number int64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	delete(d.pending, number)
+	delete(d.pendingCalls, number)
 }
 
 // sendBatch sends a batch to its keeper. It does not retry, since a batch that was not
@@ -137,25 +140,26 @@
 func (d *Dispatcher) sendBatch(keeper netip.AddrPort, calls []Call) {
 	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 	defer cancel()
-	err := d.send(ctx, keeper, Batch{Leader: d.leaderAddress, Calls: calls})
+	err := d.sendToKeeper(ctx, keeper, Batch{Leader: d.leaderAddress, Calls: calls})
 	if err == nil {
 		return
 	}
 	d.mutex.Lock()
-	d.failedAt[keeper] = time.Now()
+	d.batchFailedAt[keeper] = time.Now()
 	d.mutex.Unlock()
-	d.log.Info("keeper_failed", "keeper", keeper.String(), "calls", d.failPending(keeper), "error", err.Error())
+	d.log.Info("keeper_failed", "keeper", keeper.String(), "calls", d.failPendingCalls(keeper), "error", err.Error())
 }
 
-// failPending fails all pending calls through a keeper with backend.KindUnknown, since
-// they may have been made. It returns the number of calls.
-func (d *Dispatcher) failPending(keeper netip.AddrPort) int {
+// failPendingCalls makes all pending calls through a keeper fail with
+// backend.KindUnknown, since the keeper may have made them. It returns the number of
+// calls.
+func (d *Dispatcher) failPendingCalls(keeper netip.AddrPort) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	n := 0
-	for number, p := range d.pending {
+	for number, p := range d.pendingCalls {
 		if p.keeper == keeper {
-			delete(d.pending, number)
+			delete(d.pendingCalls, number)
 			p.answer <- Answer{Number: number, Kind: backend.KindUnknown, Message: "the keeper does not answer"}
 			n++
 		}
@@ -169,8 +173,8 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for i := range list {
-		if p, ok := d.pending[list[i].Number]; ok {
-			delete(d.pending, list[i].Number)
+		if p, ok := d.pendingCalls[list[i].Number]; ok {
+			delete(d.pendingCalls, list[i].Number)
 			p.answer <- list[i]
 		}
 	}
--- a/internal/node/keeper/forwarder.go
+++ b/internal/node/keeper/forwarder.go
@@ -13,14 +13,16 @@
 )
 
 const (
-	// answerBatchDelay is how long an answer waits for others to share its batch.
+	// answerBatchDelay is how long an answer is delayed, so that other answers can be
+	// sent in the same batch.
 	answerBatchDelay = 8 * time.Millisecond
 	// answerTimeout limits one attempt to send a batch of answers to the leader, and
 	// maxAnswerAttempts is the number of attempts. A second one is needed because
 	// a connection can stop delivering messages without an error.
 	answerTimeout     = 400 * time.Millisecond
 	maxAnswerAttempts = 2
-	// maxCallTimeout is the longest timeout of a call that a leader can request.
+	// maxCallTimeout is the longest timeout that a leader can request for a call to a
+	// worker.
 	maxCallTimeout = 10 * time.Second
 )
 
@@ -28,22 +30,23 @@
 type Forwarder struct {
 	ctx  context.Context
 	dial func(r backend.Registration) backend.Worker
-	// send sends answers to a leader and returns once the leader has confirmed them.
-	send func(ctx context.Context, leader netip.AddrPort, a Answers) error
-	log  logr.Logger
+	// sendToLeader sends answers to a leader and returns once the leader has confirmed them.
+	sendToLeader func(ctx context.Context, leader netip.AddrPort, a Answers) error
+	log          logr.Logger
 
 	mutex sync.Mutex
-	// answerBatchers has an entry for each leader that ever sent calls. Entries are never
-	// removed, since leaders change rarely.
+	// answerBatchers maps the address of each leader that ever sent calls to the
+	// batcher of its answers. Entries are never removed, since leaders change rarely.
 	answerBatchers map[netip.AddrPort]*batcher[Answer]
 }
 
 // NewForwarder returns a forwarder that makes calls until ctx is done.
 func NewForwarder(ctx context.Context, dial func(backend.Registration) backend.Worker, send func(context.Context, netip.AddrPort, Answers) error, log logr.Logger) *Forwarder {
-	return &Forwarder{ctx: ctx, dial: dial, send: send, log: log, answerBatchers: map[netip.AddrPort]*batcher[Answer]{}}
+	return &Forwarder{ctx: ctx, dial: dial, sendToLeader: send, log: log, answerBatchers: map[netip.AddrPort]*batcher[Answer]{}}
 }
 
-// Forward starts the calls of a batch and returns at once. The answers are sent later.
+// Forward starts the calls of a batch and returns at once. The answers are sent to the
+// leader later.
 func (f *Forwarder) Forward(b Batch) {
 	answers := f.answerBatcher(b.Leader)
 	for i := range b.Calls {
@@ -51,7 +54,7 @@
 	}
 }
 
-// answerBatcher returns the batcher of the answers to a leader.
+// answerBatcher returns the batcher that sends answers to a leader.
 func (f *Forwarder) answerBatcher(leader netip.AddrPort) *batcher[Answer] {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -63,7 +66,8 @@
 	return b
 }
 
-// callWorker makes one call. The answer contains the error of a failed call.
+// callWorker makes one call and returns the worker's answer. If the call fails, the
+// answer contains the error.
 func (f *Forwarder) callWorker(call *Call) Answer {
 	ctx, cancel := context.WithTimeout(f.ctx, min(max(call.Timeout, 0), maxCallTimeout))
 	defer cancel()
@@ -96,7 +100,7 @@
 func (f *Forwarder) sendAnswers(leader netip.AddrPort, list []Answer) {
 	for try := range maxAnswerAttempts {
 		ctx, cancel := context.WithTimeout(f.ctx, answerTimeout)
-		err := f.send(ctx, leader, Answers{list})
+		err := f.sendToLeader(ctx, leader, Answers{list})
 		cancel()
 		if err == nil || f.ctx.Err() != nil {
 			return
--- a/internal/node/keeper/keeper_test.go
+++ b/internal/node/keeper/keeper_test.go
@@ -36,7 +36,8 @@
 		testName string
 		workers  map[string]int
 		domain   string
-		// expected names the keepers of the domain; "" stands for no keeper.
+		// expected lists the names of the keepers of the domain. The name "" stands for
+		// no keeper.
 		expected []string
 	}{
 		{"the leader calls the workers of a small fleet directly", map[string]int{"a": 60, "b": 40}, "a", []string{""}},
@@ -80,7 +81,8 @@
 	}
 }
 
-// scriptedWorker records the starts that it receives and answers each call after latency.
+// scriptedWorker simulates a worker. It records the starts that it receives and answers
+// each call after latency.
 type scriptedWorker struct {
 	mutex   sync.Mutex
 	latency time.Duration
@@ -121,7 +123,8 @@
 type loopback struct {
 	forwarder  *keeper.Forwarder
 	dispatcher *keeper.Dispatcher
-	// worker is called by the keeper, direct by the leader.
+	// worker records the calls that the keeper makes, and direct those that the leader
+	// makes without the keeper.
 	worker *scriptedWorker
 	direct *scriptedWorker
 	// loseBatches and loseAnswers drop messages of that type; repeatAnswers delivers
@@ -154,14 +157,15 @@
 	return l
 }
 
-func (l *loopback) newWorker() *keeper.Worker {
-	return keeper.NewWorker(l.dispatcher, backend.Registration{Life: backend.Life{ID: "worker-1", Born: 1}, Zone: "a"}, l.direct)
+func (l *loopback) newWorker() *keeper.WorkerClient {
+	return keeper.NewWorkerClient(l.dispatcher, backend.Registration{Life: backend.Life{ID: "worker-1", Born: 1}, Zone: "a"}, l.direct)
 }
 
 var startOrder = backend.Start{Task: work.TaskID{StepID: work.StepID{Job: "j"}}, Run: 1, Token: 7}
 
-// A call through a keeper must return the worker's answer or the right error kind, and
-// an order must never be sent twice.
+// A call through a keeper must return the worker's answer or the right error kind,
+// whichever message is lost or repeated. An order must never be sent to the worker
+// twice.
 func TestCallsThroughAKeeper(t *testing.T) {
 	scenarios := []struct {
 		testName string
@@ -225,7 +229,8 @@
 	})
 }
 
-// A call without an order must fail alone: the other calls of its batch still succeed.
+// A call that contains no order must fail, but the other calls of its batch must still
+// succeed.
 func TestMalformedCallCostsNobodyElse(t *testing.T) {
 	is := is.New(t)
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/node/keeper/protocol.go
+++ b/internal/node/keeper/protocol.go
@@ -19,7 +19,8 @@
 	"github.com/almondpost/almondpost/internal/peer/backend"
 )
 
-// Call is one call to a worker. Exactly one of Hold, Start, Stop and Pace is set.
+// Call is one call to a worker that a keeper makes for the leader. Exactly one of Hold,
+// Start, Stop and Pace is set.
 type Call struct {
 	// Number identifies the call on the leader's VM. It is never reused, not even after
 	// the VM restarts.
@@ -28,7 +29,7 @@
 	Life backend.Life
 	// Address is the network address of the worker.
 	Address netip.AddrPort
-	// Timeout limits the keeper's call to the worker.
+	// Timeout is the timeout of the keeper's call to the worker.
 	Timeout time.Duration
 	Hold    *backend.Hold
 	Start   *backend.Start
@@ -36,7 +37,7 @@
 	Pace    *backend.Pace
 }
 
-// Batch is a list of calls for one keeper to make.
+// Batch is a list of calls that the leader sends to one keeper.
 type Batch struct {
 	// Leader is the address that the keeper sends the answers to.
 	Leader netip.AddrPort
@@ -52,11 +53,11 @@
 	// Message is the error text.
 	Message string
 	// Clock is the reading of the worker's clock in an answer to a start, or 0 if it is
-	// unknown. An answer to a hold has it in Report.
+	// unknown. In an answer to a hold, Report contains the clock reading instead.
 	Clock time.Duration
 	// Report is set in an answer to a hold only.
 	Report *backend.Report
 }
 
-// Answers is a list of answers for one leader.
+// Answers is a list of answers that a keeper sends to a leader.
 type Answers struct{ Answers []Answer }
--- a/internal/node/keeper/worker.go
+++ b/internal/node/keeper/worker.go
@@ -8,30 +8,30 @@
 	"github.com/almondpost/almondpost/internal/peer/backend"
 )
 
-// Worker calls a worker through its keeper, or directly if it has no usable keeper.
-// The deadline of each context must include ForwardingMargin, since direct calls get
-// that much less time.
-type Worker struct {
+// WorkerClient is the backend.Worker that calls a worker through its keeper, or
+// directly if there is no usable keeper. The deadline of each context must include
+// ForwardingMargin, since a direct call gets that much less time.
+type WorkerClient struct {
 	dispatcher   *Dispatcher
 	registration backend.Registration
 	// direct calls the worker from this VM, without a keeper.
 	direct backend.Worker
 }
 
-// NewWorker returns a client for the worker with registration r. direct is the client
+// NewWorkerClient returns a client for the worker with registration r. direct is the client
 // that calls it directly from this VM.
-func NewWorker(d *Dispatcher, r backend.Registration, direct backend.Worker) *Worker {
-	return &Worker{d, r, direct}
+func NewWorkerClient(d *Dispatcher, r backend.Registration, direct backend.Worker) *WorkerClient {
+	return &WorkerClient{d, r, direct}
 }
 
-// newCall returns a call to the worker that has no order yet.
-func (w *Worker) newCall() Call {
+// newCall returns a call to the worker. Hold, Start, Stop or Pace is still to be set.
+func (w *WorkerClient) newCall() Call {
 	return Call{Life: w.registration.Life, Address: w.registration.Address}
 }
 
 // Start implements backend.Worker.
-func (w *Worker) Start(ctx context.Context, s backend.Start) (time.Duration, error) {
-	keeper, ok := w.dispatcher.keeperOf(&w.registration)
+func (w *WorkerClient) Start(ctx context.Context, s backend.Start) (time.Duration, error) {
+	keeper, ok := w.dispatcher.usableKeeper(&w.registration)
 	if !ok {
 		ctx, cancel := withoutForwardingMargin(ctx)
 		defer cancel()
@@ -44,8 +44,8 @@
 }
 
 // Stop implements backend.Worker.
-func (w *Worker) Stop(ctx context.Context, s backend.Stop) error {
-	keeper, ok := w.dispatcher.keeperOf(&w.registration)
+func (w *WorkerClient) Stop(ctx context.Context, s backend.Stop) error {
+	keeper, ok := w.dispatcher.usableKeeper(&w.registration)
 	if !ok {
 		ctx, cancel := withoutForwardingMargin(ctx)
 		defer cancel()
@@ -58,8 +58,8 @@
 }
 
 // Pace implements backend.Worker.
-func (w *Worker) Pace(ctx context.Context, p backend.Pace) error {
-	keeper, ok := w.dispatcher.keeperOf(&w.registration)
+func (w *WorkerClient) Pace(ctx context.Context, p backend.Pace) error {
+	keeper, ok := w.dispatcher.usableKeeper(&w.registration)
 	if !ok {
 		ctx, cancel := withoutForwardingMargin(ctx)
 		defer cancel()
@@ -72,8 +72,8 @@
 }
 
 // Hold implements backend.Worker.
-func (w *Worker) Hold(ctx context.Context, h backend.Hold) (backend.Report, error) {
-	keeper, ok := w.dispatcher.keeperOf(&w.registration)
+func (w *WorkerClient) Hold(ctx context.Context, h backend.Hold) (backend.Report, error) {
+	keeper, ok := w.dispatcher.usableKeeper(&w.registration)
 	if !ok {
 		ctx, cancel := withoutForwardingMargin(ctx)
 		defer cancel()
@@ -92,7 +92,7 @@
 }
 
 // Close implements backend.Worker.
-func (w *Worker) Close() { w.direct.Close() }
+func (w *WorkerClient) Close() { w.direct.Close() }
 
 // withoutForwardingMargin returns a copy of ctx whose deadline, if there is one, is
 // ForwardingMargin earlier.
