--- a/internal/node/entryvm/election.go
+++ b/internal/node/entryvm/election.go
@@ -50,18 +50,18 @@
 	// Name and Address belong to the claiming VM.
 	Name    string         `json:"name"`
 	Address netip.AddrPort `json:"address"`
-	// Process is the start time of the claiming process in Unix nanoseconds. It
+	// ProcessStart is the start time of the claiming process in Unix nanoseconds. It
 	// distinguishes the process from earlier ones on the same VM. It is 0 if the claim
 	// is known only from a heartbeat.
-	Process int64 `json:"process"`
+	ProcessStart int64 `json:"process"`
 }
 
 // election tracks the current leader and claims leadership when none is heard.
 type election struct {
 	node *Node
-	// process is the start time of this process in Unix nanoseconds.
-	process int64
-	mutex   sync.Mutex
+	// processStart is the start time of this process in Unix nanoseconds.
+	processStart int64
+	mutex        sync.Mutex
 	// highestClaim is the known claim with the highest epoch.
 	highestClaim claim
 	// claimsEndOffset is the end offset of the topic store.Claims, or -1 until it is
@@ -76,7 +76,7 @@
 }
 
 func newElection(n *Node) *election {
-	return &election{node: n, process: now().UnixNano(), claimsEndOffset: -1, leaderWaitStart: now(), takeOverRequests: make(chan struct{}, 1)}
+	return &election{node: n, processStart: now().UnixNano(), claimsEndOffset: -1, leaderWaitStart: now(), takeOverRequests: make(chan struct{}, 1)}
 }
 
 // run follows the claims in the store and claims leadership when another VM asks for
@@ -189,7 +189,7 @@
 	if end < 0 || e.node.isStopping() || e.node.activeLeader() != nil {
 		return false
 	}
-	if c.Name == e.node.settings.Name && c.Process != 0 && c.Process != e.process && !e.node.members.hasMuchFitterVM() {
+	if c.Name == e.node.settings.Name && c.ProcessStart != 0 && c.ProcessStart != e.processStart && !e.node.members.hasMuchFitterVM() {
 		return true // The claim belongs to an earlier process on this VM, which no longer runs.
 	}
 	own := candidacy{
@@ -301,7 +301,7 @@
 		e.mutex.Unlock()
 		return
 	}
-	c := claim{Epoch: e.highestClaim.Epoch + 1, Name: e.node.settings.Name, Address: e.node.settings.ListenAddress, Process: e.process}
+	c := claim{Epoch: e.highestClaim.Epoch + 1, Name: e.node.settings.Name, Address: e.node.settings.ListenAddress, ProcessStart: e.processStart}
 	end := e.claimsEndOffset
 	e.mutex.Unlock()
 	value, _ := json.Marshal(c)
@@ -317,7 +317,7 @@
 			e.applyClaims(batch.Records)
 		}
 		e.postponeClaim()
-		if known, _ := e.knownLeader(); known.Process != e.process || known.Epoch != c.Epoch {
+		if known, _ := e.knownLeader(); known.ProcessStart != e.processStart || known.Epoch != c.Epoch {
 			return
 		}
 	}
--- a/internal/node/entryvm/isolation.go
+++ b/internal/node/entryvm/isolation.go
@@ -56,9 +56,9 @@
 }
 
 // reachesStore reports whether the store answers directly. It makes no call and returns
-// false while the store is marked as down.
+// false while the store is marked as unreachable.
 func (i *isolationDetector) reachesStore() bool {
-	if i.node.store.down.Load() {
+	if i.node.store.unreachable.Load() {
 		return false
 	}
 	if !i.node.store.anyPartitionAnswers(isolationCallTimeout, probedPartitions[:]...) {
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -262,7 +262,7 @@
 			s.SetAdviceVMs(l.reachableVMs(at))
 		})
 		if successors := l.successors(now()); len(successors) > 0 {
-			l.handOverTimerStart = now() // Delays the next attempt to hand over.
+			l.handOverTimerStart = now() // The next attempt to hand over follows only after a delay.
 			l.node.election.handOver(l.ctx, successors)
 		}
 	}
--- a/internal/node/entryvm/members.go
+++ b/internal/node/entryvm/members.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// applyRecords applies records of entry VMs. A record without a value removes the VM.
+// applyRecords updates the known entry VMs from records in the store. A record without
+// a value removes a VM.
 func (m *memberList) applyRecords(records []store.Record) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -105,7 +106,7 @@
 	return list
 }
 
-// find returns the entry VM with a name, and false if it is not known.
+// find returns the entry VM with the given name, and false if it is not known.
 func (m *memberList) find(name string) (member, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/node/entryvm/node.go
+++ b/internal/node/entryvm/node.go
@@ -100,8 +100,8 @@
 	// isolation detects whether this VM is isolated, so that callers should use a VM of
 	// another failure domain.
 	isolation *isolationDetector
-	// forwarder calls workers on behalf of the leader. dispatcher sends the calls to
-	// other VMs while this one leads.
+	// forwarder calls workers on behalf of the leader while another VM leads. While
+	// this VM leads, dispatcher sends such calls to the other VMs.
 	forwarder  *keeper.Forwarder
 	dispatcher *keeper.Dispatcher
 
--- a/internal/node/entryvm/node_test.go
+++ b/internal/node/entryvm/node_test.go
@@ -67,7 +67,7 @@
 	return f
 }
 
-// decodeTable decodes the JSON that publish writes.
+// decodeTable decodes the JSON that publishConfiguration stores.
 func decodeTable(data []byte) (*queue.Table, error) {
 	t := &queue.Table{}
 	err := json.Unmarshal(data, t)
@@ -155,7 +155,7 @@
 		f.is.NoErr(f.submit(n, "job"))
 	}
 	f.awaitState(f.nodes[0], "job", work.Completed)
-	f.is.NoErr(f.submit(f.nodes[1], "job")) // After the job has ended.
+	f.is.NoErr(f.submit(f.nodes[1], "job")) // The job has ended and is submitted again.
 	time.Sleep(time.Second)
 	f.is.Equal(f.fleet.Starts(firstTask("job")), 1)
 }
@@ -490,8 +490,8 @@
 	f.is.Equal(copies, 4)
 }
 
-// A job that ends during an outage of the store must be shown as completed before that
-// can be stored.
+// A job that ends during an outage of the store must be reported as completed even
+// before the completion can be stored.
 func TestJobEndsWhileTheStoreIsAway(t *testing.T) {
 	f := newFixture(t, 3, time.Second)
 	f.is.NoErr(f.submit(f.nodes[0], "job"))
--- a/internal/node/entryvm/protocol.go
+++ b/internal/node/entryvm/protocol.go
@@ -130,9 +130,9 @@
 	Message string
 }
 
-// errStoreDown is the answer to a VM that asks this one to call the store, while this
-// VM does not reach the store directly either.
-var errStoreDown = fault.Newf("relay", store.KindRefused, "this VM does not reach the store directly either")
+// errStoreUnreachable is the answer to a VM that asks this one to call the store, while
+// this VM does not reach the store directly either.
+var errStoreUnreachable = fault.Newf("relay", store.KindRefused, "this VM does not reach the store directly either")
 
 // rpcHandler implements the net/rpc service that other entry VMs call.
 type rpcHandler struct{ node *Node }
@@ -209,13 +209,13 @@
 
 // Append appends to the store for a VM that does not reach it.
 func (h *rpcHandler) Append(a AppendArgs, r *StoreReply) error {
-	if h.node.store.down.Load() {
-		r.setError(errStoreDown)
+	if h.node.store.unreachable.Load() {
+		r.setError(errStoreUnreachable)
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(h.node.ctx, a.Timeout)
 	defer cancel()
-	end, err := h.node.store.direct.Append(ctx, a.Append)
+	end, err := h.node.store.directStore.Append(ctx, a.Append)
 	r.End = end
 	r.setError(err)
 	return nil
@@ -223,19 +223,19 @@
 
 // Read reads from the store for a VM that does not reach it.
 func (h *rpcHandler) Read(a ReadArgs, r *StoreReply) error {
-	if h.node.store.down.Load() {
-		r.setError(errStoreDown)
+	if h.node.store.unreachable.Load() {
+		r.setError(errStoreUnreachable)
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(h.node.ctx, a.Timeout)
 	defer cancel()
 	if a.Snapshot {
-		snapshot, err := h.node.store.direct.Newest(ctx, a.Read.Topic, a.Read.Part)
+		snapshot, err := h.node.store.directStore.Newest(ctx, a.Read.Topic, a.Read.Part)
 		r.Records, r.End = snapshot.Records, snapshot.End
 		r.setError(err)
 		return nil
 	}
-	batch, err := h.node.store.direct.Read(ctx, a.Read)
+	batch, err := h.node.store.directStore.Read(ctx, a.Read)
 	r.Records, r.End = batch.Records, batch.Next
 	r.setError(err)
 	return nil
--- a/internal/node/entryvm/relay.go
+++ b/internal/node/entryvm/relay.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// minAppendTimeout and maxAppendTimeout are the limits of the append timeout, which
-	// is appendTimeoutFactor times the average latency of appends. maxAppendTimeout
-	// also limits the total time of each direct append, since callers wait only three
-	// seconds.
+	// minAppendTimeout and maxAppendTimeout are the lower and upper limit of the append
+	// timeout, which is appendTimeoutFactor times the average latency of appends.
+	// maxAppendTimeout also limits the total time of each direct append, since callers
+	// wait only three seconds.
 	minAppendTimeout    = 200 * time.Millisecond
 	maxAppendTimeout    = 2 * time.Second
 	appendTimeoutFactor = 5
@@ -30,7 +30,8 @@
 	slowStoreTimeoutFactor = 6
 	// relayTimeout limits a call to the store through another VM.
 	relayTimeout = 800 * time.Millisecond
-	// storeProbeInterval is the pause between two attempts to reach the store directly again.
+	// storeProbeInterval is the pause between two attempts to reach the store directly
+	// again.
 	storeProbeInterval = 300 * time.Millisecond
 	// partitionCheckTimeout limits the check of other partitions after failed appends.
 	partitionCheckTimeout = 300 * time.Millisecond
@@ -38,8 +39,8 @@
 	// after which the VM checks whether it still reaches the store. A single one may be
 	// due to one lost message.
 	failuresUntilCheck = 2
-	// relayedEmptyReadPause is the pause after a relayed read that returned no records. It
-	// replaces the long poll of a direct read.
+	// relayedEmptyReadPause is the pause after a relayed read that returned no records.
+	// It replaces the long poll of a direct read.
 	relayedEmptyReadPause = 300 * time.Millisecond
 	// maxRelayAttempts limits the number of VMs through which one call is tried.
 	maxRelayAttempts = 2
@@ -52,34 +53,34 @@
 // relayedStore calls the store directly, or through other entry VMs while this one
 // does not reach it.
 type relayedStore struct {
-	// direct calls the store from this VM.
-	direct store.Store
-	node   *Node
-	// down is true while the store is not reached directly.
-	down atomic.Bool
-	// checkingPartitions is true while a goroutine decides whether the store is down.
-	// Only one does so at a time.
+	// directStore calls the store from this VM.
+	directStore store.Store
+	node        *Node
+	// unreachable is true while this VM cannot call the store directly.
+	unreachable atomic.Bool
+	// checkingPartitions is true while a goroutine checks whether the store is
+	// unreachable. Only one does so at a time.
 	checkingPartitions atomic.Bool
 	// consecutiveFailures counts the direct appends that have failed since the last
 	// successful one.
 	consecutiveFailures atomic.Int32
-	// downChangedAt is when down last changed, in Unix nanoseconds.
-	downChangedAt atomic.Int64
+	// reachabilityChangedAt is when unreachable last changed, in Unix nanoseconds.
+	reachabilityChangedAt atomic.Int64
 	// appendLatency is a moving average of the duration of direct appends, in
 	// nanoseconds.
 	appendLatency atomic.Int64
 }
 
 func newRelayedStore(direct store.Store, n *Node) *relayedStore {
-	return &relayedStore{direct: direct, node: n}
+	return &relayedStore{directStore: direct, node: n}
 }
 
 // reachableFor returns how long the store has been directly reachable. While the store
 // is not reachable, it returns a negative duration: the time since the store became
 // unreachable, negated.
 func (s *relayedStore) reachableFor(at time.Time) time.Duration {
-	since := at.Sub(time.Unix(0, s.downChangedAt.Load()))
-	if s.down.Load() {
+	since := at.Sub(time.Unix(0, s.reachabilityChangedAt.Load()))
+	if s.unreachable.Load() {
 		return min(-since, -1)
 	}
 	return since
@@ -111,7 +112,7 @@
 
 // recordAppendResult updates the metrics, the average latency and the failure count
 // with the result of a direct append. After failuresUntilCheck consecutive failures, or
-// one refusal, it starts to check whether the store is down.
+// one refusal, it starts to check whether the store is unreachable.
 func (s *relayedStore) recordAppendResult(ctx context.Context, err error, took time.Duration) {
 	if ctx.Err() == context.Canceled {
 		return
@@ -129,15 +130,15 @@
 	if s.consecutiveFailures.Add(1) < failuresUntilCheck && storeKind(err) == store.KindUnknown {
 		return
 	}
-	if !s.down.Load() && s.checkingPartitions.CompareAndSwap(false, true) {
+	if !s.unreachable.Load() && s.checkingPartitions.CompareAndSwap(false, true) {
 		go s.checkPartitions(err)
 	}
 }
 
 // checkPartitions finds out whether this VM has lost the connection to all partitions
 // of the store or only to some. If at least one answers, the store is not marked as
-// down: other VMs cannot reach the lost partitions either, so relaying calls would not
-// help.
+// unreachable: other VMs cannot reach the lost partitions either, so relaying calls
+// would not help.
 func (s *relayedStore) checkPartitions(cause error) {
 	defer s.checkingPartitions.Store(false)
 	if s.anyPartitionAnswers(partitionCheckTimeout, probedPartitions[:]...) {
@@ -145,14 +146,14 @@
 		s.node.log.Info("store_partly_lost", "error", cause.Error())
 		return
 	}
-	s.markDown(cause.Error())
+	s.markUnreachable(cause.Error())
 }
 
-// markDown records that the store is not reached directly and starts to probe it. The
-// caller must have set checkingPartitions.
-func (s *relayedStore) markDown(reason string) {
-	if !s.down.Swap(true) {
-		s.downChangedAt.Store(now().UnixNano())
+// markUnreachable records that this VM cannot call the store directly, and starts to
+// probe the store. The caller must have set checkingPartitions.
+func (s *relayedStore) markUnreachable(reason string) {
+	if !s.unreachable.Swap(true) {
+		s.reachabilityChangedAt.Store(now().UnixNano())
 		s.node.log.Info("store_lost", "error", reason)
 		go s.probeUntilReachable()
 	}
@@ -166,7 +167,7 @@
 	answered := make(chan bool, len(parts))
 	for _, part := range parts {
 		go func() {
-			_, err := s.direct.Read(ctx, store.Read{Topic: store.Claims, Part: part})
+			_, err := s.directStore.Read(ctx, store.Read{Topic: store.Claims, Part: part})
 			answered <- !isUnreachable(err)
 		}()
 	}
@@ -184,8 +185,8 @@
 	for part := 0; sleep(s.node.ctx, storeProbeInterval); part = (part + 1) % len(probedPartitions) {
 		if s.anyPartitionAnswers(maxAppendTimeout, part) {
 			s.consecutiveFailures.Store(0)
-			s.downChangedAt.Store(now().UnixNano())
-			s.down.Store(false)
+			s.reachabilityChangedAt.Store(now().UnixNano())
+			s.unreachable.Store(false)
 			s.node.log.Info("store_regained")
 			return
 		}
@@ -196,7 +197,7 @@
 // certainly not carried out. In all other cases the caller decides whether to repeat
 // it.
 func (s *relayedStore) Append(ctx context.Context, a store.Append) (int64, error) {
-	if !s.down.Load() {
+	if !s.unreachable.Load() {
 		begun := now()
 		end, err := s.appendDirect(ctx, a)
 		s.recordAppendResult(ctx, err, now().Sub(begun))
@@ -213,7 +214,7 @@
 // appendDirect appends to the store without relaying the call through another VM. If
 // half of the append timeout passes without an answer, it reads from the store: if a
 // partition answers, the store is only slow and the append gets more time, otherwise
-// the store is marked as down.
+// the store is marked as unreachable.
 //
 // Without the extra time, a slow store would still carry out the append that was given
 // up, and the caller's retries would fill the partitions until the store refuses all
@@ -227,18 +228,18 @@
 	answered := make(chan struct{})
 	go func() {
 		defer close(answered)
-		end, err = s.direct.Append(ctx, a)
+		end, err = s.directStore.Append(ctx, a)
 	}()
-	if timeout := s.appendTimeout(); !waitFor(answered, timeout/2) {
+	if timeout := s.appendTimeout(); !closedWithin(answered, timeout/2) {
 		readBegun := now()
 		limit := timeout
 		if s.anyPartitionAnswers(readProbeTimeout, probedPartitions[:]...) {
 			limit = max(timeout, slowStoreTimeoutFactor*now().Sub(readBegun))
 		} else if s.checkingPartitions.CompareAndSwap(false, true) {
-			s.markDown("neither appends nor reads are answered")
+			s.markUnreachable("neither appends nor reads are answered")
 			s.checkingPartitions.Store(false)
 		}
-		if !waitFor(answered, limit-now().Sub(begun)) {
+		if !closedWithin(answered, limit-now().Sub(begun)) {
 			cancel()
 			<-answered
 		}
@@ -246,8 +247,8 @@
 	return end, err
 }
 
-// waitFor reports whether done is closed before the timeout.
-func waitFor(done <-chan struct{}, timeout time.Duration) bool {
+// closedWithin reports whether done is closed before the timeout.
+func closedWithin(done <-chan struct{}, timeout time.Duration) bool {
 	select {
 	case <-done:
 		return true
@@ -259,8 +260,8 @@
 // Read implements store.Store. A relayed read does not wait for a record to be
 // appended.
 func (s *relayedStore) Read(ctx context.Context, r store.Read) (store.Batch, error) {
-	if !s.down.Load() {
-		return s.direct.Read(ctx, r)
+	if !s.unreachable.Load() {
+		return s.directStore.Read(ctx, r)
 	}
 	reply, err := s.relay(ctx, "Read", func(ctx context.Context, m member) (StoreReply, error) {
 		return link.Call[ReadArgs, StoreReply](ctx, s.node.peerClient, m.Address, "Read", ReadArgs{Read: store.Read{Topic: r.Topic, Part: r.Part, From: r.From}, Timeout: relayTimeout})
@@ -273,8 +274,8 @@
 
 // Newest implements store.Store.
 func (s *relayedStore) Newest(ctx context.Context, t store.Topic, part int) (store.Snapshot, error) {
-	if !s.down.Load() {
-		return s.direct.Newest(ctx, t, part)
+	if !s.unreachable.Load() {
+		return s.directStore.Newest(ctx, t, part)
 	}
 	reply, err := s.relay(ctx, "Newest", func(ctx context.Context, m member) (StoreReply, error) {
 		return link.Call[ReadArgs, StoreReply](ctx, s.node.peerClient, m.Address, "Read", ReadArgs{Read: store.Read{Topic: t, Part: part}, Snapshot: true, Timeout: relayTimeout})
@@ -304,7 +305,7 @@
 		case reply.Kind == store.KindUnknown:
 			uncertain = true
 		case reply.Kind != store.KindRefused:
-			return reply, fault.Newf(operation, reply.Kind, "through %s: %s", m.Name, reply.Message)
+			return reply, fault.Newf(operation, reply.Kind, "call through entry VM %s: %s", m.Name, reply.Message)
 		}
 	}
 	if uncertain {
--- a/internal/node/entryvm/session.go
+++ b/internal/node/entryvm/session.go
@@ -26,10 +26,10 @@
 	// fencing token. Meanwhile the leader renews its claim to find out whether it was
 	// superseded.
 	fencedHoldPause = 300 * time.Millisecond
-	// maxCommitWait limits how long the next hold is delayed until the run ends that
+	// maxEndsStoredWait limits how long the next hold is delayed until the run ends that
 	// the worker has reported are stored. After that the hold is sent without
 	// acknowledging them, so that it extends the lease in time.
-	maxCommitWait = 400 * time.Millisecond
+	maxEndsStoredWait = 400 * time.Millisecond
 )
 
 // workerSession is the leader's connection to one worker process. It sends orders and,
@@ -127,9 +127,9 @@
 
 // awaitReportedEndsStored waits until the run ends that the worker has reported are
 // stored, so that the next hold can acknowledge them. It waits for at most
-// maxCommitWait.
+// maxEndsStoredWait.
 func (s *workerSession) awaitReportedEndsStored() {
-	timer := time.NewTimer(maxCommitWait)
+	timer := time.NewTimer(maxEndsStoredWait)
 	defer timer.Stop()
 	for {
 		done, next := s.leader.reportedEndsStored(s.life)
--- a/internal/node/entryvm/tail.go
+++ b/internal/node/entryvm/tail.go
@@ -71,9 +71,9 @@
 	}
 }
 
-// addStoredJobs passes job records that another VM has stored to the scheduler. It
-// returns false, without doing so, if this leader has not restored the stored state
-// yet or is stopped.
+// addStoredJobs passes job records that another VM has stored to the scheduler. If this
+// leader has not restored the stored state yet or is stopped, it does nothing and
+// returns false.
 func (l *leader) addStoredJobs(records []store.Record) bool {
 	l.mutex.Lock()
 	ready := l.restored && l.ctx.Err() == nil
--- a/internal/node/entryvm/takeover.go
+++ b/internal/node/entryvm/takeover.go
@@ -25,12 +25,12 @@
 
 // storedState is the state of the cell as read from the store.
 type storedState struct {
-	progress []store.Record
-	// jobs holds the records of each job partition. nextJobOffsets holds, for each job
-	// partition, the offset from which to continue reading.
-	jobs           [][]store.Record
-	nextJobOffsets []int64
-	registrations  []store.Record
+	progressRecords []store.Record
+	// jobRecords holds the records of each job partition. nextJobOffsets holds, for
+	// each job partition, the offset from which to continue reading.
+	jobRecords          [][]store.Record
+	nextJobOffsets      []int64
+	registrationRecords []store.Record
 }
 
 // restore fences the previous leader and restores the scheduler from the store. It
@@ -41,9 +41,9 @@
 	if err != nil {
 		return saved.nextJobOffsets, err
 	}
-	progress := make(map[string]*work.Progress, len(saved.progress))
-	for i := range saved.progress {
-		r := &saved.progress[i]
+	progress := make(map[string]*work.Progress, len(saved.progressRecords))
+	for i := range saved.progressRecords {
+		r := &saved.progressRecords[i]
 		p, err := work.Decode[work.Progress](r.Value)
 		if err != nil {
 			l.node.log.Error(err, "progress_unreadable", "job", r.Key)
@@ -53,12 +53,12 @@
 	}
 	l.updateScheduler(func(s *scheduler.Scheduler, at time.Time) {
 		s.AppendConfirmed(begun)
-		l.applyRegistrations(saved.registrations)
+		l.applyRegistrations(saved.registrationRecords)
 		s.SetWorkers(l.registrationList(), at)
-		for part, records := range saved.jobs {
+		for part, records := range saved.jobRecords {
 			l.recordJobPartitions(part, records)
 		}
-		l.applyJobRecords(s, slices.Concat(saved.jobs...), progress, at)
+		l.applyJobRecords(s, slices.Concat(saved.jobRecords...), progress, at)
 		for id, p := range progress {
 			s.RestoreEnded(id, p, at)
 		}
@@ -68,7 +68,7 @@
 		l.restored = true
 	})
 	l.node.measures.Observe(measure.Key{Name: "take_over"}, now().Sub(begun))
-	l.node.log.Info("take_over_done", "epoch", l.epoch, "partitions", len(saved.jobs), "progress", len(saved.progress), "workers", len(l.registrations), "took_ms", now().Sub(begun).Milliseconds())
+	l.node.log.Info("take_over_done", "epoch", l.epoch, "partitions", len(saved.jobRecords), "progress", len(saved.progressRecords), "workers", len(l.registrations), "took_ms", now().Sub(begun).Milliseconds())
 	return saved.nextJobOffsets, nil
 }
 
@@ -77,11 +77,11 @@
 // submitted jobs until it is fenced.
 func (l *leader) readStored() (storedState, error) {
 	parts := l.node.settings.Partitions
-	saved := storedState{jobs: make([][]store.Record, parts), nextJobOffsets: make([]int64, parts)}
+	saved := storedState{jobRecords: make([][]store.Record, parts), nextJobOffsets: make([]int64, parts)}
 	var g, afterFence errgroup.Group
 	g.Go(func() error {
 		s, err := l.readSnapshot(store.Workers, 0)
-		saved.registrations = s.Records
+		saved.registrationRecords = s.Records
 		return err
 	})
 	g.Go(func() error {
@@ -90,13 +90,13 @@
 		}
 		afterFence.Go(func() error {
 			s, err := l.readSnapshot(store.Progress, 0)
-			saved.progress = s.Records
+			saved.progressRecords = s.Records
 			return err
 		})
 		for part := range parts {
 			afterFence.Go(func() error {
 				s, err := l.readSnapshot(store.Jobs, part)
-				saved.jobs[part], saved.nextJobOffsets[part] = s.Records, s.End
+				saved.jobRecords[part], saved.nextJobOffsets[part] = s.Records, s.End
 				return err
 			})
 		}
--- a/internal/node/entryvm/writer.go
+++ b/internal/node/entryvm/writer.go
@@ -18,9 +18,10 @@
 	writeRetryPause = 60 * time.Millisecond
 	// maxRecordsPerAppend is the maximum number of records in one append.
 	maxRecordsPerAppend = 200
-	// minTimeForAppend is the shortest time before a caller's deadline in which a
-	// failed append is retried. The required time is longer while the store is slow,
-	// and relayedTimeForAppend while the store is reached through other VMs.
+	// minTimeForAppend is the least time that must be left until a caller's deadline
+	// for a failed append to be retried. More time must be left while the store is
+	// slow. While the store is reached through other VMs, relayedTimeForAppend must be
+	// left.
 	minTimeForAppend     = 30 * time.Millisecond
 	relayedTimeForAppend = 300 * time.Millisecond
 	// defaultWriteTimeout limits how long a caller without a deadline waits until its
@@ -29,9 +30,9 @@
 )
 
 // jobWriter stores job records. One append contains all pending records, up to
-// maxRecordsPerAppend. It writes to one partition and moves on to the next when an append
-// fails. A record may therefore be stored in two partitions; the leader reads all of
-// them and ignores a record that it already knows.
+// maxRecordsPerAppend. It writes to one partition and moves on to the next when an
+// append fails. A record may therefore be stored in two partitions; the leader reads
+// all of them and ignores a record that it already knows.
 type jobWriter struct {
 	node *Node
 	// recordAdded wakes run after a record was added to pendingWrites.
@@ -39,8 +40,8 @@
 	mutex       sync.Mutex
 	// pendingWrites holds the records that are not stored yet, oldest first.
 	pendingWrites []*pendingWrite
-	// partition is the partition that the next append goes to.
-	partition int
+	// currentPartition is the partition that the next append goes to.
+	currentPartition int
 }
 
 // pendingWrite is a record whose caller waits until it is stored.
@@ -62,7 +63,7 @@
 }
 
 func newJobWriter(n *Node) *jobWriter {
-	return &jobWriter{node: n, recordAdded: make(chan struct{}, 1), partition: int(xxhash.Sum64String(n.settings.Name) % uint64(n.settings.Partitions))}
+	return &jobWriter{node: n, recordAdded: make(chan struct{}, 1), currentPartition: int(xxhash.Sum64String(n.settings.Name) % uint64(n.settings.Partitions))}
 }
 
 // write stores a record. The error has KindNotStored if the record is not stored and
@@ -89,7 +90,7 @@
 // timeForAppend returns how much time must be left until a caller's deadline for an
 // append to be retried.
 func (w *jobWriter) timeForAppend() time.Duration {
-	if w.node.store.down.Load() {
+	if w.node.store.unreachable.Load() {
 		return relayedTimeForAppend
 	}
 	return max(2*time.Duration(w.node.store.appendLatency.Load()), minTimeForAppend)
@@ -177,7 +178,7 @@
 		records[i] = p.record
 	}
 	callCtx, cancel := context.WithTimeout(ctx, maxAppendTimeout+maxRelayAttempts*relayTimeout)
-	_, err := w.node.store.Append(callCtx, store.Append{Topic: store.Jobs, Part: w.partition, Records: records})
+	_, err := w.node.store.Append(callCtx, store.Append{Topic: store.Jobs, Part: w.currentPartition, Records: records})
 	cancel()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -186,8 +187,8 @@
 		p.maybeStored = p.maybeStored || (err != nil && storeKind(err) != store.KindRefused)
 	}
 	if err != nil {
-		w.node.log.Info("jobs_not_stored", "records", len(batch), "partition", w.partition, "error", err.Error())
-		w.partition = (w.partition + 1) % w.node.settings.Partitions
+		w.node.log.Info("jobs_not_stored", "records", len(batch), "partition", w.currentPartition, "error", err.Error())
+		w.currentPartition = (w.currentPartition + 1) % w.node.settings.Partitions
 		return false
 	}
 	for _, p := range batch {
--- a/internal/node/keeper/assignment.go
+++ b/internal/node/keeper/assignment.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// maxDirectWorkers is the largest number of workers that the leader calls directly.
-	// With so few workers, the extra hop through keepers costs more than it saves.
+	// maxDirectWorkers is the largest total number of workers for which the leader
+	// calls all of them directly. With so few workers, the extra hop through keepers
+	// costs more than it saves.
 	maxDirectWorkers = 100
 	// workersPerKeeper is the target number of workers per keeper. With a higher number
 	// each batch contains more calls, but the loss of a keeper interrupts calls to more
 	// workers.
 	workersPerKeeper = 40
-	// minFitnessShare is the lowest fitness that a keeper may have, as a fraction of
-	// the highest fitness in its failure domain.
-	minFitnessShare = 0.5
+	// minKeeperFitnessShare is the lowest fitness that a keeper may have, as a fraction
+	// of the highest fitness in its failure domain.
+	minKeeperFitnessShare = 0.5
 )
 
 // Member is an entry VM that can become a keeper.
@@ -66,13 +67,13 @@
 	return a
 }
 
-// selectKeepers sorts the entry VMs of a failure domain by descending fitness and returns
-// the first ones, at most limit, that reach minFitnessShare.
+// selectKeepers sorts the entry VMs of a failure domain by descending fitness and
+// returns the first ones, at most limit, that reach minKeeperFitnessShare.
 func selectKeepers(list []hashedMember, limit int) []hashedMember {
 	slices.SortFunc(list, func(a, b hashedMember) int {
 		return cmp.Or(cmp.Compare(b.member.Fitness, a.member.Fitness), cmp.Compare(a.hash, b.hash))
 	})
-	count := slices.IndexFunc(list, func(k hashedMember) bool { return k.member.Fitness < minFitnessShare*list[0].member.Fitness })
+	count := slices.IndexFunc(list, func(k hashedMember) bool { return k.member.Fitness < minKeeperFitnessShare*list[0].member.Fitness })
 	if count < 0 {
 		count = len(list)
 	}
@@ -95,7 +96,7 @@
 	return m, ok
 }
 
-// hasKeeper reports whether the VM at an address is a keeper.
+// hasKeeper reports whether the VM at the given address is a keeper.
 func (a *Assignment) hasKeeper(address netip.AddrPort) bool {
 	for _, list := range a.keepersByDomain {
 		if slices.ContainsFunc(list, func(k hashedMember) bool { return k.member.Address == address }) {
--- a/internal/node/keeper/batcher.go
+++ b/internal/node/keeper/batcher.go
@@ -8,8 +8,8 @@
 // batcher collects items for one receiver and sends them in batches, one batch at a
 // time.
 type batcher[T any] struct {
-	// delay is the wait before a batch is sent, so that more items can join it.
-	delay time.Duration
+	// batchDelay is the wait before a batch is sent, so that more items can join it.
+	batchDelay time.Duration
 	// send sends a batch. It returns when the receiver has confirmed the batch or no
 	// further attempt is made.
 	send func(items []T)
@@ -22,7 +22,7 @@
 }
 
 func newBatcher[T any](delay time.Duration, send func(items []T)) *batcher[T] {
-	return &batcher[T]{delay: delay, send: send}
+	return &batcher[T]{batchDelay: delay, send: send}
 }
 
 // add adds an item to the next batch and returns at once.
@@ -39,8 +39,8 @@
 // sendBatches sends batches until no item is pending.
 func (b *batcher[T]) sendBatches() {
 	for {
-		if b.delay > 0 {
-			time.Sleep(b.delay)
+		if b.batchDelay > 0 {
+			time.Sleep(b.batchDelay)
 		}
 		b.mutex.Lock()
 		items := b.pendingItems
--- a/internal/node/keeper/dispatcher.go
+++ b/internal/node/keeper/dispatcher.go
@@ -119,7 +119,7 @@
 	select {
 	case a := <-p.answer:
 		if a.Kind != "" {
-			return a, fault.Newf(operation, a.Kind, "through %s: %s", keeper, a.Message)
+			return a, fault.Newf(operation, a.Kind, "call through keeper %s: %s", keeper, a.Message)
 		}
 		return a, nil
 	case <-ctx.Done():
--- a/internal/node/keeper/keeper_test.go
+++ b/internal/node/keeper/keeper_test.go
@@ -87,34 +87,35 @@
 	mutex   sync.Mutex
 	latency time.Duration
 	starts  []backend.Start
-	// kind is the error kind of the answers, or empty for success.
-	kind backend.Kind
+	// errorKind is the error kind of the answers, or empty for success.
+	errorKind backend.Kind
 }
 
 func (w *scriptedWorker) Start(ctx context.Context, s backend.Start) (time.Duration, error) {
 	w.mutex.Lock()
 	w.starts = append(w.starts, s)
 	w.mutex.Unlock()
-	return 5 * time.Second, w.answer(ctx)
+	return 5 * time.Second, w.waitAndAnswer(ctx)
 }
 
-// answer waits for latency and returns the error of the answer.
-func (w *scriptedWorker) answer(ctx context.Context) error {
+// waitAndAnswer waits for latency and then returns the error with which the worker
+// answers, or nil.
+func (w *scriptedWorker) waitAndAnswer(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return fault.New("call", backend.KindUnknown, ctx.Err())
 	case <-time.After(w.latency):
 	}
-	if w.kind != "" {
-		return fault.Newf("call", w.kind, "refused")
+	if w.errorKind != "" {
+		return fault.Newf("call", w.errorKind, "refused")
 	}
 	return nil
 }
 
-func (w *scriptedWorker) Stop(ctx context.Context, _ backend.Stop) error { return w.answer(ctx) }
-func (w *scriptedWorker) Pace(ctx context.Context, _ backend.Pace) error { return w.answer(ctx) }
+func (w *scriptedWorker) Stop(ctx context.Context, _ backend.Stop) error { return w.waitAndAnswer(ctx) }
+func (w *scriptedWorker) Pace(ctx context.Context, _ backend.Pace) error { return w.waitAndAnswer(ctx) }
 func (w *scriptedWorker) Hold(ctx context.Context, h backend.Hold) (backend.Report, error) {
-	return backend.Report{Clock: h.Deadline}, w.answer(ctx)
+	return backend.Report{Clock: h.Deadline}, w.waitAndAnswer(ctx)
 }
 func (w *scriptedWorker) Close() {}
 
@@ -123,20 +124,20 @@
 type loopback struct {
 	forwarder  *keeper.Forwarder
 	dispatcher *keeper.Dispatcher
-	// worker records the calls that the keeper makes, and direct those that the leader
-	// makes without the keeper.
-	worker *scriptedWorker
-	direct *scriptedWorker
-	// loseBatches and loseAnswers drop messages of that type; repeatAnswers delivers
-	// each answer twice.
+	// keeperWorker receives the calls that the keeper makes, and directWorker those
+	// that the leader makes without the keeper.
+	keeperWorker *scriptedWorker
+	directWorker *scriptedWorker
+	// loseBatches makes all batches get lost, and loseAnswers all answers.
+	// repeatAnswers delivers each answer twice.
 	loseBatches, loseAnswers, repeatAnswers bool
 }
 
 var errLost = errors.New("message lost")
 
 func newLoopback(ctx context.Context) *loopback {
-	l := &loopback{worker: &scriptedWorker{latency: 5 * time.Millisecond}, direct: &scriptedWorker{}}
-	l.forwarder = keeper.NewForwarder(ctx, func(backend.Registration) backend.Worker { return l.worker }, func(_ context.Context, to netip.AddrPort, a keeper.Answers) error {
+	l := &loopback{keeperWorker: &scriptedWorker{latency: 5 * time.Millisecond}, directWorker: &scriptedWorker{}}
+	l.forwarder = keeper.NewForwarder(ctx, func(backend.Registration) backend.Worker { return l.keeperWorker }, func(_ context.Context, to netip.AddrPort, a keeper.Answers) error {
 		if l.loseAnswers || to != leaderAddress {
 			return errLost
 		}
@@ -158,7 +159,7 @@
 }
 
 func (l *loopback) newWorker() *keeper.WorkerClient {
-	return keeper.NewWorkerClient(l.dispatcher, backend.Registration{Life: backend.Life{ID: "worker-1", Born: 1}, Zone: "a"}, l.direct)
+	return keeper.NewWorkerClient(l.dispatcher, backend.Registration{Life: backend.Life{ID: "worker-1", Born: 1}, Zone: "a"}, l.directWorker)
 }
 
 var startOrder = backend.Start{Task: work.TaskID{StepID: work.StepID{Job: "j"}}, Run: 1, Token: 7}
@@ -172,18 +173,18 @@
 		prepare  func(l *loopback)
 		// expected is the error kind of the first of two start calls.
 		expected backend.Kind
-		// starts and direct count the starts that reached the worker through the keeper
-		// and directly.
-		starts, direct int
+		// keeperStarts counts the start calls that reached the worker through the keeper, and
+		// directStarts those that the leader made without the keeper.
+		keeperStarts, directStarts int
 		// maxDuration limits the time that both calls take together.
 		maxDuration time.Duration
 	}{
 		{"the answer is returned", func(*loopback) {}, "", 2, 0, 50 * time.Millisecond},
-		{"the error kind of a refusal is returned", func(l *loopback) { l.worker.kind = backend.KindFenced }, backend.KindFenced, 2, 0, 50 * time.Millisecond},
+		{"the error kind of a refusal is returned", func(l *loopback) { l.keeperWorker.errorKind = backend.KindFenced }, backend.KindFenced, 2, 0, 50 * time.Millisecond},
 		{"the second copy of an answer is ignored", func(l *loopback) { l.repeatAnswers = true }, "", 2, 0, 50 * time.Millisecond},
 		{"a keeper that does not confirm a batch is bypassed for a while", func(l *loopback) { l.loseBatches = true }, backend.KindUnknown, 0, 1, 50 * time.Millisecond},
 		{"a lost answer is an unknown outcome and the order is not repeated", func(l *loopback) { l.loseAnswers = true }, backend.KindUnknown, 2, 0, 1200 * time.Millisecond},
-		{"a worker that does not answer is an unknown outcome", func(l *loopback) { l.worker.latency = time.Hour }, backend.KindUnknown, 2, 0, 1200 * time.Millisecond},
+		{"a worker that does not answer is an unknown outcome", func(l *loopback) { l.keeperWorker.latency = time.Hour }, backend.KindUnknown, 2, 0, 1200 * time.Millisecond},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
@@ -199,13 +200,13 @@
 					clock, err := w.Start(ctx, startOrder)
 					cancel()
 					kinds[i] = fault.KindOf[backend.Kind](err)
-					is.True(err != nil || clock == 5*time.Second || sc.direct > 0)
+					is.True(err != nil || clock == 5*time.Second || sc.directStarts > 0)
 				}
 				is.Equal(kinds[0], sc.expected)
 				is.True(time.Since(begun) <= sc.maxDuration)
-				time.Sleep(2 * time.Second) // Until no message is in flight.
-				is.Equal(len(l.worker.starts), sc.starts)
-				is.Equal(len(l.direct.starts), sc.direct)
+				time.Sleep(2 * time.Second) // Wait until no message is in flight.
+				is.Equal(len(l.keeperWorker.starts), sc.keeperStarts)
+				is.Equal(len(l.directWorker.starts), sc.directStarts)
 			})
 		})
 	}
@@ -217,7 +218,7 @@
 	is := is.New(t)
 	synctest.Test(t, func(t *testing.T) {
 		l := newLoopback(t.Context())
-		l.worker.latency = 2 * time.Second
+		l.keeperWorker.latency = 2 * time.Second
 		time.AfterFunc(300*time.Millisecond, func() { l.dispatcher.SetAssignment(keeper.NewAssignment(nil, nil)) })
 		begun := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
@@ -248,6 +249,6 @@
 			kinds[a.Number] = a.Kind
 		}
 		is.Equal(kinds, map[int64]backend.Kind{1: backend.KindInvalid, 2: ""})
-		time.Sleep(time.Second) // Until no message is in flight.
+		time.Sleep(time.Second) // Wait until no message is in flight.
 	})
 }
--- a/internal/node/keeper/worker.go
+++ b/internal/node/keeper/worker.go
@@ -14,12 +14,12 @@
 type WorkerClient struct {
 	dispatcher   *Dispatcher
 	registration backend.Registration
-	// direct calls the worker from this VM, without a keeper.
-	direct backend.Worker
+	// directClient calls the worker from this VM, without a keeper.
+	directClient backend.Worker
 }
 
-// NewWorkerClient returns a client for the worker with registration r. direct is the client
-// that calls it directly from this VM.
+// NewWorkerClient returns a client for the worker with registration r. direct is the
+// client that calls it directly from this VM.
 func NewWorkerClient(d *Dispatcher, r backend.Registration, direct backend.Worker) *WorkerClient {
 	return &WorkerClient{d, r, direct}
 }
@@ -35,7 +35,7 @@
 	if !ok {
 		ctx, cancel := withoutForwardingMargin(ctx)
 		defer cancel()
-		return w.direct.Start(ctx, s)
+		return w.directClient.Start(ctx, s)
 	}
 	c := w.newCall()
 	c.Start = &s
@@ -49,7 +49,7 @@
 	if !ok {
 		ctx, cancel := withoutForwardingMargin(ctx)
 		defer cancel()
-		return w.direct.Stop(ctx, s)
+		return w.directClient.Stop(ctx, s)
 	}
 	c := w.newCall()
 	c.Stop = &s
@@ -63,7 +63,7 @@
 	if !ok {
 		ctx, cancel := withoutForwardingMargin(ctx)
 		defer cancel()
-		return w.direct.Pace(ctx, p)
+		return w.directClient.Pace(ctx, p)
 	}
 	c := w.newCall()
 	c.Pace = &p
@@ -77,7 +77,7 @@
 	if !ok {
 		ctx, cancel := withoutForwardingMargin(ctx)
 		defer cancel()
-		return w.direct.Hold(ctx, h)
+		return w.directClient.Hold(ctx, h)
 	}
 	c := w.newCall()
 	c.Hold = &h
@@ -86,13 +86,13 @@
 		return backend.Report{}, err
 	}
 	if a.Report == nil {
-		return backend.Report{}, fault.Newf("hold", backend.KindUnknown, "through %s: an answer without a report", keeper)
+		return backend.Report{}, fault.Newf("hold", backend.KindUnknown, "call through keeper %s: the answer to the hold contains no report", keeper)
 	}
 	return *a.Report, nil
 }
 
 // Close implements backend.Worker.
-func (w *WorkerClient) Close() { w.direct.Close() }
+func (w *WorkerClient) Close() { w.directClient.Close() }
 
 // withoutForwardingMargin returns a copy of ctx whose deadline, if there is one, is
 // ForwardingMargin earlier.
