--- a/internal/node/entryvm/heartbeats.go
+++ b/internal/node/entryvm/heartbeats.go
@@ -104,7 +104,7 @@
 // outdatedVMs tracks the entry VMs whose configuration is older than the leader's.
 type outdatedVMs struct {
 	// outdatedSince maps the name of each outdated VM to the time at which the leader
-	// first noticed that.
+	// first noticed that its configuration is outdated.
 	outdatedSince map[string]time.Time
 	// sendingTo holds the names of the VMs that the configuration is being sent to.
 	sendingTo map[string]bool
@@ -140,7 +140,7 @@
 	ctx, cancel := context.WithTimeout(l.ctx, configurationSendTimeout)
 	defer cancel()
 	table := l.node.configuration.current()
-	_, err := link.Call[TableArgs, Nothing](ctx, l.node.peerClient, m.Address, "Table", TableArgs{Version: table.Version, Text: compress(table.Text)})
+	_, err := link.Call[ConfigurationArgs, Nothing](ctx, l.node.peerClient, m.Address, "Table", ConfigurationArgs{Version: table.Version, Text: compress(table.Text)})
 	l.node.log.Info("configuration_told", "vm", m.Name, "version", table.Version, "told", err == nil)
 	l.mutex.Lock()
 	delete(l.outdatedVMs.sendingTo, m.Name)
--- a/internal/node/entryvm/jobs.go
+++ b/internal/node/entryvm/jobs.go
@@ -47,7 +47,7 @@
 // error has KindNoLeader if no leader answers within askLeaderTimeout, or this VM is
 // isolated.
 func (n *Node) State(ctx context.Context, id string) (state work.State, known bool, err error) {
-	r, err := askLeader(ctx, n, "State", JobArgs{ID: id},
+	r, err := askLeader(ctx, n, "State", StateArgs{ID: id},
 		func(l *leader) StateReply { return l.jobStatus(id) },
 		func(r StateReply) bool { return r.Leading && (r.Known || r.Fresh) })
 	return r.State, r.Known, err
@@ -56,21 +56,21 @@
 // Pending returns the number of jobs of a queue that have not started. It returns the
 // same errors as State.
 func (n *Node) Pending(ctx context.Context, queue string) (int, error) {
-	r, err := askLeader(ctx, n, "Pending", PendingArgs{Queue: queue},
-		func(l *leader) PendingReply { return l.pendingJobs(queue) },
-		func(r PendingReply) bool { return r.Leading })
+	r, err := askLeader(ctx, n, "Pending", PendingJobsArgs{Queue: queue},
+		func(l *leader) PendingJobsReply { return l.pendingJobs(queue) },
+		func(r PendingJobsReply) bool { return r.Leading })
 	return r.Pending, err
 }
 
 // askLeader calls an RPC method of the leader and returns the first reply for which
 // accept returns true. It retries, since it takes a while until a new leader has taken
-// over. If this VM leads, askLeader calls local instead of the RPC method.
-func askLeader[Args, Reply any](ctx context.Context, n *Node, method string, args Args, local func(*leader) Reply, accept func(Reply) bool) (Reply, error) {
+// over. If this VM leads, askLeader calls callLocal instead of the RPC method.
+func askLeader[Args, Reply any](ctx context.Context, n *Node, method string, args Args, callLocal func(*leader) Reply, accept func(Reply) bool) (Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, askLeaderTimeout)
 	defer cancel()
 	for {
 		if l := n.activeLeader(); l != nil {
-			if r := local(l); accept(r) {
+			if r := callLocal(l); accept(r) {
 				return r, nil
 			}
 		} else if c, ok := n.election.knownLeader(); ok {
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -303,8 +303,8 @@
 
 // pendingJobs returns the reply to a question about the number of jobs of a queue that
 // have not started.
-func (l *leader) pendingJobs(queue string) PendingReply {
+func (l *leader) pendingJobs(queue string) PendingJobsReply {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return PendingReply{Leading: l.restored && l.ctx.Err() == nil, Pending: l.scheduler.Pending(queue)}
+	return PendingJobsReply{Leading: l.restored && l.ctx.Err() == nil, Pending: l.scheduler.Pending(queue)}
 }
--- a/internal/node/entryvm/protocol.go
+++ b/internal/node/entryvm/protocol.go
@@ -49,8 +49,8 @@
 	Ago time.Duration
 }
 
-// JobArgs identifies a job.
-type JobArgs struct{ ID string }
+// StateArgs identifies the job whose state is asked for.
+type StateArgs struct{ ID string }
 
 // StateReply is the answer to a question about the state of a job.
 type StateReply struct {
@@ -60,28 +60,28 @@
 	// maxJobsReadAge. If it is false, a job that the leader does not know may still
 	// exist.
 	Fresh bool
-	// Known is true if the leader knows the job.
+	// Known is true if the leader knows the job. Otherwise State is empty.
 	Known bool
 	State work.State
 }
 
-// PendingArgs identifies a queue.
-type PendingArgs struct{ Queue string }
+// PendingJobsArgs identifies the queue whose jobs are counted.
+type PendingJobsArgs struct{ Queue string }
 
-// PendingReply is the answer to a question about the number of jobs of a queue that
+// PendingJobsReply is the answer to a question about the number of jobs of a queue that
 // have not started.
-type PendingReply struct {
+type PendingJobsReply struct {
 	// Leading is false if the VM does not lead; Pending is then unset.
 	Leading bool
 	Pending int
 }
 
-// JobsArgs holds job records that the calling VM has stored.
-type JobsArgs struct{ Records []store.Record }
+// StoredJobsArgs holds job records that the calling VM has stored.
+type StoredJobsArgs struct{ Records []store.Record }
 
-// JobsReply reports whether the leader has accepted the records. Taken is false if the
+// StoredJobsReply reports whether the leader has accepted the records. Taken is false if the
 // VM does not lead or has not restored the stored state yet.
-type JobsReply struct{ Taken bool }
+type StoredJobsReply struct{ Taken bool }
 
 // AdviceArgs asks an entry VM to call the adviser, which decides which workers a step
 // may use.
@@ -93,8 +93,8 @@
 	Timeout time.Duration
 }
 
-// TableArgs is a published configuration that the leader sends to another VM.
-type TableArgs struct {
+// ConfigurationArgs is a published configuration that the leader sends to another VM.
+type ConfigurationArgs struct {
 	Version int64
 	// Text is the text of the configuration, compressed with gzip.
 	Text []byte
@@ -159,7 +159,7 @@
 }
 
 // State returns the state of a job, if this VM leads.
-func (h *rpcHandler) State(a JobArgs, r *StateReply) error {
+func (h *rpcHandler) State(a StateArgs, r *StateReply) error {
 	if l := h.node.activeLeader(); l != nil {
 		*r = l.jobStatus(a.ID)
 	}
@@ -168,23 +168,23 @@
 
 // Pending returns the number of jobs of a queue that have not started, if this VM
 // leads.
-func (h *rpcHandler) Pending(a PendingArgs, r *PendingReply) error {
+func (h *rpcHandler) Pending(a PendingJobsArgs, r *PendingJobsReply) error {
 	if l := h.node.activeLeader(); l != nil {
 		*r = l.pendingJobs(a.Queue)
 	}
 	return nil
 }
 
-// Jobs passes job records that the caller has stored to the scheduler, if this VM
-// leads. The scheduler then knows the jobs before the leader reads them from the store.
-func (h *rpcHandler) Jobs(a JobsArgs, r *JobsReply) error {
+// Jobs tells the scheduler about job records that the caller has stored, if this VM
+// leads. The scheduler then knows them before the leader reads them from the store.
+func (h *rpcHandler) Jobs(a StoredJobsArgs, r *StoredJobsReply) error {
 	if l := h.node.activeLeader(); l != nil {
 		r.Taken = l.addStoredJobs(a.Records)
 	}
 	return nil
 }
 
-// Advise calls the adviser for the leader.
+// Advise calls the adviser on behalf of the leader.
 func (h *rpcHandler) Advise(a AdviceArgs, r *backend.Advice) error {
 	ctx, cancel := context.WithTimeout(h.node.ctx, a.Timeout)
 	defer cancel()
@@ -194,7 +194,7 @@
 }
 
 // Table applies a configuration that the leader sends.
-func (h *rpcHandler) Table(a TableArgs, _ *Nothing) error {
+func (h *rpcHandler) Table(a ConfigurationArgs, _ *Nothing) error {
 	if a.Version <= h.node.configuration.version() {
 		return nil
 	}
@@ -207,7 +207,7 @@
 	return nil
 }
 
-// Append appends to the store for a VM that does not reach it.
+// Append appends to the store on behalf of a VM that cannot call the store directly.
 func (h *rpcHandler) Append(a AppendArgs, r *StoreReply) error {
 	if h.node.store.unreachable.Load() {
 		r.setError(errStoreUnreachable)
@@ -221,7 +221,7 @@
 	return nil
 }
 
-// Read reads from the store for a VM that does not reach it.
+// Read reads from the store on behalf of a VM that cannot call the store directly.
 func (h *rpcHandler) Read(a ReadArgs, r *StoreReply) error {
 	if h.node.store.unreachable.Load() {
 		r.setError(errStoreUnreachable)
--- a/internal/node/entryvm/relay.go
+++ b/internal/node/entryvm/relay.go
@@ -21,12 +21,12 @@
 	minAppendTimeout    = 200 * time.Millisecond
 	maxAppendTimeout    = 2 * time.Second
 	appendTimeoutFactor = 5
-	// readProbeTimeout limits the read that distinguishes a slow store from an
-	// unreachable one.
+	// readProbeTimeout limits the probing read, which distinguishes a slow store from
+	// an unreachable one when an append takes long.
 	readProbeTimeout = 450 * time.Millisecond
-	// slowStoreTimeoutFactor is the ratio between the append timeout while the store is
-	// slow and the duration of the read that has shown that it is slow. An append takes
-	// longer than a read, since it waits for earlier appends to its partition.
+	// slowStoreTimeoutFactor is multiplied by the duration of the probing read to get
+	// the append timeout while the store is slow. An append takes longer than a read,
+	// since it waits for earlier appends to its partition.
 	slowStoreTimeoutFactor = 6
 	// relayTimeout limits a call to the store through another VM.
 	relayTimeout = 800 * time.Millisecond
--- a/internal/node/entryvm/session.go
+++ b/internal/node/entryvm/session.go
@@ -70,8 +70,7 @@
 	}
 }
 
-// run sends holds until the session is closed or the scheduler has no hold for the
-// worker.
+// run sends holds until the session is closed or the scheduler has removed the worker.
 func (s *workerSession) run() {
 	for s.ctx.Err() == nil {
 		ctx, cancel := context.WithCancel(s.ctx)
--- a/internal/node/entryvm/tail.go
+++ b/internal/node/entryvm/tail.go
@@ -10,9 +10,9 @@
 	"github.com/almondpost/almondpost/internal/peer/store"
 )
 
-// applyJobRecords passes first the submissions and then the cancellations among the
-// records to the scheduler. While a new leader restores the stored state, progress
-// holds the stored progress of jobs by ID; afterwards it is nil.
+// applyJobRecords tells the scheduler about the submissions among the records, and then
+// about the cancellations. While a new leader restores the stored state, progress holds
+// the stored progress of jobs by ID; afterwards it is nil.
 func (l *leader) applyJobRecords(s *scheduler.Scheduler, records []store.Record, progress map[string]*work.Progress, at time.Time) {
 	var cancelled []string
 	for i := range records {
@@ -71,9 +71,9 @@
 	}
 }
 
-// addStoredJobs passes job records that another VM has stored to the scheduler. If this
-// leader has not restored the stored state yet or is stopped, it does nothing and
-// returns false.
+// addStoredJobs tells the scheduler about job records that this or another VM has
+// stored. If this leader has not restored the stored state yet or is stopped, it does
+// nothing and returns false.
 func (l *leader) addStoredJobs(records []store.Record) bool {
 	l.mutex.Lock()
 	ready := l.restored && l.ctx.Err() == nil
--- a/internal/node/entryvm/writer.go
+++ b/internal/node/entryvm/writer.go
@@ -239,7 +239,7 @@
 	}
 	ctx, cancel := context.WithTimeout(w.node.ctx, leaderCallTimeout)
 	defer cancel()
-	r, err := link.Call[JobsArgs, JobsReply](ctx, w.node.peerClient, c.Address, "Jobs", JobsArgs{Records: records})
+	r, err := link.Call[StoredJobsArgs, StoredJobsReply](ctx, w.node.peerClient, c.Address, "Jobs", StoredJobsArgs{Records: records})
 	if err != nil {
 		w.node.log.V(1).Info("leader_did_not_answer", "leader", c.Name, "records", len(records), "error", err.Error())
 	}
--- a/internal/node/keeper/batcher.go
+++ b/internal/node/keeper/batcher.go
@@ -10,9 +10,9 @@
 type batcher[T any] struct {
 	// batchDelay is the wait before a batch is sent, so that more items can join it.
 	batchDelay time.Duration
-	// send sends a batch. It returns when the receiver has confirmed the batch or no
+	// sendBatch sends a batch. It returns when the receiver has confirmed the batch or no
 	// further attempt is made.
-	send func(items []T)
+	sendBatch func(items []T)
 
 	mutex sync.Mutex
 	// pendingItems holds the items of the next batch.
@@ -22,7 +22,7 @@
 }
 
 func newBatcher[T any](delay time.Duration, send func(items []T)) *batcher[T] {
-	return &batcher[T]{batchDelay: delay, send: send}
+	return &batcher[T]{batchDelay: delay, sendBatch: send}
 }
 
 // add adds an item to the next batch and returns at once.
@@ -50,6 +50,6 @@
 		if len(items) == 0 {
 			return
 		}
-		b.send(items)
+		b.sendBatch(items)
 	}
 }
