--- a/internal/node/entryvm/commits.go
+++ b/internal/node/entryvm/commits.go
@@ -20,7 +20,7 @@
 
 // renewClaim makes the commit loop renew the claim at once. It is called when a worker
 // has seen a higher fencing token, which suggests that another VM leads.
-func (l *leader) renewClaim() { signal(l.renewClaimSignal) }
+func (l *leader) renewClaim() { trySignal(l.renewClaimSignal) }
 
 // commitLoop stores the progress of jobs, one append at a time, and renews the claim.
 // It returns when the claim is lost or the leader is stopped.
--- a/internal/node/entryvm/election.go
+++ b/internal/node/entryvm/election.go
@@ -132,7 +132,7 @@
 			e.node.log.Info("leader_heard", "leader", a.Leader, "epoch", a.Epoch)
 			e.node.stepDownIfSuperseded(a.Epoch)
 		}
-		if m, known := e.node.members.find(a.Leader); known && m.Domain != e.node.settings.Domain {
+		if m, known := e.node.members.findByName(a.Leader); known && m.Domain != e.node.settings.Domain {
 			e.node.isolation.recordContact()
 		}
 		e.lastHeartbeat = now()
@@ -169,7 +169,7 @@
 // maxClaimRank. Fitter VMs claim first; VMs of equal fitness are ordered by a hash that
 // depends on the epoch. The previous leader does not count, unless it is this VM.
 func (e *election) claimRank(epoch int64, leader string) int {
-	self, _ := e.node.members.find(e.node.settings.Name)
+	self, _ := e.node.members.findByName(e.node.settings.Name)
 	candidates := append(e.node.members.others(), self)
 	candidates = slices.DeleteFunc(candidates, func(m member) bool { return m.Name == leader && m.Name != self.Name })
 	order := func(m member) uint64 { return xxhash.Sum64String(m.Name) ^ uint64(epoch) }
--- a/internal/node/entryvm/heartbeats.go
+++ b/internal/node/entryvm/heartbeats.go
@@ -115,9 +115,9 @@
 // shouldSend records whether a VM is outdated and reports whether the configuration
 // must be sent to it now. If so, it adds the VM to sendingTo.
 //
-// A large configuration takes a long time over a slow link. The leader therefore does
-// not send it to a VM that may still be reading it from the store or is already
-// receiving it.
+// Sending a large configuration over a slow network link takes a long time. The leader
+// therefore does not send it to a VM that may still be reading it from the store or is
+// already receiving it.
 func (o *outdatedVMs) shouldSend(name string, outdated bool, at time.Time) bool {
 	if !outdated {
 		delete(o.outdatedSince, name)
--- a/internal/node/entryvm/heartbeats_test.go
+++ b/internal/node/entryvm/heartbeats_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// When a configuration is published, all VMs may become laggards at once: VMs with an
-// outdated configuration. Sending the new one to all of them at the same time would
-// overload the leader's network link.
+// Laggards are VMs with an outdated configuration. All VMs may be laggards when a new
+// configuration is published. Sending it to all of them at the same time would overload
+// the leader's network link.
 func TestFewLaggardsAreToldAtATime(t *testing.T) {
 	is := is.New(t)
 	o := newOutdatedVMs()
--- a/internal/node/entryvm/keepers.go
+++ b/internal/node/entryvm/keepers.go
@@ -60,7 +60,7 @@
 	l.mutex.Unlock()
 	var list []keeper.Member
 	for _, name := range answering {
-		m, ok := l.node.members.find(name)
+		m, ok := l.node.members.findByName(name)
 		if ok && name != l.node.settings.Name && !l.node.peerClient.Silent(m.Address) {
 			list = append(list, keeper.Member{Name: m.Name, Domain: m.Domain, Address: m.Address, Fitness: m.Fitness})
 		}
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -170,14 +170,14 @@
 	needsPlan := l.scheduler.NeedsPlan()
 	l.applyEffects(&e)
 	l.mutex.Unlock()
-	signal(l.commitSignal)
+	trySignal(l.commitSignal)
 	if needsPlan {
-		signal(l.planningSignal)
+		trySignal(l.planningSignal)
 	}
 }
 
-// signal sends a value to a channel of capacity 1, unless it already contains one.
-func signal(c chan struct{}) {
+// trySignal sends a value to a channel of capacity 1, unless it already contains one.
+func trySignal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
@@ -279,7 +279,7 @@
 	var err error
 	if a.VM == l.node.settings.Name {
 		answer, err = l.node.dependencies.Adviser.Advise(ctx, a.Step, a.Workers)
-	} else if m, ok := l.node.members.find(a.VM); ok {
+	} else if m, ok := l.node.members.findByName(a.VM); ok {
 		answer, err = link.Call[AdviceArgs, backend.Advice](ctx, l.node.peerClient, m.Address, "Advise", AdviceArgs{Step: a.Step, Workers: a.Workers, Timeout: a.Timeout})
 	} else {
 		err = fault.Newf("ask", KindNoLeader, "entry VM %s is not known", a.VM)
--- a/internal/node/entryvm/members.go
+++ b/internal/node/entryvm/members.go
@@ -62,7 +62,7 @@
 // register stores the record of this VM, so that the other VMs can call it. It retries
 // until that succeeds.
 func (m *memberList) register(ctx context.Context) {
-	self, _ := m.find(m.node.settings.Name)
+	self, _ := m.findByName(m.node.settings.Name)
 	value, _ := json.Marshal(self)
 	for {
 		callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
@@ -106,8 +106,8 @@
 	return list
 }
 
-// find returns the entry VM with the given name, and false if it is not known.
-func (m *memberList) find(name string) (member, bool) {
+// findByName returns the entry VM with the given name, and false if it is not known.
+func (m *memberList) findByName(name string) (member, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	vm, ok := m.byName[name]
--- a/internal/node/entryvm/relay.go
+++ b/internal/node/entryvm/relay.go
@@ -35,10 +35,10 @@
 	storeProbeInterval = 300 * time.Millisecond
 	// partitionCheckTimeout limits the check of other partitions after failed appends.
 	partitionCheckTimeout = 300 * time.Millisecond
-	// failuresUntilCheck is the number of consecutive direct appends without an answer
-	// after which the VM checks whether it still reaches the store. A single one may be
-	// due to one lost message.
-	failuresUntilCheck = 2
+	// appendFailuresUntilCheck is the number of consecutive direct appends without an
+	// answer after which the VM checks whether it still reaches the store. A single one
+	// may be due to one lost message.
+	appendFailuresUntilCheck = 2
 	// relayedEmptyReadPause is the pause after a relayed read that returned no records.
 	// It replaces the long poll of a direct read.
 	relayedEmptyReadPause = 300 * time.Millisecond
@@ -111,8 +111,8 @@
 }
 
 // recordAppendResult updates the metrics, the average latency and the failure count
-// with the result of a direct append. After failuresUntilCheck consecutive failures, or
-// one refusal, it starts to check whether the store is unreachable.
+// with the result of a direct append. After appendFailuresUntilCheck consecutive
+// failures, or one refusal, it starts to check whether the store is unreachable.
 func (s *relayedStore) recordAppendResult(ctx context.Context, err error, took time.Duration) {
 	if ctx.Err() == context.Canceled {
 		return
@@ -127,7 +127,7 @@
 	if storeKind(err) == store.KindUnknown && took >= minAppendTimeout {
 		s.appendLatency.Store(min(2*max(s.appendLatency.Load(), int64(minAppendTimeout/appendTimeoutFactor)), int64(maxAppendTimeout/appendTimeoutFactor)))
 	}
-	if s.consecutiveFailures.Add(1) < failuresUntilCheck && storeKind(err) == store.KindUnknown {
+	if s.consecutiveFailures.Add(1) < appendFailuresUntilCheck && storeKind(err) == store.KindUnknown {
 		return
 	}
 	if !s.unreachable.Load() && s.checkingPartitions.CompareAndSwap(false, true) {
@@ -205,7 +205,7 @@
 			return end, err
 		}
 	}
-	reply, err := s.relay(ctx, "Append", func(ctx context.Context, m member) (StoreReply, error) {
+	reply, err := s.callThroughOthers(ctx, "Append", func(ctx context.Context, m member) (StoreReply, error) {
 		return link.Call[AppendArgs, StoreReply](ctx, s.node.peerClient, m.Address, "Append", AppendArgs{Append: a, Timeout: relayTimeout})
 	})
 	return reply.End, err
@@ -263,7 +263,7 @@
 	if !s.unreachable.Load() {
 		return s.directStore.Read(ctx, r)
 	}
-	reply, err := s.relay(ctx, "Read", func(ctx context.Context, m member) (StoreReply, error) {
+	reply, err := s.callThroughOthers(ctx, "Read", func(ctx context.Context, m member) (StoreReply, error) {
 		return link.Call[ReadArgs, StoreReply](ctx, s.node.peerClient, m.Address, "Read", ReadArgs{Read: store.Read{Topic: r.Topic, Part: r.Part, From: r.From}, Timeout: relayTimeout})
 	})
 	if err == nil && len(reply.Records) == 0 {
@@ -277,16 +277,16 @@
 	if !s.unreachable.Load() {
 		return s.directStore.Newest(ctx, t, part)
 	}
-	reply, err := s.relay(ctx, "Newest", func(ctx context.Context, m member) (StoreReply, error) {
+	reply, err := s.callThroughOthers(ctx, "Newest", func(ctx context.Context, m member) (StoreReply, error) {
 		return link.Call[ReadArgs, StoreReply](ctx, s.node.peerClient, m.Address, "Read", ReadArgs{Read: store.Read{Topic: t, Part: part}, Snapshot: true, Timeout: relayTimeout})
 	})
 	return store.Snapshot{Records: reply.Records, End: reply.End}, err
 }
 
-// relay tries a call through other VMs, one after the other, until one succeeds. It
-// tries at most maxRelayAttempts VMs. The error has store.KindUnknown if a VM may have
-// carried the call out, and store.KindRefused if none has.
-func (s *relayedStore) relay(ctx context.Context, operation string, call func(context.Context, member) (StoreReply, error)) (StoreReply, error) {
+// callThroughOthers tries a call through other VMs, one after the other, until one
+// succeeds. It tries at most maxRelayAttempts VMs. The error has store.KindUnknown if a
+// VM may have carried the call out, and store.KindRefused if none has.
+func (s *relayedStore) callThroughOthers(ctx context.Context, operation string, call func(context.Context, member) (StoreReply, error)) (StoreReply, error) {
 	others := slices.DeleteFunc(s.node.members.others(), func(m member) bool { return s.node.peerClient.Silent(m.Address) })
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	uncertain := false
--- a/internal/node/entryvm/writer.go
+++ b/internal/node/entryvm/writer.go
@@ -76,7 +76,7 @@
 	w.mutex.Lock()
 	w.pendingWrites = append(w.pendingWrites, p)
 	w.mutex.Unlock()
-	signal(w.recordAdded)
+	trySignal(w.recordAdded)
 	select {
 	case <-p.stored:
 		return nil
--- a/internal/node/keeper/dispatcher.go
+++ b/internal/node/keeper/dispatcher.go
@@ -18,10 +18,11 @@
 	// the leader waits this much longer for the answer than the keeper waits for the
 	// worker.
 	ForwardingMargin = 300 * time.Millisecond
-	// batchTimeout is how long the leader waits until a keeper confirms a batch. A
-	// keeper that does not confirm one in time is sent no calls for failedKeeperPause.
-	batchTimeout      = 400 * time.Millisecond
-	failedKeeperPause = 2 * time.Second
+	// batchConfirmTimeout is how long the leader waits until a keeper confirms a batch.
+	// A keeper that does not confirm one in time is sent no calls for
+	// failedKeeperPause.
+	batchConfirmTimeout = 400 * time.Millisecond
+	failedKeeperPause   = 2 * time.Second
 )
 
 // Dispatcher runs on the leader: it sends calls to keepers and passes each answer to the
@@ -138,7 +139,7 @@
 // sendBatch sends a batch to its keeper. It does not retry, since a batch that was not
 // confirmed may have arrived.
 func (d *Dispatcher) sendBatch(keeper netip.AddrPort, calls []Call) {
-	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), batchConfirmTimeout)
 	defer cancel()
 	err := d.sendToKeeper(ctx, keeper, Batch{Leader: d.leaderAddress, Calls: calls})
 	if err == nil {
--- a/internal/node/keeper/forwarder.go
+++ b/internal/node/keeper/forwarder.go
@@ -16,11 +16,11 @@
 	// answerBatchDelay is how long an answer is delayed, so that other answers can be
 	// sent in the same batch.
 	answerBatchDelay = 8 * time.Millisecond
-	// answerTimeout limits one attempt to send a batch of answers to the leader, and
-	// maxAnswerAttempts is the number of attempts. A second one is needed because
-	// a connection can stop delivering messages without an error.
-	answerTimeout     = 400 * time.Millisecond
-	maxAnswerAttempts = 2
+	// sendAnswersTimeout limits one attempt to send a batch of answers to the leader,
+	// and maxSendAnswersAttempts is the number of attempts. A second one is needed
+	// because a connection can stop delivering messages without an error.
+	sendAnswersTimeout     = 400 * time.Millisecond
+	maxSendAnswersAttempts = 2
 	// maxCallTimeout is the longest timeout that a leader can request for a call to a
 	// worker.
 	maxCallTimeout = 10 * time.Second
@@ -98,8 +98,8 @@
 // sendAnswers sends answers to the leader. The leader ignores an answer that it receives
 // twice.
 func (f *Forwarder) sendAnswers(leader netip.AddrPort, list []Answer) {
-	for try := range maxAnswerAttempts {
-		ctx, cancel := context.WithTimeout(f.ctx, answerTimeout)
+	for try := range maxSendAnswersAttempts {
+		ctx, cancel := context.WithTimeout(f.ctx, sendAnswersTimeout)
 		err := f.sendToLeader(ctx, leader, Answers{list})
 		cancel()
 		if err == nil || f.ctx.Err() != nil {
