--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -17,13 +17,13 @@
 	// producerName is the producer name under which a leader appends progress records.
 	// The producer epoch is the epoch of its claim.
 	producerName = "leader"
-	// minPlanningPause is the shortest pause between two planning passes. A planning
-	// pass places waiting tasks on workers.
-	minPlanningPause = 4 * time.Millisecond
-	// planningPauseFactor is the lowest ratio between the pause after a planning pass
-	// and the duration of that pass. The pause leaves processor time for orders and
-	// reports.
-	planningPauseFactor = 2
+	// minSchedulingPause is the shortest pause between two scheduling passes. A
+	// scheduling pass places waiting tasks on workers.
+	minSchedulingPause = 4 * time.Millisecond
+	// schedulingPauseFactor is the lowest ratio between the pause after a scheduling
+	// pass and the duration of that pass. The pause leaves processor time for orders
+	// and reports.
+	schedulingPauseFactor = 2
 	// tickInterval is the pause between two ticks of the scheduler's clock.
 	tickInterval = 100 * time.Millisecond
 	// jobsReadInterval is the pause between two reads of a job partition. It need not
@@ -70,9 +70,9 @@
 	epoch int64
 	ctx   context.Context
 	stop  context.CancelFunc
-	// commitSignal wakes the commit loop, and planningSignal the planning loop.
-	commitSignal   chan struct{}
-	planningSignal chan struct{}
+	// commitSignal wakes the commit loop, and schedulingSignal the scheduling loop.
+	commitSignal     chan struct{}
+	schedulingSignal chan struct{}
 	// renewClaimSignal makes the commit loop renew the claim at once.
 	renewClaimSignal chan struct{}
 
@@ -111,7 +111,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	return &leader{
 		node: n, epoch: epoch, ctx: ctx, stop: stop,
-		commitSignal: make(chan struct{}, 1), planningSignal: make(chan struct{}, 1), renewClaimSignal: make(chan struct{}, 1),
+		commitSignal: make(chan struct{}, 1), schedulingSignal: make(chan struct{}, 1), renewClaimSignal: make(chan struct{}, 1),
 		scheduler: scheduler.New(n.settings.Timing, epoch, now(), time.Now(), n.log),
 		sessions:  map[backend.Life]*workerSession{}, commitDone: make(chan struct{}),
 		lastJobsRead: make([]time.Time, n.settings.Partitions), jobPartitions: map[string]uint64{},
@@ -139,7 +139,7 @@
 	}
 	l.assignKeepers()
 	go l.tailRegistrations()
-	go l.planningLoop()
+	go l.schedulingLoop()
 	go l.tickLoop()
 	l.commitLoop()
 }
@@ -167,12 +167,12 @@
 	}
 	change(l.scheduler, now())
 	e := l.scheduler.TakeEffects()
-	needsPlan := l.scheduler.NeedsPlan()
+	needsScheduling := l.scheduler.NeedsPlan()
 	l.applyEffects(&e)
 	l.mutex.Unlock()
 	trySignal(l.commitSignal)
-	if needsPlan {
-		trySignal(l.planningSignal)
+	if needsScheduling {
+		trySignal(l.schedulingSignal)
 	}
 }
 
@@ -236,18 +236,18 @@
 	l.updateScheduler(func(s *scheduler.Scheduler, _ time.Time) { s.SetTable(t) })
 }
 
-// planningLoop runs a planning pass, which places waiting tasks on workers, after each
-// planningSignal.
-func (l *leader) planningLoop() {
+// schedulingLoop runs a scheduling pass, which places waiting tasks on workers, after
+// each schedulingSignal.
+func (l *leader) schedulingLoop() {
 	for {
 		select {
 		case <-l.ctx.Done():
 			return
-		case <-l.planningSignal:
+		case <-l.schedulingSignal:
 		}
 		begun := now()
 		l.updateScheduler(func(s *scheduler.Scheduler, at time.Time) { s.Plan(at) })
-		sleep(l.ctx, max(minPlanningPause, planningPauseFactor*now().Sub(begun)))
+		sleep(l.ctx, max(minSchedulingPause, schedulingPauseFactor*now().Sub(begun)))
 	}
 }
 
