--- a/internal/node/entryvm/node_test.go
+++ b/internal/node/entryvm/node_test.go
@@ -155,7 +155,7 @@
 		f.is.NoErr(f.submit(n, "job"))
 	}
 	f.awaitState(f.nodes[0], "job", work.Completed)
-	f.is.NoErr(f.submit(f.nodes[1], "job")) // The job has ended and is submitted again.
+	f.is.NoErr(f.submit(f.nodes[1], "job")) // Submit the ended job again.
 	time.Sleep(time.Second)
 	f.is.Equal(f.fleet.Starts(firstTask("job")), 1)
 }
--- a/internal/node/entryvm/protocol.go
+++ b/internal/node/entryvm/protocol.go
@@ -76,11 +76,13 @@
 	Pending int
 }
 
-// StoredJobsArgs holds job records that the calling VM has stored.
+// StoredJobsArgs holds job records that the calling VM has stored, for the leader's
+// scheduler.
 type StoredJobsArgs struct{ Records []store.Record }
 
-// StoredJobsReply reports whether the leader has accepted the records. Taken is false if the
-// VM does not lead or has not restored the stored state yet.
+// StoredJobsReply is the answer to StoredJobsArgs. Taken is true if the scheduler has
+// received the records. It is false if the VM does not lead or has not restored the
+// stored state yet.
 type StoredJobsReply struct{ Taken bool }
 
 // AdviceArgs asks an entry VM to call the adviser, which decides which workers a step
