--- a/internal/node/entryvm/takeover.go
+++ b/internal/node/entryvm/takeover.go
@@ -13,37 +13,37 @@
 	"github.com/almondpost/almondpost/internal/peer/store"
 )
 
-// abortRestore stops the leader if it has not restored the stored state yet, so that
-// another VM can lead.
-func (l *leader) abortRestore() {
+// stopIfNotRestored stops the leader if it has not restored the stored state yet, so
+// that another VM can lead.
+func (l *leader) stopIfNotRestored() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if !l.serving {
+	if !l.restored {
 		l.stop()
 	}
 }
 
 // storedState is the state of the cell as read from the store.
 type storedState struct {
-	progress []store.Record
-	// jobs holds the records of each partition of jobs, and nextJobOffsets the offset
-	// from which to continue reading it.
-	jobs           [][]store.Record
-	nextJobOffsets []int64
-	registrations  []store.Record
+	progressRecords []store.Record
+	// jobRecords holds the records of each job partition. nextJobOffsets holds, for
+	// each job partition, the offset from which to continue reading.
+	jobRecords          [][]store.Record
+	nextJobOffsets      []int64
+	registrationRecords []store.Record
 }
 
 // restore fences the previous leader and restores the scheduler from the store. It
-// returns the offset of each partition of jobs from which to continue reading.
+// returns, for each job partition, the offset from which to continue reading.
 func (l *leader) restore() ([]int64, error) {
 	begun := now()
 	saved, err := l.readStored()
 	if err != nil {
 		return saved.nextJobOffsets, err
 	}
-	progress := make(map[string]*work.Progress, len(saved.progress))
-	for i := range saved.progress {
-		r := &saved.progress[i]
+	progress := make(map[string]*work.Progress, len(saved.progressRecords))
+	for i := range saved.progressRecords {
+		r := &saved.progressRecords[i]
 		p, err := work.Decode[work.Progress](r.Value)
 		if err != nil {
 			l.node.log.Error(err, "progress_unreadable", "job", r.Key)
@@ -51,52 +51,52 @@
 		}
 		progress[r.Key] = p
 	}
-	l.update(func(s *scheduler.Scheduler, at time.Time) {
+	l.updateScheduler(func(s *scheduler.Scheduler, at time.Time) {
 		s.AppendConfirmed(begun)
-		l.applyRegistrations(saved.registrations)
+		l.applyRegistrations(saved.registrationRecords)
 		s.SetWorkers(l.registrationList(), at)
-		for part, records := range saved.jobs {
+		for part, records := range saved.jobRecords {
 			l.recordJobPartitions(part, records)
 		}
-		l.applyJobs(s, slices.Concat(saved.jobs...), progress, at)
+		l.applyJobRecords(s, slices.Concat(saved.jobRecords...), progress, at)
 		for id, p := range progress {
 			s.RestoreEnded(id, p, at)
 		}
 		for part := range l.lastJobsRead {
 			l.lastJobsRead[part] = begun
 		}
-		l.serving = true
+		l.restored = true
 	})
 	l.node.measures.Observe(measure.Key{Name: "take_over"}, now().Sub(begun))
-	l.node.log.Info("take_over_done", "epoch", l.epoch, "partitions", len(saved.jobs), "progress", len(saved.progress), "workers", len(l.registrations), "took_ms", now().Sub(begun).Milliseconds())
+	l.node.log.Info("take_over_done", "epoch", l.epoch, "partitions", len(saved.jobRecords), "progress", len(saved.progressRecords), "workers", len(l.registrations), "took_ms", now().Sub(begun).Milliseconds())
 	return saved.nextJobOffsets, nil
 }
 
-// readStored reads the stored state with concurrent calls. It reads jobs and progress
-// only after it has fenced the previous leader, which until then can start jobs that
-// are submitted during the take-over.
+// readStored reads the stored state with concurrent calls. It fences the previous
+// leader before it reads jobs and progress, since the previous leader can start newly
+// submitted jobs until it is fenced.
 func (l *leader) readStored() (storedState, error) {
 	parts := l.node.settings.Partitions
-	saved := storedState{jobs: make([][]store.Record, parts), nextJobOffsets: make([]int64, parts)}
+	saved := storedState{jobRecords: make([][]store.Record, parts), nextJobOffsets: make([]int64, parts)}
 	var g, afterFence errgroup.Group
 	g.Go(func() error {
 		s, err := l.readSnapshot(store.Workers, 0)
-		saved.registrations = s.Records
+		saved.registrationRecords = s.Records
 		return err
 	})
 	g.Go(func() error {
-		if err := l.appendProgress(l.renewalRecords()); err != nil {
+		if err := l.appendProgress(l.claimRenewalRecords()); err != nil {
 			return err
 		}
 		afterFence.Go(func() error {
 			s, err := l.readSnapshot(store.Progress, 0)
-			saved.progress = s.Records
+			saved.progressRecords = s.Records
 			return err
 		})
 		for part := range parts {
 			afterFence.Go(func() error {
 				s, err := l.readSnapshot(store.Jobs, part)
-				saved.jobs[part], saved.nextJobOffsets[part] = s.Records, s.End
+				saved.jobRecords[part], saved.nextJobOffsets[part] = s.Records, s.End
 				return err
 			})
 		}
@@ -105,7 +105,7 @@
 	return saved, g.Wait()
 }
 
-// readSnapshot reads the newest record of each key of a partition. It retries until
+// readSnapshot reads the newest record of each key in a partition. It retries until
 // that succeeds or the leader is stopped.
 func (l *leader) readSnapshot(t store.Topic, part int) (store.Snapshot, error) {
 	for {
--- a/internal/node/keeper/worker.go
+++ b/internal/node/keeper/worker.go
@@ -8,34 +8,34 @@
 	"github.com/almondpost/almondpost/internal/peer/backend"
 )
 
-// Worker calls a worker through its keeper, or directly if it has no usable keeper.
-// The deadline of each context must include ForwardingMargin, since direct calls get
-// that much less time.
-type Worker struct {
+// WorkerClient is the backend.Worker that calls a worker through its keeper, or
+// directly if there is no usable keeper. The deadline of each context must include
+// ForwardingMargin, since a direct call gets that much less time.
+type WorkerClient struct {
 	dispatcher   *Dispatcher
 	registration backend.Registration
-	// direct calls the worker from this VM, without a keeper.
-	direct backend.Worker
+	// directClient calls the worker from this VM, without a keeper.
+	directClient backend.Worker
 }
 
-// NewWorker returns a client for the worker with registration r. direct is the client
-// that calls it directly from this VM.
-func NewWorker(d *Dispatcher, r backend.Registration, direct backend.Worker) *Worker {
-	return &Worker{d, r, direct}
+// NewWorkerClient returns a client for the worker with registration r. direct is the
+// client that calls it directly from this VM.
+func NewWorkerClient(d *Dispatcher, r backend.Registration, direct backend.Worker) *WorkerClient {
+	return &WorkerClient{d, r, direct}
 }
 
-// newCall returns a call to the worker that has no order yet.
-func (w *Worker) newCall() Call {
+// newCall returns a call to the worker. Hold, Start, Stop or Pace is still to be set.
+func (w *WorkerClient) newCall() Call {
 	return Call{Life: w.registration.Life, Address: w.registration.Address}
 }
 
 // Start implements backend.Worker.
-func (w *Worker) Start(ctx context.Context, s backend.Start) (time.Duration, error) {
-	keeper, ok := w.dispatcher.keeperOf(&w.registration)
+func (w *WorkerClient) Start(ctx context.Context, s backend.Start) (time.Duration, error) {
+	keeper, ok := w.dispatcher.usableKeeper(&w.registration)
 	if !ok {
 		ctx, cancel := withoutForwardingMargin(ctx)
 		defer cancel()
-		return w.direct.Start(ctx, s)
+		return w.directClient.Start(ctx, s)
 	}
 	c := w.newCall()
 	c.Start = &s
@@ -44,12 +44,12 @@
 }
 
 // Stop implements backend.Worker.
-func (w *Worker) Stop(ctx context.Context, s backend.Stop) error {
-	keeper, ok := w.dispatcher.keeperOf(&w.registration)
+func (w *WorkerClient) Stop(ctx context.Context, s backend.Stop) error {
+	keeper, ok := w.dispatcher.usableKeeper(&w.registration)
 	if !ok {
 		ctx, cancel := withoutForwardingMargin(ctx)
 		defer cancel()
-		return w.direct.Stop(ctx, s)
+		return w.directClient.Stop(ctx, s)
 	}
 	c := w.newCall()
 	c.Stop = &s
@@ -58,12 +58,12 @@
 }
 
 // Pace implements backend.Worker.
-func (w *Worker) Pace(ctx context.Context, p backend.Pace) error {
-	keeper, ok := w.dispatcher.keeperOf(&w.registration)
+func (w *WorkerClient) Pace(ctx context.Context, p backend.Pace) error {
+	keeper, ok := w.dispatcher.usableKeeper(&w.registration)
 	if !ok {
 		ctx, cancel := withoutForwardingMargin(ctx)
 		defer cancel()
-		return w.direct.Pace(ctx, p)
+		return w.directClient.Pace(ctx, p)
 	}
 	c := w.newCall()
 	c.Pace = &p
@@ -72,12 +72,12 @@
 }
 
 // Hold implements backend.Worker.
-func (w *Worker) Hold(ctx context.Context, h backend.Hold) (backend.Report, error) {
-	keeper, ok := w.dispatcher.keeperOf(&w.registration)
+func (w *WorkerClient) Hold(ctx context.Context, h backend.Hold) (backend.Report, error) {
+	keeper, ok := w.dispatcher.usableKeeper(&w.registration)
 	if !ok {
 		ctx, cancel := withoutForwardingMargin(ctx)
 		defer cancel()
-		return w.direct.Hold(ctx, h)
+		return w.directClient.Hold(ctx, h)
 	}
 	c := w.newCall()
 	c.Hold = &h
@@ -86,13 +86,13 @@
 		return backend.Report{}, err
 	}
 	if a.Report == nil {
-		return backend.Report{}, fault.Newf("hold", backend.KindUnknown, "through %s: an answer without a report", keeper)
+		return backend.Report{}, fault.Newf("hold", backend.KindUnknown, "call through keeper %s: the answer to the hold contains no report", keeper)
 	}
 	return *a.Report, nil
 }
 
 // Close implements backend.Worker.
-func (w *Worker) Close() { w.direct.Close() }
+func (w *WorkerClient) Close() { w.directClient.Close() }
 
 // withoutForwardingMargin returns a copy of ctx whose deadline, if there is one, is
 // ForwardingMargin earlier.
