--- a/internal/cell/scheduler/advice_test.go
+++ b/internal/cell/scheduler/advice_test.go
@@ -122,8 +122,8 @@
 	scenarios := []struct {
 		testName string
 		vms      int
-		// ages are the times since the urgent jobs were accepted. Each job has about
-		// two seconds to complete in time.
+		// ages are the times since the urgent jobs were accepted. A job can still
+		// complete in time up to an age of about two seconds.
 		ages     []time.Duration
 		expected []string
 	}{
--- a/internal/cell/scheduler/choose.go
+++ b/internal/cell/scheduler/choose.go
@@ -94,8 +94,8 @@
 // The bonuses and penalties in the score of a worker. Without them, the score is the
 // fraction of the worker's capacity that would be in use with the task, from 0 to 1.
 const (
-	// rackBonus is for a worker in the rack that holds the input data, or in a rack
-	// with other members of the gang.
+	// rackBonus is for a worker in the rack that holds the input data and, if the
+	// step has SameRack set, for one in a rack with other members of the gang.
 	rackBonus = 4.0
 	// failedTaskPenalty is for the worker on which the task failed last.
 	failedTaskPenalty = 3.0
--- a/internal/cell/scheduler/health.go
+++ b/internal/cell/scheduler/health.go
@@ -10,9 +10,9 @@
 	// minRatedRunTime is how long a task must have been running before its speed is
 	// rated.
 	minRatedRunTime = 300 * time.Millisecond
-	// A worker counts as slow for slowWorkerPeriod if at least minSlowTasks of its
-	// tasks are slow, and these are at least the share minSlowTaskShare of its rated
-	// tasks.
+	// A worker counts as slow if at least minSlowTasks of its tasks are slow, and these
+	// are at least the share minSlowTaskShare of its rated tasks. It counts as slow for
+	// slowWorkerPeriod from the report that shows this.
 	minSlowTasks     = 2
 	minSlowTaskShare = 0.6
 	slowWorkerPeriod = 1500 * time.Millisecond
--- a/internal/cell/scheduler/lease.go
+++ b/internal/cell/scheduler/lease.go
@@ -33,9 +33,11 @@
 }
 
 // addUnknownRun adds an orphan for a reported run that belongs to no task on the
-// worker. The lease is extended as well, because another leader may have extended it
-// just before. st is the step of the run. If it is nil, the capacity that the run
-// uses is unknown, and the whole capacity of the worker is assumed.
+// worker. The run may continue until it is stopped or its lease ends. Another leader
+// may have extended the lease just now, so leaseEnd is moved accordingly; no lease is
+// granted here. st is the step of the run. If it is nil, the capacity that the run
+// uses is unknown, and the whole capacity of the worker is assumed, so that no other
+// task is placed beside the run.
 func (s *Scheduler) addUnknownRun(w *worker, r *backend.Run, st *step, now time.Time) {
 	w.extendLease(now, s.timing)
 	key := runID{r.Task, r.Run}
@@ -118,7 +120,7 @@
 
 // holdWaitPerWorker is the wait time of a hold for each worker in the fleet. It makes
 // holds less frequent in large fleets, where they take most of the leader's processor
-// time. maxHoldWait limits the wait to well below the lease.
+// time. maxHoldWait limits this wait, so that leases do not run out between holds.
 const (
 	holdWaitPerWorker = 10 * time.Millisecond
 	maxHoldWait       = 2 * time.Second
@@ -176,8 +178,8 @@
 			s.requeueLapsedRuns(w, now)
 		}
 		if w.confirmedToken != 0 && now.Sub(w.lastAnswerAt) > s.timing.Lease {
-			// The worker may still run tasks that were requeued. It gets no new tasks
-			// until it has answered a hold again.
+			// When the worker answers again, its report may still list earlier runs.
+			// It gets no new tasks until then.
 			w.confirmedToken = 0
 		}
 		s.removeIfIdle(w, now)
--- a/internal/cell/scheduler/reserve.go
+++ b/internal/cell/scheduler/reserve.go
@@ -26,9 +26,10 @@
 }
 
 const (
-	// In a scheduling pass, at most one step per workersPerReservingStep workers of a
-	// service may reserve workers. The first minReservingSteps steps may always do
-	// so.
+	// A step may reserve workers while fewer steps, counted over all services, have
+	// done so in this scheduling pass than the larger of two limits: the number of
+	// workers of its service divided by workersPerReservingStep, and
+	// minReservingSteps.
 	workersPerReservingStep = 3
 	minReservingSteps       = 8
 	// A task is large if it needs at least the fraction minLargeTaskFraction of the
--- a/internal/cell/scheduler/schedule.go
+++ b/internal/cell/scheduler/schedule.go
@@ -38,12 +38,13 @@
 }
 
 // urgentPriority is the priority of urgent queues. Their jobs are scheduled as soon
-// as they are submitted, without waiting for the next scheduling pass.
+// as they are submitted, without waiting for the next scheduling pass, unless it is
+// already too late for them to complete in time.
 const urgentPriority = 0
 
 // scheduleUrgentJob places the tasks of an urgent job, or requests advice for it,
 // between two scheduling passes. It uses the reservations of the last pass. It does
-// nothing for other jobs.
+// nothing for other jobs, or for a job that can no longer complete in time.
 //
 // Under a backlog, passes take long and are rare. Without this function, an urgent
 // job would wait for one pass to request advice and for the next one to use the
--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -57,7 +57,8 @@
 	// reading the worker's clock and using the value.
 	leaseMargin = 150 * time.Millisecond
 	// A fencing token contains the epoch in its high bits. Its low tokenCounterBits
-	// bits count how often the token was raised within the epoch.
+	// bits allow a leader to raise the token within its epoch, so that new orders
+	// supersede its own earlier ones.
 	tokenCounterBits = 20
 )
 
--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -149,7 +149,7 @@
 
 // A run fails on an unreachable worker, which reports the failure only after the task
 // was placed on another worker. The failure must count as one of the attempts of the
-// job.
+// task.
 func TestFailureReportedLateCounts(t *testing.T) {
 	is := is.New(t)
 	sm := newSimulation(1, faultProbabilities{})
--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -56,8 +56,9 @@
 }
 
 // simulation runs leaders, workers and the store on a virtual clock. Each time a task
-// starts, it checks that the task does not run elsewhere and has not completed, that
-// the worker has enough capacity, and that the run was stored before.
+// starts, it checks that the task does not run elsewhere and has not completed (unless
+// it is speculative), that the worker has enough capacity, and that the run was stored
+// before.
 type simulation struct {
 	now                time.Time
 	events             eventHeap
--- a/internal/cell/scheduler/timeliness.go
+++ b/internal/cell/scheduler/timeliness.go
@@ -14,7 +14,7 @@
 type timeliness int
 
 const (
-	// timelinessDueNow means that the job completes in time only if it starts now.
+	// timelinessDueNow means that the job can still complete in time if it starts now.
 	timelinessDueNow timeliness = iota
 	// timelinessOverdue means that the job can no longer complete in time, but its
 	// result is still useful.
--- a/internal/cell/scheduler/worker.go
+++ b/internal/cell/scheduler/worker.go
@@ -10,7 +10,8 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// worker is one process of a worker. After a restart, the worker gets a new one.
+// worker is one process of a worker. After the worker has restarted, its new process
+// is represented by another value of this type.
 type worker struct {
 	registration backend.Registration
 	// registered is true while the worker is in the list of registered workers.
--- a/internal/cell/work/job.go
+++ b/internal/cell/work/job.go
@@ -29,7 +29,8 @@
 const (
 	// MaxSteps is the largest number of steps of a job.
 	MaxSteps = 64
-	// MaxTasks is the largest number of tasks in all steps of a job together.
+	// MaxTasks is the largest number of tasks in one occurrence of a job, in all its
+	// steps together.
 	MaxTasks = 4096
 )
 
--- a/internal/cell/work/progress.go
+++ b/internal/cell/work/progress.go
@@ -16,7 +16,8 @@
 	// not ended.
 	Ended int64 `json:"ended,omitempty"`
 	// Steps holds each step, in every occurrence, of which at least one task was
-	// placed on a worker.
+	// placed on a worker. Once the job has ended, it holds only the steps with tasks
+	// that may still be running.
 	Steps []StepProgress `json:"steps,omitempty"`
 }
 
