--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -248,8 +248,8 @@
 	}
 }
 
-// A step that can never start must not reserve workers; otherwise all other tasks
-// would wait forever.
+// A step whose tasks can never all start must not reserve workers; otherwise all other
+// tasks would wait forever.
 func TestImpossibleTasksKeepNothing(t *testing.T) {
 	whole := resource.Vector{Milliprocessors: 8000, MemoryMebibytes: 8000}
 	scenarios := []struct {
