--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -149,7 +149,7 @@
 
 // A run fails on an unreachable worker, which reports the failure only after the task
 // was placed on another worker. The failure must count as one of the attempts of the
-// job.
+// task.
 func TestFailureReportedLateCounts(t *testing.T) {
 	is := is.New(t)
 	sm := newSimulation(1, faultProbabilities{})
@@ -248,8 +248,8 @@
 	}
 }
 
-// A step that can never start must not reserve workers; otherwise all other tasks
-// would wait forever.
+// A step whose tasks can never all start must not reserve workers; otherwise all other
+// tasks would wait forever.
 func TestImpossibleTasksKeepNothing(t *testing.T) {
 	whole := resource.Vector{Milliprocessors: 8000, MemoryMebibytes: 8000}
 	scenarios := []struct {
