--- a/internal/decide/allocator/allocator.go
+++ b/internal/decide/allocator/allocator.go
@@ -213,8 +213,8 @@
 }
 
 // AddWorker adds a worker with the attempts that already run on it. It removes
-// these attempts from the waiting queues. It returns an error if a worker of
-// that name was added before.
+// these attempts from the waiting queues. It returns an error if the allocator
+// already has a worker of that name; the older one must be removed first.
 func (a *Allocator) AddWorker(name, rack string, capacity resource.Vector, running []RunningAttempt) error {
 	if err := a.ledger.AddWorker(name, rack, capacity); err != nil {
 		return err
--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/ledger/ledger.go
@@ -157,7 +157,7 @@
 func (l *Ledger) Reservation(attempt string) *Reservation { return l.reservations[attempt] }
 
 // AddWorker adds a worker without reservations. It returns an error when a
-// worker of that name is in the ledger.
+// worker of that name is in the ledger; the older one must be removed first.
 func (l *Ledger) AddWorker(name, rack string, capacity resource.Vector) error {
 	if l.workers[name] != nil {
 		return fault.Newf("add_worker", KindDuplicate, "worker %s is already in the ledger", name)
--- a/internal/state/resource/vector.go
+++ b/internal/state/resource/vector.go
@@ -115,8 +115,8 @@
 }
 
 // unavailableFraction is the dominant fraction of a demand for a resource of which
-// there is no capacity. It is larger than the fraction of any demand on existing
-// capacity.
+// there is no capacity. It is chosen to be above every fraction of existing capacity
+// that occurs in practice.
 const unavailableFraction = 1e9
 
 // Validate returns a message that names the first amount below 0 or above
