--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/ledger/ledger.go
@@ -70,7 +70,7 @@
 
 const (
 	// indexBucketCount is the number of buckets into which the index divides
-	// workers by their free fraction.
+	// workers by their smallestFreeFraction.
 	indexBucketCount = 17
 	// The index keeps workers without accelerators in generalGroup and those
 	// with accelerators in acceleratorGroup.
@@ -87,7 +87,7 @@
 	workers      map[string]*Worker
 	reservations map[string]*Reservation
 	// index lists the workers by group, with or without accelerators, and by
-	// the bucket of their free fraction.
+	// the bucket that indexBucketOf returns.
 	index [indexGroupCount][indexBucketCount][]indexEntry
 	// workersByCapacity counts the workers of each capacity.
 	workersByCapacity map[resource.Vector]int
@@ -157,7 +157,7 @@
 func (l *Ledger) Reservation(attempt string) *Reservation { return l.reservations[attempt] }
 
 // AddWorker adds a worker without reservations. It returns an error when a
-// worker of that name is in the ledger.
+// worker of that name is in the ledger; the older one must be removed first.
 func (l *Ledger) AddWorker(name, rack string, capacity resource.Vector) error {
 	if l.workers[name] != nil {
 		return fault.Newf("add_worker", KindDuplicate, "worker %s is already in the ledger", name)
--- a/internal/state/resource/vector.go
+++ b/internal/state/resource/vector.go
@@ -12,8 +12,8 @@
 const MaxAmount = int64(1) << 40
 
 // Vector holds an amount of each resource kind: the size of a task, the capacity
-// of a worker, or a difference of two vectors. Only differences have negative
-// amounts.
+// of a worker, or a difference of two vectors. Amounts are never negative in a valid
+// size or capacity; in a difference they may be.
 type Vector struct {
 	// Milliprocessors is in thousandths of a processor core.
 	Milliprocessors int64 `json:"milliprocessors"`
@@ -115,8 +115,8 @@
 }
 
 // unavailableFraction is the dominant fraction of a demand for a resource of which
-// there is no capacity. It is larger than the fraction of any demand on existing
-// capacity.
+// there is no capacity. It is chosen to be above every fraction of existing capacity
+// that occurs in practice.
 const unavailableFraction = 1e9
 
 // Validate returns a message that names the first amount below 0 or above
