--- a/internal/node/owner/maintenance.go
+++ b/internal/node/owner/maintenance.go
@@ -31,7 +31,7 @@
 }
 
 // detectPause starts a new epoch when the loop has not run for longer than
-// maxPause, for example because the process was frozen. Holders may have given up
+// maxLoopPause, for example because the process was frozen. Holders may have given up
 // attempts during the pause, and a call that was delayed by the pause must not
 // start these. Waiting attempts end as not run. The caller holds the lock.
 func (o *Owner) detectPause(now time.Time) {
--- a/internal/node/owner/owner.go
+++ b/internal/node/owner/owner.go
@@ -110,8 +110,9 @@
 	attempts map[string]*attempt
 	// sessions holds the session of each worker by its name.
 	sessions map[string]*session
-	// payloadBytes is the total size of the payloads in attempts. Attempts that
-	// would raise it above payloadLimit are not admitted.
+	// payloadBytes is the total size of the payloads in attempts. Run refuses
+	// attempts that would raise it above payloadLimit; Reserve does not check
+	// the limit.
 	payloadBytes, payloadLimit int64
 	ejectionTracker            *ejection.Tracker
 	usageMeter                 *usage.Meter
--- a/internal/node/request/resolve.go
+++ b/internal/node/request/resolve.go
@@ -21,7 +21,7 @@
 	startCutoff := lastCall.Add(entry.HolderLease + r.timing.ClockMargin)
 	lastLogged := time.Now()
 	for {
-		// A call to the original owner renews the holder lease of the attempt
+		// A call to the original owner may renew the holder lease of the attempt
 		// even if the reply is lost, so an unanswered call moves startCutoff.
 		sent := time.Now()
 		reply := r.askOriginalOwner(t, attempt)
@@ -82,7 +82,8 @@
 	found bool
 	// workerLost is true when the owner has lost the worker of the attempt.
 	workerLost bool
-	// unanswered is true when the call was sent and no reply was received.
+	// unanswered is true when the call returned an error. The owner may have
+	// received it nevertheless.
 	unanswered bool
 }
 
--- a/internal/node/request/runner_test.go
+++ b/internal/node/request/runner_test.go
@@ -412,9 +412,9 @@
 	delete(d.incarnations, name)
 }
 
-// assignWorkers assigns every worker to one random owner. If contested is set, it
-// assigns some workers to two owners at once, as happens when the entry VMs
-// disagree on the membership.
+// assignWorkers assigns every worker to one random reachable owner. If contested
+// is set, it assigns some workers to two owners at once, as happens when the entry
+// VMs disagree on the membership.
 func (d *fakeDomain) assignWorkers(random *rand.Rand, contested bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/operate/deployment/deployment.go
+++ b/internal/operate/deployment/deployment.go
@@ -56,8 +56,8 @@
 	Name, Domain string
 }
 
-// Load reads and validates the deployment in the folder with the given name.
-// Errors are of type *Error.
+// Load reads the deployment in the folder with the given name and validates its
+// customers and plans. Errors are of type *Error.
 func Load(files fs.FS, name string) (Deployment, error) {
 	var d Deployment
 	for _, f := range []struct {
@@ -89,8 +89,8 @@
 	return out
 }
 
-// Workers returns the workers of all pools. All workers of a rack are in the same
-// failure domain.
+// Workers returns the workers of all pools. The racks are distributed over the
+// failure domains round-robin; all workers of a rack are in the same one.
 func (d Deployment) Workers() []Worker {
 	var out []Worker
 	racks := 0
--- a/internal/operate/report/report.go
+++ b/internal/operate/report/report.go
@@ -21,7 +21,8 @@
 	// integrated over the time of the report.
 	PoolVMHours float64 `json:"pool_vm_hours"`
 	Rows        []Row   `json:"rows"`
-	// Missing names the entry VMs that did not answer. Their usage is not included.
+	// Missing names the entry VMs that did not answer. Unless it is empty, the
+	// figures are incomplete.
 	Missing []string `json:"missing,omitempty"`
 	// Complete is false when an entry VM or the log service did not answer.
 	Complete bool `json:"complete"`
--- a/internal/peer/link/client.go
+++ b/internal/peer/link/client.go
@@ -22,7 +22,7 @@
 const (
 	// KindUnreachable means that the call was not sent.
 	KindUnreachable Kind = "unreachable"
-	// KindUnknown means that the call was sent but not answered, so its outcome is
+	// KindUnknown means that no answer to the call arrived, so its outcome is
 	// unknown.
 	KindUnknown Kind = "unknown"
 	// KindFailed means that the called method returned an error.
--- a/internal/peer/store/store.go
+++ b/internal/peer/store/store.go
@@ -96,7 +96,8 @@
 // Batch is the result of a Read.
 type Batch struct {
 	Records []Record
-	// Next is the offset from which to continue reading.
+	// Next is the offset after the last returned record, from which to continue
+	// reading.
 	Next int64
 }
 
--- a/internal/peer/worker/protocol.go
+++ b/internal/peer/worker/protocol.go
@@ -1,6 +1,6 @@
 // Package worker implements the protocol between an entry VM and the worker VMs
 // that it owns. docs/design/worker_protocol.md states the protocol as numbered
-// assumptions. No other package depends on its encoding.
+// assumptions. To use another protocol, only this package has to change.
 package worker
 
 import (
@@ -28,8 +28,8 @@
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Token is a fencing token. A worker rejects calls whose token is lower than the
-// highest that it has seen.
+// Token is a fencing token. A worker obeys only the highest token that it has seen
+// and rejects calls with a lower one.
 type Token struct {
 	// Epoch orders tokens; a later adoption has a higher epoch.
 	Epoch uint64 `json:"epoch"`
