--- a/internal/node/owner/calls.go
+++ b/internal/node/owner/calls.go
@@ -195,10 +195,11 @@
 	return reply, nil
 }
 
-// resolveTasks looks up tasks, given as a map of names to generations. It fences
-// the lower generations of each task and adds one attempt of the task to the
-// reply. It prefers a finished attempt to a waiting or running one, and these to
-// one that failed or was stopped.
+// resolveTasks looks up tasks, given as a map of names to generations. It makes
+// Run refuse lower generations of each task and adds one attempt of the task to
+// the reply. It prefers a finished attempt to a waiting or running one, and these
+// to one that failed or was stopped. Attempts that did not run or that moved to
+// another owner are ignored.
 func (o *Owner) resolveTasks(tasks map[string]int, reply *entry.ResolveReply) {
 	if len(tasks) == 0 {
 		return
--- a/internal/node/owner/owner.go
+++ b/internal/node/owner/owner.go
@@ -50,7 +50,9 @@
 	// EndedAttemptRetention is how long an attempt is kept after its end.
 	EndedAttemptRetention time.Duration
 	// UrgentWait is the longest time that an urgent attempt waits to be started.
-	// An attempt that has waited longer is dropped as not run.
+	// An attempt that has waited longer is dropped as not run. The limit does not
+	// apply to an attempt whose task has run before and was
+	// stopped or failed.
 	UrgentWait time.Duration
 }
 
--- a/internal/node/request/route.go
+++ b/internal/node/request/route.go
@@ -7,13 +7,14 @@
 	"github.com/almondpost/almondpost/internal/state/plan"
 )
 
-// TwoChoices is a Router. While the workers of the local entry VM have free
-// capacity and no queue, it keeps tasks there, since the load balancer already
-// spreads the callers and each hop costs control traffic. Otherwise it chooses
-// the less loaded of two random owners in the local failure domain. It chooses an
-// owner in another failure domain when the local domain has no owner left to try,
-// or when the chosen local owner has a queue and no free capacity while the
-// remote owner has free capacity and no queue.
+// TwoChoices is a Router. While the workers of the local entry VM have more free
+// capacity than minLocalFreeFraction and no queue, it keeps tasks there, since the
+// load balancer already spreads the callers and each hop costs control traffic.
+// Otherwise it chooses the less loaded of two random owners in the local failure
+// domain. It chooses an owner in another failure domain when the local domain has
+// no owner left to try, or when the chosen local owner has a queue and no free
+// capacity while the remote owner has more free capacity than
+// minRemoteFreeFraction and no queue.
 type TwoChoices struct {
 	mutex  sync.Mutex
 	random *rand.Rand
@@ -32,9 +33,9 @@
 // on the local entry VM.
 const minLocalFreeFraction = 0.25
 
-// minRemoteFreeFraction is a fraction of capacity. While the local failure domain
-// has a queue, an owner in another domain gets tasks only if it advertises more
-// free capacity than this.
+// minRemoteFreeFraction is a fraction of capacity. While the chosen local owner has
+// a queue and no free capacity, an owner in another failure domain gets tasks only
+// if it advertises more free capacity than this.
 const minRemoteFreeFraction = 0.2
 
 // Route implements Router.
--- a/internal/peer/entry/protocol.go
+++ b/internal/peer/entry/protocol.go
@@ -87,7 +87,8 @@
 	RunTime time.Duration
 	// Name identifies the task that the attempt belongs to.
 	Name string
-	// Resumed means that an earlier attempt of the task ran and was stopped.
+	// Resumed means that an earlier attempt of the task ran and was stopped or
+	// failed.
 	Resumed bool
 	// Generation increases each time that another entry VM becomes the holder of the
 	// job. It is 0 for requests.
@@ -150,8 +151,9 @@
 	// Peek disables the fencing of unknown attempts.
 	Peek bool
 	// Tasks maps task names to generations. The owner reports an attempt of each
-	// of these tasks. It also fences their attempts with a lower generation, so
-	// that these can no longer start there.
+	// of these tasks, and from then on refuses Run calls for them with a lower
+	// generation. An attempt that already waits there is reported and may still
+	// start.
 	Tasks map[string]int
 }
 
@@ -159,7 +161,8 @@
 type ResolveReply struct {
 	// FoundTasks maps each task in ResolveArgs.Tasks to its most advanced attempt
 	// at the owner. A finished attempt ranks above a running or waiting one, and
-	// that above all others. Tasks without an attempt are left out.
+	// that above all others. Attempts that did not run or that moved to another
+	// owner are ignored. Tasks without any other attempt are left out.
 	FoundTasks map[string]FoundAttempt
 	// Found maps the requested attempts that the owner knows to their status.
 	// Attempts that are fenced or that moved to another owner are left out.
