--- a/internal/node/owner/owner.go
+++ b/internal/node/owner/owner.go
@@ -50,7 +50,9 @@
 	// EndedAttemptRetention is how long an attempt is kept after its end.
 	EndedAttemptRetention time.Duration
 	// UrgentWait is the longest time that an urgent attempt waits to be started.
-	// An attempt that has waited longer is dropped as not run.
+	// An attempt that has waited longer is dropped as not run. The limit does not
+	// apply to an attempt whose task has run before and was
+	// stopped or failed.
 	UrgentWait time.Duration
 }
 
@@ -110,8 +112,9 @@
 	attempts map[string]*attempt
 	// sessions holds the session of each worker by its name.
 	sessions map[string]*session
-	// payloadBytes is the total size of the payloads in attempts. Attempts that
-	// would raise it above payloadLimit are not admitted.
+	// payloadBytes is the total size of the payloads in attempts. Run refuses
+	// attempts that would raise it above payloadLimit; Reserve does not check
+	// the limit.
 	payloadBytes, payloadLimit int64
 	ejectionTracker            *ejection.Tracker
 	usageMeter                 *usage.Meter
