--- a/internal/emulate/cluster/cluster.go
+++ b/internal/emulate/cluster/cluster.go
@@ -112,6 +112,7 @@
 	// Log is a client of the stand-in log service.
 	Log logservice.Log
 	// EntryVMs are the entry VMs that were started, including those that have ended.
+	// The load program removes the entry VMs that it replaces.
 	EntryVMs []*EntryVM
 
 	programs  Programs
@@ -135,7 +136,7 @@
 	// Folder is where the settings and logs of the processes are written.
 	Folder string
 	// AdjustSettings changes the settings of each entry VM before its start; nil
-	// keeps the defaults.
+	// means no changes.
 	AdjustSettings func(s *settings.Settings)
 	// RetainedRecords is the number of records that each log stream retains; 0 means
 	// the default.
--- a/internal/emulate/cluster/jobs_test.go
+++ b/internal/emulate/cluster/jobs_test.go
@@ -160,9 +160,8 @@
 	}
 }
 
-// The tasks of a gang run at the same time, also when several gangs compete. The
-// workers have no room for two gangs at once, so gangs that start only some of
-// their tasks would block each other.
+// The tasks of a gang run at the same time, according to the workers' histories,
+// also when several gangs compete. The workers have no room for two gangs at once.
 func TestGangTasksRunAtTheSameTime(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t)
--- a/internal/emulate/fleet/worker.go
+++ b/internal/emulate/fleet/worker.go
@@ -192,9 +192,9 @@
 	return ""
 }
 
-// Hold extends the lease, drops acknowledged ends, and reports the running tasks
-// and the remaining ends. It returns KindFenced for an old token and an empty
-// Kind otherwise.
+// Hold extends the lease if the order contains a deadline, drops acknowledged ends,
+// and reports the running tasks and the remaining ends. It returns KindFenced for
+// an old token and an empty Kind otherwise.
 func (w *Worker) Hold(h backend.Hold, now time.Time) (backend.Report, backend.Kind) {
 	w.Advance(now)
 	if h.Token < w.highestToken {
--- a/internal/emulate/load/call.go
+++ b/internal/emulate/load/call.go
@@ -26,7 +26,8 @@
 	notRun    result = "not_run"
 	cancelled result = "cancelled"
 	failed    result = "failed"
-	// lost means that the caller learned no final outcome.
+	// lost means that the caller learned no final outcome, or that the answer was
+	// damaged or not its own.
 	lost result = "lost"
 )
 
@@ -46,7 +47,7 @@
 
 const (
 	// maxSubmissions is the maximum number of times that a caller submits a request
-	// when connections break.
+	// if submissions fail, for example because connections break.
 	maxSubmissions = 5
 	// resubmitPause is the pause before a resubmission.
 	resubmitPause = 200 * time.Millisecond
--- a/internal/emulate/load/figures.go
+++ b/internal/emulate/load/figures.go
@@ -128,10 +128,11 @@
 // determines rates.
 const urgentRateWindow = 2 * time.Second
 
-// lowestUrgentRate returns the lowest rate of answers to urgent requests in any
-// urgentRateWindow of the acting phase, as a fraction of their rate in the calm
-// phase. It ignores the first rampTime of the calm phase and the last rampTime
-// of the acting phase. It returns 0 if the calm phase had no such answers.
+// lowestUrgentRate divides the acting phase into consecutive windows of
+// urgentRateWindow. It returns the lowest rate of answers to urgent requests in any
+// of these windows, as a fraction of their rate in the calm phase. It ignores the
+// first rampTime of the calm phase and the last rampTime of the acting phase. It
+// returns 0 if the calm phase had no such answers.
 func (r *scenarioRun) lowestUrgentRate() float64 {
 	calm := 0.0
 	windows := make([]float64, int((actingPhase-rampTime)/urgentRateWindow))
--- a/internal/emulate/load/main.go
+++ b/internal/emulate/load/main.go
@@ -19,7 +19,8 @@
 	"github.com/almondpost/almondpost/internal/operate/deployment"
 )
 
-// Options are the command-line options of the load program.
+// Options are the command-line options of the load program. The slope scenario uses
+// only Seed and Root.
 type Options struct {
 	Scenario   string
 	Deployment string
--- a/internal/emulate/load/report.go
+++ b/internal/emulate/load/report.go
@@ -29,8 +29,9 @@
 	// LateStarts counts the starts on a worker that happened more than
 	// leavingGracePeriod after the VM list showed the worker as leaving.
 	LateStarts int `json:"late_starts_on_leaving"`
-	// LowestUrgentRate is the lowest rate of answers to urgent requests in any two
-	// seconds of the acting phase, as a fraction of their rate in the calm phase.
+	// LowestUrgentRate is the lowest rate of answers to urgent requests in any
+	// two-second window of the acting phase, as a fraction of their rate in the calm
+	// phase; see lowestUrgentRate.
 	LowestUrgentRate float64 `json:"lowest_urgent_rate"`
 	// RaceRounds is the number of times that two operators published concurrently.
 	// RaceWinners counts the publications that were accepted, and RaceLosers those
@@ -44,8 +45,9 @@
 	// TakeoverSeconds is the time from the kill of an entry VM until every worker was
 	// adopted again.
 	TakeoverSeconds float64 `json:"takeover_seconds,omitempty"`
-	// Reasons counts the calls that were not answered. Each key is the result and
-	// the reason of these calls, separated by a colon.
+	// Reasons counts the calls with any result other than answered, including
+	// cancelled and failed. Each key is the result and the reason of these calls, separated
+	// by a colon.
 	Reasons map[string]int `json:"reasons,omitempty"`
 	// LostIDs are the IDs of lost requests, to search for in the logs.
 	LostIDs []string `json:"lost_ids,omitempty"`
@@ -62,7 +64,8 @@
 	Submitted int  `json:"submitted"`
 	Answered  int  `json:"answered"`
 	NotRun    int  `json:"not_run"`
-	// Lost counts the calls whose callers learned no final outcome.
+	// Lost counts the calls whose callers learned no final outcome, or received an
+	// answer that was damaged or not their own.
 	Lost int `json:"lost"`
 	// Cancelled counts the requests that the caller cancelled, and Failed those
 	// that ran and failed. Both are also counted in Answered.
--- a/internal/emulate/standin/worker.go
+++ b/internal/emulate/standin/worker.go
@@ -29,7 +29,7 @@
 	Fail bool `json:"fail"`
 }
 
-// WorkAnswer is the JSON answer to Work.
+// WorkAnswer is the JSON answer of an attempt that finished.
 type WorkAnswer struct {
 	Nonce   string `json:"nonce"`
 	Worker  string `json:"worker"`
--- a/internal/node/daemon/job_calls.go
+++ b/internal/node/daemon/job_calls.go
@@ -48,9 +48,10 @@
 	return time.Since(j.leaseConfirmedAt) < jobLease
 }
 
-// FetchJob implements caller.Service. It waits until a job has ended or wait has
-// elapsed, and returns the state of the job, whatever its failure domain. It
-// returns false if none of the entry VMs that answer knows the job.
+// FetchJob implements caller.Service. It returns the state of a job, whatever its
+// failure domain. An entry VM of that domain waits for the end of the job, for at
+// most the shorter of wait and maxFetchWait. FetchJob returns false if none of the
+// entry VMs that answer knows the job.
 func (n *Node) FetchJob(ctx context.Context, id string, wait time.Duration) (job.Status, bool) {
 	domain, _, ok := splitID(id)
 	if !ok {
@@ -75,7 +76,8 @@
 }
 
 // awaitEnd returns the status of a job of this failure domain once the job has
-// ended, wait has elapsed or ctx ends. It returns false if the job is unknown.
+// ended, wait or maxFetchWait has elapsed, or ctx ends. It returns false if the job
+// is unknown.
 func (j *Jobs) awaitEnd(ctx context.Context, id string, wait time.Duration) (job.Status, bool) {
 	timer := time.NewTimer(min(wait, maxFetchWait))
 	defer timer.Stop()
--- a/internal/node/daemon/job_run.go
+++ b/internal/node/daemon/job_run.go
@@ -131,8 +131,8 @@
 }
 
 // runTask runs one task until it has a final outcome and records that outcome.
-// If found contains an attempt of the task, runTask follows this attempt instead
-// of starting another one.
+// If found contains an attempt of the task, runTask follows this attempt first
+// and starts another one only if that attempt has to be retried.
 func (j *Jobs) runTask(ctx context.Context, r *jobRun, id string, task int, spec request.Spec, found request.LocatedAttempt) {
 	w := j.newWork(r, id, task, spec)
 	if !spec.Repeatable && found.Attempt.Attempt == "" && !j.recordStart(ctx, r, id, task) {
--- a/internal/node/daemon/jobs.go
+++ b/internal/node/daemon/jobs.go
@@ -26,8 +26,7 @@
 	// margin.
 	takeoverGracePeriod = jobLease + entry.HolderLease + time.Second
 	// maxTickGap is the longest normal gap between two rounds of takeoverLoop.
-	// After a longer one, this process is considered to have been frozen, for
-	// example because the VM was suspended.
+	// After a longer one, this process must have been frozen.
 	maxTickGap    = 2500 * time.Millisecond
 	appendTimeout = 5 * time.Second
 	// taskRetryPause is the pause before a task that was not run is offered to
--- a/internal/node/daemon/keyed_requests.go
+++ b/internal/node/daemon/keyed_requests.go
@@ -28,9 +28,9 @@
 		}
 		return r.recoverOrphanedKey(ctx, w, result)
 	}
-	// If this process was suspended, another entry VM may have taken over the
-	// key. The owner starts a new epoch after a suspension, so the request may
-	// start only in the epoch of the claim.
+	// If this process was paused, another entry VM may have concluded that this
+	// one is gone and taken over the key. The owner starts a new epoch after a
+	// pause, so the request may start only in the epoch that is read here.
 	epoch := r.node.owner.Epoch()
 	w.Domain = r.node.Settings.Domain
 	w.Permit = func() bool { return r.node.owner.Epoch() == epoch }
--- a/internal/node/daemon/members.go
+++ b/internal/node/daemon/members.go
@@ -14,9 +14,9 @@
 	// crossDomainFanout is the number of members of other failure domains that
 	// get a heartbeat in each round.
 	crossDomainFanout = 1
-	// One of every roundsPerFullHeartbeat heartbeat rounds sends full heartbeats.
-	// The other rounds leave out the domain and the address, which members know
-	// already.
+	// One of every roundsPerFullHeartbeat rounds sends full heartbeats to known
+	// members. The other rounds leave out the domain and the address, which these
+	// members know already. All other entry VMs get full heartbeats in every round.
 	roundsPerFullHeartbeat = 10
 )
 
--- a/internal/node/daemon/request_fetch.go
+++ b/internal/node/daemon/request_fetch.go
@@ -40,7 +40,9 @@
 }
 
 // Fetch waits for the end of a request, whichever entry VM it was submitted to,
-// and returns its outcome. It returns false if the request is unknown.
+// and returns its outcome. It waits for at most the shorter of wait and
+// maxFetchWait; if the request has not ended by then, the state is pending. It
+// returns false if the request is unknown.
 func (r *Requests) Fetch(ctx context.Context, id string, wait time.Duration) (request.Outcome, bool) {
 	domain, vm, ok := splitID(id)
 	if !ok {
@@ -65,8 +67,9 @@
 
 // findOrphanedOutcome returns the outcome of a request whose entry VM is gone.
 // It asks the owners in the failure domain of that VM for the attempts of the
-// request, but does not stop them from starting one. It returns false if it
-// finds no attempt that has finished or is still open.
+// request, but does not stop them from starting one. If an attempt is still open,
+// the state is pending. It returns false if it finds no attempt that has finished
+// or is still open.
 func (r *Requests) findOrphanedOutcome(ctx context.Context, domain, id string) (request.Outcome, bool) {
 	attempts := make([]string, 0, maxOrphanAttempts)
 	for i := range maxOrphanAttempts {
--- a/internal/node/daemon/requests.go
+++ b/internal/node/daemon/requests.go
@@ -14,7 +14,8 @@
 
 const (
 	// outcomeRetention is how long the outcome of an ended request is kept for
-	// callers to fetch.
+	// callers to fetch. It is kept for a shorter time if the answers exceed
+	// maxRetainedAnswerBytes.
 	outcomeRetention = 10 * time.Minute
 	// maxRetainedAnswerBytes bounds the total size of retained answers. It is
 	// enforced once per pruneInterval.
@@ -38,7 +39,7 @@
 )
 
 // Requests tracks the requests that were submitted to this entry VM, from their
-// admission until outcomeRetention after their end.
+// admission until at most outcomeRetention after their end.
 type Requests struct {
 	node      *Node
 	table     *shard.Map[*trackedRequest]
