--- a/internal/node/entryvm/configuration.go
+++ b/internal/node/entryvm/configuration.go
@@ -75,9 +75,9 @@
 }
 
 // leaderLongPollWait is used instead of longPollWait on the leader. A read hangs when
-// its connection to the store stops delivering messages. The other VMs then depend on
-// the leader for a new configuration, so the leader's read must time out soon and be
-// repeated.
+// its connection to the store stops delivering messages. VMs whose reads hang get a new
+// configuration from the leader, so a read of the leader that hangs must time out soon
+// and be repeated.
 const leaderLongPollWait = 1500 * time.Millisecond
 
 // pollWait returns how long the store may wait for a new configuration before it
--- a/internal/node/entryvm/election.go
+++ b/internal/node/entryvm/election.go
@@ -21,8 +21,8 @@
 	// leaderTimeout is how long the leader must be silent before another VM claims
 	// leadership: three heartbeat intervals and some delay.
 	leaderTimeout = 900 * time.Millisecond
-	// delayPerRank is added to leaderTimeout once for each VM that should claim before
-	// this one, so that two VMs rarely claim at the same time.
+	// delayPerRank is added to the wait before a claim once for each VM that should claim
+	// before this one, so that two VMs rarely claim at the same time.
 	delayPerRank = 200 * time.Millisecond
 	// maxClaimRank limits the rank that claimRank returns, and thereby how long a VM
 	// waits for others to claim first.
@@ -33,7 +33,7 @@
 	maxFirstClaimDelay = 500 * time.Millisecond
 	// minStoreReachableTime is how long a VM that was cut off from the network must
 	// have reached the store again before it claims leadership. If there is a leader,
-	// its heartbeat arrives within two heartbeat intervals.
+	// its heartbeat arrives within two heartbeat intervals. See candidacy.mayClaim.
 	minStoreReachableTime = 2*heartbeatInterval + 100*time.Millisecond
 	// electionPollInterval is the pause between two checks for a silent leader.
 	electionPollInterval = 100 * time.Millisecond
@@ -69,7 +69,8 @@
 	claimsEndOffset int64
 	// lastHeartbeat is when the last heartbeat of the leader arrived.
 	lastHeartbeat time.Time
-	// leaderWaitStart is the time from which the silence of the leader is counted.
+	// leaderWaitStart is the time from which the silence of the leader is counted. It
+	// is reset when a heartbeat arrives or a new claim is read, and by postponeClaim.
 	leaderWaitStart time.Time
 	// takeOverRequests receives a value when another VM asks this one to lead.
 	takeOverRequests chan struct{}
@@ -211,7 +212,7 @@
 type candidacy struct {
 	// epoch is the highest known epoch, or 0 before the first claim.
 	epoch int64
-	// leaderSilence is the time without a heartbeat from the leader.
+	// leaderSilence is the time since election.leaderWaitStart.
 	leaderSilence time.Duration
 	// storeReachableFor is how long the store has been directly reachable. It is
 	// negative while the store is unreachable.
@@ -227,8 +228,9 @@
 //
 // A VM that was cut off has heard no leader for seconds. If it claimed as soon as the
 // connection is back, before it hears the leader again, no task could be started during
-// the needless take-over. It therefore waits until the store has been reachable for
-// minStoreReachableTime.
+// the needless take-over. It therefore does not claim while the store is unreachable.
+// If most other VMs still count as silent, it also waits until the store has been
+// reachable for minStoreReachableTime. Neither applies to the very first claim.
 func (c candidacy) mayClaim() bool {
 	wait := leaderTimeout
 	switch {
--- a/internal/node/entryvm/heartbeats.go
+++ b/internal/node/entryvm/heartbeats.go
@@ -15,8 +15,8 @@
 // successors returns the VMs that should lead instead of this one, if any. It considers
 // only VMs that answer heartbeats and reach the store directly. If this VM has not
 // reached the store directly for handOverWithoutStoreDelay, it returns all of them.
-// Otherwise, once handOverToFitterDelay has passed, it returns those that are much
-// fitter than this VM.
+// Otherwise it returns those that are much fitter than this VM, but only after
+// handOverToFitterDelay. Both delays are also counted from handOverTimerStart.
 func (l *leader) successors(at time.Time) []member {
 	l.mutex.Lock()
 	names := l.reachableVMs(at)
@@ -45,8 +45,8 @@
 }
 
 // hasQuorum reports whether most other entry VMs answered a heartbeat within
-// leaderTimeout, so that no other VM can have become leader. The caller must hold the
-// mutex.
+// leaderTimeout, so that no other VM can have become leader. It is true if there are no
+// other VMs. The caller must hold the mutex.
 //
 // With a quorum, the leader reports a job as completed even before the completion is
 // stored, so that an outage of the store does not make callers miss their deadlines.
@@ -115,9 +115,11 @@
 // shouldSend records whether a VM is outdated and reports whether the configuration
 // must be sent to it now. If so, it adds the VM to sendingTo.
 //
-// Sending a large configuration over a slow network link takes a long time. The leader
-// therefore does not send it to a VM that may still be reading it from the store or is
-// already receiving it.
+// Sending a large configuration over a slow network link takes a long time. If a VM
+// were sent it while it reads it from the store, or were sent it several times, the same
+// text would cross its link again and again. The leader therefore does not send it to a
+// VM that may still be reading it or is already receiving it, and sends it to at most
+// maxConcurrentConfigurationSends VMs at a time.
 func (o *outdatedVMs) shouldSend(name string, outdated bool, at time.Time) bool {
 	if !outdated {
 		delete(o.outdatedSince, name)
--- a/internal/node/entryvm/isolation.go
+++ b/internal/node/entryvm/isolation.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// reachesStore reports whether the store answers directly. It makes no call and returns
-// false while the store is marked as unreachable.
+// reachesStore reports whether the store answers directly. While the store is marked as
+// unreachable, it returns false without making a call.
 func (i *isolationDetector) reachesStore() bool {
 	if i.node.store.unreachable.Load() {
 		return false
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -40,8 +40,9 @@
 	// commitPause is the pause between two commits. It lets more changes accumulate for
 	// each commit.
 	commitPause = 6 * time.Millisecond
-	// claimRenewInterval is how long the commit loop waits for a signal before it
-	// renews the claim.
+	// claimRenewInterval is intended as the longest interval between two appends of
+	// the commit loop, each of which proves the claim. The loop renews the claim when
+	// it has received no signal for this long.
 	claimRenewInterval = time.Second
 	// claimRenewalKey is the key of records that contain no progress and only renew the
 	// claim.
--- a/internal/node/entryvm/relay.go
+++ b/internal/node/entryvm/relay.go
@@ -33,14 +33,15 @@
 	// storeProbeInterval is the pause between two attempts to reach the store directly
 	// again.
 	storeProbeInterval = 300 * time.Millisecond
-	// partitionCheckTimeout limits the check of other partitions after failed appends.
+	// partitionCheckTimeout limits the check whether any of several partitions answers
+	// after failed appends.
 	partitionCheckTimeout = 300 * time.Millisecond
 	// appendFailuresUntilCheck is the number of consecutive direct appends without an
 	// answer after which the VM checks whether it still reaches the store. A single one
 	// may be due to one lost message.
 	appendFailuresUntilCheck = 2
-	// relayedEmptyReadPause is the pause after a relayed read that returned no records.
-	// It replaces the long poll of a direct read.
+	// relayedEmptyReadPause is the longest pause after a relayed read that returned no
+	// records. The pause replaces the long poll of a direct read.
 	relayedEmptyReadPause = 300 * time.Millisecond
 	// maxRelayAttempts limits the number of VMs through which one call is tried.
 	maxRelayAttempts = 2
@@ -284,8 +285,10 @@
 }
 
 // callThroughOthers tries a call through other VMs, one after the other, until one
-// succeeds. It tries at most maxRelayAttempts VMs. The error has store.KindUnknown if a
-// VM may have carried the call out, and store.KindRefused if none has.
+// returns a success or an error such as store.KindConflict that another VM would get as
+// well. It tries at most maxRelayAttempts VMs. If no VM returns such a result, the error
+// has store.KindUnknown if the call may have been carried out, and store.KindRefused if
+// it was not.
 func (s *relayedStore) callThroughOthers(ctx context.Context, operation string, call func(context.Context, member) (StoreReply, error)) (StoreReply, error) {
 	others := slices.DeleteFunc(s.node.members.others(), func(m member) bool { return s.node.peerClient.Silent(m.Address) })
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
--- a/internal/node/entryvm/session.go
+++ b/internal/node/entryvm/session.go
@@ -13,8 +13,9 @@
 )
 
 const (
-	// orderTimeout is how long the leader waits for a worker's answer to an order. The
-	// scheduler sends a new order if there is none. Workers answer within milliseconds;
+	// orderTimeout is how long the leader waits for a worker's answer to an order. If a
+	// start is not answered, the scheduler raises the worker's fencing token, so that the
+	// worker refuses the start if it arrives late. Workers answer within milliseconds;
 	// the remaining time allows for delays on a busy leader.
 	orderTimeout = 250*time.Millisecond + keeper.ForwardingMargin
 	// holdReplyMargin is added to Hold.Wait to get the timeout of a hold. Hold.Wait is
--- a/internal/node/keeper/forwarder.go
+++ b/internal/node/keeper/forwarder.go
@@ -17,8 +17,8 @@
 	// sent in the same batch.
 	answerBatchDelay = 8 * time.Millisecond
 	// sendAnswersTimeout limits one attempt to send a batch of answers to the leader,
-	// and maxSendAnswersAttempts is the number of attempts. A second one is needed
-	// because a connection can stop delivering messages without an error.
+	// and maxSendAnswersAttempts is the maximum number of attempts. A second one is
+	// allowed because a connection can stop delivering messages without an error.
 	sendAnswersTimeout     = 400 * time.Millisecond
 	maxSendAnswersAttempts = 2
 	// maxCallTimeout is the longest timeout that a leader can request for a call to a
--- a/internal/node/keeper/worker.go
+++ b/internal/node/keeper/worker.go
@@ -10,7 +10,8 @@
 
 // WorkerClient is the backend.Worker that calls a worker through its keeper, or
 // directly if there is no usable keeper. The deadline of each context must include
-// ForwardingMargin, since a direct call gets that much less time.
+// ForwardingMargin for the way through the keeper and back: in both cases the worker has
+// that much less time to answer.
 type WorkerClient struct {
 	dispatcher   *Dispatcher
 	registration backend.Registration
