--- a/internal/node/keeper/protocol.go
+++ b/internal/node/keeper/protocol.go
@@ -7,9 +7,9 @@
 // worker to its keeper.
 //
 // Keepers make no scheduling decisions. The leader stores a start before it sends the
-// order, and each call carries a lease and a fencing token that limit the effect of
-// a late call. A keeper or the leader can therefore crash, pause or be replaced at any
-// time.
+// order. Each call carries a fencing token, and a start or hold also the deadline of the
+// worker's lease; these limit the effect of a late call. A keeper or the leader can
+// therefore crash, pause or be replaced at any time.
 package keeper
 
 import (
