--- a/internal/cell/scheduler/advice.go
+++ b/internal/cell/scheduler/advice.go
@@ -60,9 +60,9 @@
 	// answered contains every worker that the adviser has either approved or
 	// rejected.
 	answered map[*worker]bool
-	// awaitingAnswer contains the workers named in requests that the adviser has not
+	// workersAwaitingAnswer contains the workers named in requests that the adviser has not
 	// answered yet.
-	awaitingAnswer map[*worker]bool
+	workersAwaitingAnswer map[*worker]bool
 	// reservedWorkers lists the workers that the last scheduling pass reserved for
 	// the step. timeUntilReservedFree is the time, from that pass on, after which all
 	// of them (for a gang) or the first of them (for other steps) should have enough
@@ -184,11 +184,11 @@
 	s.schedulingNeeded = true
 }
 
-func (a *adviceDispatcher) dequeue(st *step) { delete(a.pendingSteps, st) }
+func (a *adviceDispatcher) removePendingStep(st *step) { delete(a.pendingSteps, st) }
 
-// enqueue adds a step that needs tickets. It does nothing if the queue needs no
+// addPendingStep adds a step that needs tickets. It does nothing if the queue needs no
 // advice.
-func (a *adviceDispatcher) enqueue(st *step, q *queue.Queue) {
+func (a *adviceDispatcher) addPendingStep(st *step, q *queue.Queue) {
 	if q.Advice != nil {
 		a.pendingSteps[st] = q
 	}
@@ -209,8 +209,8 @@
 	return name, longestIdle != nil
 }
 
-// sendRequest has an entry VM send a request for advice about a step.
-func (s *Scheduler) sendRequest(st *step, q requestSpec, vm string, now time.Time) {
+// sendAdviceRequest has an entry VM send a request for advice about a step.
+func (s *Scheduler) sendAdviceRequest(st *step, q requestSpec, vm string, now time.Time) {
 	a := &s.dispatcher
 	delete(a.pendingSteps, st)
 	a.lastRequestNumber++
@@ -221,14 +221,14 @@
 	timeout := max(v.busyUntil.Sub(now), 0) + cost + requestTimeoutMargin
 	v.requestsInFlight++
 	v.busyUntil = v.busyUntil.Add(cost)
-	if st.advice.awaitingAnswer == nil {
-		st.advice.awaitingAnswer = map[*worker]bool{}
+	if st.advice.workersAwaitingAnswer == nil {
+		st.advice.workersAwaitingAnswer = map[*worker]bool{}
 	}
 	a.inFlightRequests[a.lastRequestNumber] = inFlightRequest{step: st, vm: vm, workers: q.workers, expectedTime: cost, sentAt: now, expiresAt: now.Add(timeout + requestTimeoutMargin)}
 	ids := make([]string, len(q.workers))
 	for i, w := range q.workers {
 		w.requestsInFlight++
-		st.advice.awaitingAnswer[w] = true
+		st.advice.workersAwaitingAnswer[w] = true
 		ids[i] = w.registration.Life.ID
 	}
 	s.effects.AdviceRequests = append(s.effects.AdviceRequests, AdviceRequest{Number: a.lastRequestNumber, VM: vm, Step: st.id, Workers: ids, Timeout: timeout})
@@ -244,7 +244,7 @@
 	delete(s.dispatcher.inFlightRequests, number)
 	for _, w := range o.workers {
 		w.requestsInFlight--
-		delete(o.step.advice.awaitingAnswer, w)
+		delete(o.step.advice.workersAwaitingAnswer, w)
 	}
 	s.dispatcher.finishRequest(o.vm, failed, now)
 	s.schedulingNeeded = true
@@ -287,8 +287,8 @@
 	}
 }
 
-// expireRequests handles requests that have timed out in the same way as failed ones.
-func (s *Scheduler) expireRequests(now time.Time) {
+// expireAdviceRequests handles requests that have timed out in the same way as failed ones.
+func (s *Scheduler) expireAdviceRequests(now time.Time) {
 	for _, number := range slices.Sorted(maps.Keys(s.dispatcher.inFlightRequests)) {
 		if o := s.dispatcher.inFlightRequests[number]; now.After(o.expiresAt) {
 			s.AdviceAnswered(number, backend.Advice{}, true, now)
--- a/internal/cell/scheduler/commit.go
+++ b/internal/cell/scheduler/commit.go
@@ -19,9 +19,9 @@
 	startedAt time.Time
 	// placedTasks are the tasks that the records name with their new worker.
 	placedTasks []*task
-	// Workers number the ends of their runs. lastEndNumbers maps a worker to the
+	// Workers number the ends of their runs. lastEndNumberByWorker maps a worker to the
 	// number of the last end whose effect is in the records.
-	lastEndNumbers map[*worker]int64
+	lastEndNumberByWorker map[*worker]int64
 	// jobStates maps each job to the state that its record contains.
 	jobStates map[*job]work.State
 }
@@ -30,7 +30,7 @@
 // caller must store the commits one at a time, in the order in which NextCommit
 // returned them.
 func (s *Scheduler) NextCommit(now time.Time) *Commit {
-	c := &Commit{startedAt: now, lastEndNumbers: map[*worker]int64{}, jobStates: map[*job]work.State{}}
+	c := &Commit{startedAt: now, lastEndNumberByWorker: map[*worker]int64{}, jobStates: map[*job]work.State{}}
 	for _, id := range slices.Sorted(maps.Keys(s.dirtyJobs)) {
 		j := s.dirtyJobs[id]
 		c.Records = append(c.Records, store.Record{Key: id, Value: work.Encode(j.progress())})
@@ -47,11 +47,11 @@
 	}
 	s.expiredJobs = nil
 	for _, w := range s.workers {
-		if w.lastHandledEnd > w.lastStoredEnd {
-			c.lastEndNumbers[w] = w.lastHandledEnd
+		if w.lastHandledEndNumber > w.lastStoredEndNumber {
+			c.lastEndNumberByWorker[w] = w.lastHandledEndNumber
 		}
 	}
-	if len(c.Records) == 0 && len(c.lastEndNumbers) == 0 {
+	if len(c.Records) == 0 && len(c.lastEndNumberByWorker) == 0 {
 		return nil
 	}
 	return c
@@ -69,8 +69,8 @@
 			j.storedState = state
 		}
 	}
-	for w, number := range c.lastEndNumbers {
-		w.lastStoredEnd = number
+	for w, number := range c.lastEndNumberByWorker {
+		w.lastStoredEndNumber = number
 	}
 	for _, t := range c.placedTasks {
 		if t.phase == phasePlaced && t.inCommit {
--- a/internal/cell/scheduler/dispatch.go
+++ b/internal/cell/scheduler/dispatch.go
@@ -11,9 +11,9 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// dispatchRequests has idle VMs send requests for the steps that need tickets. The
+// dispatchAdviceRequests has idle VMs send requests for the steps that need tickets. The
 // steps of jobs at the front of sortedJobs come first.
-func (s *Scheduler) dispatchRequests(sortedJobs []*job, now time.Time) {
+func (s *Scheduler) dispatchAdviceRequests(sortedJobs []*job, now time.Time) {
 	if len(s.dispatcher.pendingSteps) == 0 {
 		return
 	}
@@ -27,13 +27,13 @@
 		for _, o := range j.occurrences {
 			for _, st := range o.steps {
 				q := s.dispatcher.pendingSteps[st]
-				if q == nil || !ok || !limits.allows(q) || (st.open && !s.worthRequesting(st, q, stepsWithoutCapacity)) {
+				if q == nil || !ok || !limits.allowsRequest(q) || (st.open && !s.isAdviceWorthRequesting(st, q, stepsWithoutCapacity)) {
 					continue
 				}
 				if workers := s.workersForRequest(st, q, now); len(workers) > 0 {
-					s.sendRequest(st, requestSpec{workers, q.Advice}, idle, now)
+					s.sendAdviceRequest(st, requestSpec{workers, q.Advice}, idle, now)
 					idle, ok = s.dispatcher.idleVM(now)
-					limits.countInFlight(q)
+					limits.countRequestInFlight(q)
 				}
 			}
 		}
@@ -62,7 +62,7 @@
 	l := &requestLimits{requestsInFlightByService: map[string]int{}, maxRequestsPerService: max(int(maxVMSharePerService*vms), 1), maxSlowRequests: max(int(maxVMShareForSlowRequests*vms), 1)}
 	for _, o := range s.dispatcher.inFlightRequests {
 		if q := s.table.Queue(o.step.job.spec.Queue); q != nil {
-			l.countInFlight(q)
+			l.countRequestInFlight(q)
 		}
 	}
 	return l
@@ -76,13 +76,13 @@
 	return q.Advice == nil || q.Advice.Fixed <= maxShortRequestTime
 }
 
-// allows reports whether another request for a step of a queue may be sent.
-func (l *requestLimits) allows(q *queue.Queue) bool {
+// allowsRequest reports whether another request for a step of a queue may be sent.
+func (l *requestLimits) allowsRequest(q *queue.Queue) bool {
 	return hasShortRequests(q) || (l.requestsInFlightByService[q.Service] < l.maxRequestsPerService && (!hasSlowRequests(q) || l.slowRequestsInFlight < l.maxSlowRequests))
 }
 
-// countInFlight counts one unanswered request for a step of a queue.
-func (l *requestLimits) countInFlight(q *queue.Queue) {
+// countRequestInFlight counts one unanswered request for a step of a queue.
+func (l *requestLimits) countRequestInFlight(q *queue.Queue) {
 	if hasShortRequests(q) {
 		return
 	}
@@ -92,15 +92,15 @@
 	}
 }
 
-// worthRequesting reports whether an open step could use tickets before they expire.
+// isAdviceWorthRequesting reports whether an open step could use tickets before they expire.
 // It could if a worker has enough free capacity for a task now or soon. Otherwise it
 // may request advice only once, and only if it is among the first steps of its
 // service that wait for capacity. stepsWithoutCapacity counts these steps by service.
 //
 // Under a backlog, tickets for steps further back would expire unused, while the
 // steps at the front wait for a VM to send their requests.
-func (s *Scheduler) worthRequesting(st *step, q *queue.Queue, stepsWithoutCapacity map[string]int) bool {
-	if st.spec.ReservedCapacity().Fits(s.poolOf(q.Service).maxFreeCapacity) || st.reservedWorkersSoonFree(q) {
+func (s *Scheduler) isAdviceWorthRequesting(st *step, q *queue.Queue, stepsWithoutCapacity map[string]int) bool {
+	if st.spec.ReservedCapacity().Fits(s.poolOf(q.Service).maxFreeCapacity) || st.areReservedWorkersSoonFree(q) {
 		return true
 	}
 	stepsWithoutCapacity[q.Service]++
@@ -121,18 +121,18 @@
 			stale = append(stale, w)
 		}
 	}
-	if len(st.advice.awaitingAnswer) == 0 {
+	if len(st.advice.workersAwaitingAnswer) == 0 {
 		switch {
 		case s.isLarge(st, q) && len(st.advice.reservedWorkers) > 0:
-			if st.reservedWorkersSoonFree(q) {
-				return st.advice.reservedWithoutValidTicket(now.Add(q.Advice.RequestDuration(len(st.advice.reservedWorkers))))
+			if st.areReservedWorkersSoonFree(q) {
+				return st.advice.reservedWorkersWithoutValidTicket(now.Add(q.Advice.RequestDuration(len(st.advice.reservedWorkers))))
 			}
 		case places > 0 && len(stale) > 0 && !s.isLarge(st, q):
-			return mostLikelyFree(stale, st)
+			return workersMostLikelyFree(stale, st)
 		}
 	}
 	if s.needsMorePlaces(st, places) {
-		return s.unrequestedWorkers(st, q)
+		return s.workersWithoutRequest(st, q)
 	}
 	return nil
 }
@@ -147,34 +147,34 @@
 // was answered.
 func (s *Scheduler) needsMorePlaces(st *step, places int) bool {
 	if !st.spec.Gang {
-		return places == 0 && len(st.advice.awaitingAnswer) == 0
+		return places == 0 && len(st.advice.workersAwaitingAnswer) == 0
 	}
 	expected := float64(places)
-	for w := range st.advice.awaitingAnswer {
+	for w := range st.advice.workersAwaitingAnswer {
 		expected += s.dispatcher.approvalRate(st.job.spec.Queue) * float64(min(countPlaces(st.spec.ReservedCapacity(), w.freeCapacity()), remainingTaskLimit(w, st)))
 	}
 	return expected < float64(st.spec.Count)
 }
 
-// reservedWorkersSoonFree reports whether the workers reserved for a step are
+// areReservedWorkersSoonFree reports whether the workers reserved for a step are
 // expected to have enough free capacity by the time a request about them is answered.
 //
 // It determines when large tasks that wait in a full pool request tickets. Tickets
 // requested before workers are reserved would expire before the tasks can start. If
 // tickets were requested only once the capacity is free, it would stay unused until
 // the answer.
-func (st *step) reservedWorkersSoonFree(q *queue.Queue) bool {
+func (st *step) areReservedWorkersSoonFree(q *queue.Queue) bool {
 	return len(st.advice.reservedWorkers) > 0 && st.advice.timeUntilReservedFree <= q.Advice.RequestDuration(len(st.advice.reservedWorkers))
 }
 
-// reservedWithoutValidTicket returns the reserved workers without a ticket that is
+// reservedWorkersWithoutValidTicket returns the reserved workers without a ticket that is
 // valid at a given time. The caller passes the time at which a request about them
 // would be answered.
 //
 // Requests for a gang can take nearly as long as a ticket is valid. If only the
 // tickets that have expired by now were renewed, others would expire meanwhile, and
 // the tickets of the gang would never all be valid at once.
-func (a *advice) reservedWithoutValidTicket(at time.Time) []*worker {
+func (a *advice) reservedWorkersWithoutValidTicket(at time.Time) []*worker {
 	var stale []*worker
 	for _, w := range a.reservedWorkers[:min(len(a.reservedWorkers), maxWorkersPerRequest)] {
 		if !a.hasValidTicket(w, at) {
@@ -197,10 +197,10 @@
 	return int(places)
 }
 
-// mostLikelyFree selects the workers of list to ask about again, at most
+// workersMostLikelyFree selects the workers of list to ask about again, at most
 // maxWorkersPerRequest. Workers in the rack that holds the input data come first,
 // then those with the smallest used fraction.
-func mostLikelyFree(list []*worker, st *step) []*worker {
+func workersMostLikelyFree(list []*worker, st *step) []*worker {
 	for _, w := range list {
 		w.usedFraction = w.usedCapacity.DominantFraction(w.registration.Capacity)
 	}
@@ -223,7 +223,7 @@
 // to approve in a request about maxWorkersPerRequest workers.
 const expectedApprovalsPerRequest = 12
 
-// unrequestedWorkers returns workers about which a step has not requested advice yet,
+// workersWithoutRequest returns workers about which a step has not requested advice yet,
 // at most maxWorkersPerRequest. The order is: workers in the rack that holds the
 // input data, then workers with enough free capacity that no unanswered request of
 // any step names, then other workers with enough free capacity, then the rest. Within
@@ -233,7 +233,7 @@
 // When many jobs come at once, requests of all of them about the same few workers
 // would bring tickets for capacity that the first job takes. Small tasks on the least
 // used workers would leave no entire worker free for large tasks.
-func (s *Scheduler) unrequestedWorkers(st *step, q *queue.Queue) []*worker {
+func (s *Scheduler) workersWithoutRequest(st *step, q *queue.Queue) []*worker {
 	p := s.poolOf(q.Service)
 	if len(st.advice.answered) >= len(p.workers) {
 		maps.DeleteFunc(st.advice.answered, func(w *worker, _ bool) bool { return w.removed })
@@ -253,7 +253,7 @@
 	var list []*worker
 	addMatching := func(matches func(w *worker) bool) {
 		for i := 0; i < len(candidates) && len(list) < maxWorkersPerRequest; i++ {
-			if w := candidates[i]; matches(w) && !st.advice.answered[w] && !st.advice.awaitingAnswer[w] && isCapable(w, st) && !slices.Contains(list, w) {
+			if w := candidates[i]; matches(w) && !st.advice.answered[w] && !st.advice.workersAwaitingAnswer[w] && isCapable(w, st) && !slices.Contains(list, w) {
 				list = append(list, w)
 			}
 		}
--- a/internal/cell/scheduler/hold.go
+++ b/internal/cell/scheduler/hold.go
@@ -15,14 +15,14 @@
 		return hold, sent, false
 	}
 	s.eventSequence++
-	hold = backend.Hold{Token: w.token, Acknowledged: w.lastStoredEnd}
+	hold = backend.Hold{Token: w.token, Acknowledged: w.lastStoredEndNumber}
 	if w.unansweredHolds == 0 {
 		// Only the first hold after an answer extends the lease. Otherwise the lease of
 		// a silent worker would never end.
 		hold.Deadline = max(w.leaseDeadline(now, s.leadershipEnd(), s.timing), 0)
 	}
 	w.unansweredHolds++
-	if !w.tokenUnconfirmed() && w.lastHandledEnd == w.lastStoredEnd {
+	if !w.tokenUnconfirmed() && w.lastHandledEndNumber == w.lastStoredEndNumber {
 		hold.Wait = s.holdWait()
 	}
 	if hold.Deadline > 0 {
@@ -35,7 +35,7 @@
 // are stored.
 func (s *Scheduler) EndsStored(life backend.Life) bool {
 	w := s.workers[life]
-	return w == nil || w.lastHandledEnd == w.lastStoredEnd
+	return w == nil || w.lastHandledEndNumber == w.lastStoredEndNumber
 }
 
 // HoldSent identifies a hold that was sent. With it, the scheduler determines which
@@ -81,8 +81,8 @@
 	w.lastAnswerAt, w.unansweredHolds = now, 0
 	w.setClock(r.Clock, now)
 	for i := range r.Ended {
-		if e := &r.Ended[i]; e.Number > w.lastHandledEnd {
-			w.lastHandledEnd = e.Number
+		if e := &r.Ended[i]; e.Number > w.lastHandledEndNumber {
+			w.lastHandledEndNumber = e.Number
 			s.applyRunEnd(w, e, now)
 		}
 	}
--- a/internal/cell/scheduler/job.go
+++ b/internal/cell/scheduler/job.go
@@ -25,9 +25,9 @@
 	// submissionDropped is true once the caller was told to delete the submission
 	// from the store.
 	submissionDropped bool
-	// nextOccurrence is the number of the first occurrence that has not been opened
+	// nextOccurrenceNumber is the number of the first occurrence that has not been opened
 	// yet.
-	nextOccurrence int
+	nextOccurrenceNumber int
 	// waitingTasks counts the tasks of open steps that wait for a worker.
 	// tasksOnWorkers counts the tasks that use capacity of a worker.
 	waitingTasks, tasksOnWorkers int
@@ -189,7 +189,7 @@
 			for _, t := range st.tasks {
 				s.endTask(t, now)
 			}
-			s.dispatcher.dequeue(st)
+			s.dispatcher.removePendingStep(st)
 		}
 	}
 	j.waitingTasks = 0
@@ -211,9 +211,9 @@
 
 // openDueOccurrencesOfJob opens the occurrences of one job that are due.
 func (s *Scheduler) openDueOccurrencesOfJob(j *job, now time.Time) {
-	for j.nextOccurrence < j.spec.Occurrences() && (j.spec.Repeat == nil || !now.Before(s.toSchedulerClock(j.spec.Due(j.nextOccurrence)).Add(-s.timing.EarlyStart))) {
-		o := s.addOccurrence(j, j.nextOccurrence, now)
-		j.nextOccurrence++
+	for j.nextOccurrenceNumber < j.spec.Occurrences() && (j.spec.Repeat == nil || !now.Before(s.toSchedulerClock(j.spec.Due(j.nextOccurrenceNumber)).Add(-s.timing.EarlyStart))) {
+		o := s.addOccurrence(j, j.nextOccurrenceNumber, now)
+		j.nextOccurrenceNumber++
 		s.openReadySteps(o, now)
 	}
 }
@@ -305,7 +305,7 @@
 	if t.step.tasksLeft > 0 || j.state.Ended() {
 		return
 	}
-	s.dispatcher.dequeue(t.step)
+	s.dispatcher.removePendingStep(t.step)
 	o := t.step.occurrence
 	o.stepsLeft--
 	if o.stepsLeft > 0 {
@@ -318,7 +318,7 @@
 
 // completeJobIfDone completes a job when all its occurrences have completed.
 func (s *Scheduler) completeJobIfDone(j *job, now time.Time) {
-	if j.nextOccurrence < j.spec.Occurrences() {
+	if j.nextOccurrenceNumber < j.spec.Occurrences() {
 		return
 	}
 	for _, o := range j.occurrences {
--- a/internal/cell/scheduler/lease.go
+++ b/internal/cell/scheduler/lease.go
@@ -150,10 +150,10 @@
 // stops its tasks that save checkpoints. It is twice the time that a stop takes.
 const drainCheckpointLeadTime = 900 * time.Millisecond
 
-// stopCheckpointingTasksIfDraining stops the tasks on a worker that save checkpoints,
+// stopTasksWithCheckpointsIfDraining stops the tasks on a worker that save checkpoints,
 // shortly before the worker exits. They resume on another worker from their
 // checkpoints.
-func (s *Scheduler) stopCheckpointingTasksIfDraining(w *worker, now time.Time) {
+func (s *Scheduler) stopTasksWithCheckpointsIfDraining(w *worker, now time.Time) {
 	if !w.registration.Draining || w.drainEnd.IsZero() || now.Before(w.drainEnd.Add(-drainCheckpointLeadTime)) {
 		return
 	}
@@ -170,7 +170,7 @@
 	for _, life := range s.Workers() {
 		w := s.workers[life]
 		s.requeueSpeculative(w, now)
-		s.stopCheckpointingTasksIfDraining(w, now)
+		s.stopTasksWithCheckpointsIfDraining(w, now)
 		if now.Before(w.leaseEnd) {
 			continue
 		}
--- a/internal/cell/scheduler/restore.go
+++ b/internal/cell/scheduler/restore.go
@@ -52,9 +52,9 @@
 	if p.Step >= len(j.spec.Steps) || p.Occurrence >= j.spec.Occurrences() {
 		return
 	}
-	for j.nextOccurrence <= p.Occurrence {
-		s.addOccurrence(j, j.nextOccurrence, now)
-		j.nextOccurrence++
+	for j.nextOccurrenceNumber <= p.Occurrence {
+		s.addOccurrence(j, j.nextOccurrenceNumber, now)
+		j.nextOccurrenceNumber++
 	}
 	st := j.occurrences[p.Occurrence].steps[p.Step]
 	if p.Done {
--- a/internal/cell/scheduler/runs.go
+++ b/internal/cell/scheduler/runs.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// refusalPause is how long a worker gets no new tasks after it has refused a
+	// pauseAfterRefusal is how long a worker gets no new tasks after it has refused a
 	// start for lack of capacity or because it is unhealthy.
-	refusalPause = time.Second
-	// invalidOrderPause is how long a task is not placed again after a worker has
+	pauseAfterRefusal = time.Second
+	// pauseAfterInvalidOrder is how long a task is not placed again after a worker has
 	// refused its start order as invalid.
-	invalidOrderPause = time.Second
+	pauseAfterInvalidOrder = time.Second
 	// After failuresBeforeAvoidance consecutive failed runs, a worker gets no new
 	// tasks for avoidancePause.
 	failuresBeforeAvoidance = 3
@@ -63,9 +63,9 @@
 	case backend.KindTicket:
 		t.step.advice.expireTicket(w)
 	case backend.KindNoRoom, backend.KindUnhealthy:
-		w.avoidUntil = now.Add(refusalPause)
+		w.avoidUntil = now.Add(pauseAfterRefusal)
 	case backend.KindInvalid:
-		t.placeNotBefore = now.Add(invalidOrderPause)
+		t.placeNotBefore = now.Add(pauseAfterInvalidOrder)
 	default:
 	}
 	s.requeue(t)
--- a/internal/cell/scheduler/schedule.go
+++ b/internal/cell/scheduler/schedule.go
@@ -34,7 +34,7 @@
 			}
 		}
 	}
-	s.dispatchRequests(sortedJobs, now)
+	s.dispatchAdviceRequests(sortedJobs, now)
 }
 
 // urgentPriority is the priority of urgent queues. Their jobs are scheduled as soon
@@ -66,7 +66,7 @@
 		}
 	}
 	if needsAdvice {
-		s.dispatchRequests([]*job{j}, now)
+		s.dispatchAdviceRequests([]*job{j}, now)
 	}
 }
 
@@ -80,7 +80,7 @@
 	}
 	if !st.open {
 		if q.Advice != nil && s.expectedToOpenWithin(st, adviceLeadTime+q.Advice.RequestDuration(maxWorkersPerRequest), now) {
-			s.dispatcher.enqueue(st, q)
+			s.dispatcher.addPendingStep(st, q)
 		}
 		return
 	}
@@ -90,7 +90,7 @@
 	if s.placeStep(st, q, reserved, now) || !st.hasPlaceableTask(now) {
 		return
 	}
-	s.dispatcher.enqueue(st, q)
+	s.dispatcher.addPendingStep(st, q)
 	s.poolOf(q.Service).largeStepWaiting = s.poolOf(q.Service).largeStepWaiting || s.isLarge(st, q)
 	s.reserveWorkers(st, q, reserved, now)
 }
--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -206,7 +206,7 @@
 func (s *Scheduler) Tick(now time.Time) {
 	s.expireLeases(now)
 	s.openDueOccurrences(now)
-	s.expireRequests(now)
+	s.expireAdviceRequests(now)
 	if now.Sub(s.lastEndedJobsDrop) >= endedJobsDropInterval {
 		s.lastEndedJobsDrop = now
 		s.dropEndedJobs(now)
--- a/internal/cell/scheduler/worker.go
+++ b/internal/cell/scheduler/worker.go
@@ -34,10 +34,10 @@
 	// to a task there. They use capacity until they are missing in a report or the
 	// lease ends.
 	orphans map[runID]orphan
-	// The worker numbers the ends of its runs. lastHandledEnd is the number of the
-	// last end that was handled. lastStoredEnd is the number of the last end whose
+	// The worker numbers the ends of its runs. lastHandledEndNumber is the number of the
+	// last end that was handled. lastStoredEndNumber is the number of the last end whose
 	// effect is stored, so that it can be acknowledged.
-	lastHandledEnd, lastStoredEnd int64
+	lastHandledEndNumber, lastStoredEndNumber int64
 	// clockReading is the reading of the worker's clock at clockReadAt.
 	clockReading time.Duration
 	clockReadAt  time.Time
