--- a/internal/cell/scheduler/choose.go
+++ b/internal/cell/scheduler/choose.go
@@ -24,10 +24,10 @@
 func (s *Scheduler) chooseWorker(st *step, q *queue.Queue, t *task, reserved *reservations, gangMembersByRack map[string]int, now time.Time) *worker {
 	c := workerSelection{scheduler: s, task: t, reserved: reserved, gangMembersByRack: gangMembersByRack, taskCapacity: st.spec.ReservedCapacity(), now: now, expectedEnd: now.Add(s.runTimes.expectedOccupancy(st))}
 	if q.Advice == nil {
-		for _, w := range s.poolOf(q.Service).readyWorkers {
+		for _, w := range s.poolOfService(q.Service).readyWorkers {
 			c.considerWorker(w)
 		}
-		return c.best
+		return c.bestWorker
 	}
 	// Of a large pool, only a few workers have tickets. Searching just these is faster.
 	for w := range st.advice.tickets {
@@ -35,7 +35,7 @@
 			c.considerWorker(w)
 		}
 	}
-	return c.best
+	return c.bestWorker
 }
 
 // workerSelection searches for the best worker for a task.
@@ -47,7 +47,7 @@
 	taskCapacity      resource.Vector
 	// expectedEnd is when the task is expected to end if it starts at now.
 	now, expectedEnd time.Time
-	best             *worker
+	bestWorker       *worker
 	bestScore        float64
 }
 
@@ -62,8 +62,8 @@
 	if c.now.Before(w.slowUntil) {
 		score -= slowWorkerPenalty
 	}
-	if c.best == nil || score > c.bestScore || (score == c.bestScore && compareLives(w.registration.Life, c.best.registration.Life) < 0) {
-		c.best, c.bestScore = w, score
+	if c.bestWorker == nil || score > c.bestScore || (score == c.bestScore && compareLives(w.registration.Life, c.bestWorker.registration.Life) < 0) {
+		c.bestWorker, c.bestScore = w, score
 	}
 }
 
--- a/internal/cell/scheduler/commit.go
+++ b/internal/cell/scheduler/commit.go
@@ -62,7 +62,7 @@
 // confirm that this VM is still the leader.
 func (s *Scheduler) Committed(c *Commit, now time.Time) {
 	if len(c.Records) > 0 {
-		s.lastConfirmedAppend = c.startedAt
+		s.lastConfirmedAppendStart = c.startedAt
 	}
 	for j, state := range c.jobStates {
 		if !j.storedState.Ended() {
@@ -81,12 +81,12 @@
 
 // AppendConfirmed must be called when the store has accepted an append of this leader
 // that is not a commit. appendStart is when the append began.
-func (s *Scheduler) AppendConfirmed(appendStart time.Time) { s.lastConfirmedAppend = appendStart }
+func (s *Scheduler) AppendConfirmed(appendStart time.Time) { s.lastConfirmedAppendStart = appendStart }
 
 // leadershipEnd returns the time until which this leader may extend leases if the
 // store accepts no further append.
 func (s *Scheduler) leadershipEnd() time.Time {
-	return s.lastConfirmedAppend.Add(s.timing.LeadershipLease)
+	return s.lastConfirmedAppendStart.Add(s.timing.LeadershipLease)
 }
 
 // orderStart orders the worker of a task to start it, once the placement is stored.
@@ -97,7 +97,7 @@
 	t.inCommit = false
 	if w.removed || w.tokenUnconfirmed() || now.Sub(commitStart) > maxStartDelay {
 		s.log.Info("start_withdrawn", "task", t.id.String(), "run", t.runNumber, "worker", w.registration.Life.ID, "age_ms", now.Sub(commitStart).Milliseconds())
-		s.requeue(t)
+		s.requeueTask(t)
 		s.stopOtherGangMembers(t, now)
 		return
 	}
--- a/internal/cell/scheduler/dispatch.go
+++ b/internal/cell/scheduler/dispatch.go
@@ -100,7 +100,7 @@
 // Under a backlog, tickets for steps further back would expire unused, while the
 // steps at the front wait for a VM to send their requests.
 func (s *Scheduler) isAdviceWorthRequesting(st *step, q *queue.Queue, stepsWithoutCapacity map[string]int) bool {
-	if st.spec.ReservedCapacity().Fits(s.poolOf(q.Service).maxFreeCapacity) || st.areReservedWorkersSoonFree(q) {
+	if st.spec.ReservedCapacity().Fits(s.poolOfService(q.Service).maxFreeCapacity) || st.areReservedWorkersSoonFree(q) {
 		return true
 	}
 	stepsWithoutCapacity[q.Service]++
@@ -123,11 +123,11 @@
 	}
 	if len(st.advice.workersAwaitingAnswer) == 0 {
 		switch {
-		case s.isLarge(st, q) && len(st.advice.reservedWorkers) > 0:
+		case s.isLargeStep(st, q) && len(st.advice.reservedWorkers) > 0:
 			if st.areReservedWorkersSoonFree(q) {
 				return st.advice.reservedWorkersWithoutValidTicket(now.Add(q.Advice.RequestDuration(len(st.advice.reservedWorkers))))
 			}
-		case places > 0 && len(stale) > 0 && !s.isLarge(st, q):
+		case places > 0 && len(stale) > 0 && !s.isLargeStep(st, q):
 			return workersMostLikelyFree(stale, st)
 		}
 	}
@@ -234,7 +234,7 @@
 // would bring tickets for capacity that the first job takes. Small tasks on the least
 // used workers would leave no entire worker free for large tasks.
 func (s *Scheduler) workersWithoutRequest(st *step, q *queue.Queue) []*worker {
-	p := s.poolOf(q.Service)
+	p := s.poolOfService(q.Service)
 	if len(st.advice.answered) >= len(p.workers) {
 		maps.DeleteFunc(st.advice.answered, func(w *worker, _ bool) bool { return w.removed })
 	}
@@ -243,7 +243,7 @@
 	}
 	candidates := p.leastUsedFirst()
 	minPlaces := 1
-	if p.largeStepWaiting && !s.isLarge(st, q) {
+	if p.largeStepWaiting && !s.isLargeStep(st, q) {
 		candidates = p.mostUsedFirst()
 		minPlaces = 1 + st.countWaitingTasks()/expectedApprovalsPerRequest
 	}
--- a/internal/cell/scheduler/health.go
+++ b/internal/cell/scheduler/health.go
@@ -7,9 +7,9 @@
 	// counts as slow. It is well above 1 because the run times of tasks with the same
 	// image differ by half.
 	slowRunTimeRatio = 2.2
-	// minRatedRunTime is how long a task must have been running before its speed is
+	// minRunTimeToRateSpeed is how long a task must have been running before its speed is
 	// rated.
-	minRatedRunTime = 300 * time.Millisecond
+	minRunTimeToRateSpeed = 300 * time.Millisecond
 	// A worker counts as slow if at least minSlowTasks of its tasks are slow, and these
 	// are at least the share minSlowTaskShare of its rated tasks. It counts as slow for
 	// slowWorkerPeriod from the report that shows this.
@@ -31,7 +31,7 @@
 			continue
 		}
 		elapsed, expected := now.Sub(t.startedAt), s.runTimes.expectedRunTime(t.step)
-		if elapsed < minRatedRunTime || expected == 0 {
+		if elapsed < minRunTimeToRateSpeed || expected == 0 {
 			continue
 		}
 		rated++
--- a/internal/cell/scheduler/hold.go
+++ b/internal/cell/scheduler/hold.go
@@ -79,7 +79,7 @@
 		return
 	}
 	w.lastAnswerAt, w.unansweredHolds = now, 0
-	w.setClock(r.Clock, now)
+	w.setClockReading(r.Clock, now)
 	for i := range r.Ended {
 		if e := &r.Ended[i]; e.Number > w.lastHandledEndNumber {
 			w.lastHandledEndNumber = e.Number
@@ -102,10 +102,10 @@
 	}
 	s.detectSlowWorker(w, now)
 	s.adjustFillingTaskPaces(w)
-	s.removeIfIdle(w, now)
+	s.removeWorkerIfIdle(w, now)
 }
 
-func (w *worker) setClock(clock time.Duration, now time.Time) {
+func (w *worker) setClockReading(clock time.Duration, now time.Time) {
 	if clock > 0 {
 		w.clockReading, w.clockReadAt = clock, now
 	}
@@ -179,7 +179,7 @@
 			continue // The report was cut off, so a later one may list the end of the run.
 		}
 		s.log.Info("run_absent", "task", t.id.String(), "run", t.runNumber, "worker", w.registration.Life.ID, "token", t.startToken, "hold_token", sent.token)
-		s.requeue(t)
+		s.requeueTask(t)
 		s.stopOtherGangMembers(t, now)
 	}
 }
--- a/internal/cell/scheduler/job.go
+++ b/internal/cell/scheduler/job.go
@@ -260,9 +260,9 @@
 	}
 }
 
-// requeue takes a task off its worker and lets it wait for another one. If its job
+// requeueTask takes a task off its worker and lets it wait for another one. If its job
 // has ended, the task becomes done instead.
-func (s *Scheduler) requeue(t *task) {
+func (s *Scheduler) requeueTask(t *task) {
 	s.releaseCapacity(t)
 	j := t.step.job
 	t.phase, t.percentDone, t.pacePercent, t.runConfirmed = phaseWaiting, 0, fullPacePercent, false
--- a/internal/cell/scheduler/lease.go
+++ b/internal/cell/scheduler/lease.go
@@ -14,9 +14,9 @@
 	runNumber int64
 }
 
-// orphan describes a run that may still exist on a worker, although it is not the
+// orphanedRun describes a run that may still exist on a worker, although it is not the
 // current run of any task there.
-type orphan struct {
+type orphanedRun struct {
 	capacity resource.Vector
 	// eventSequence is the value of Scheduler.eventSequence when the run became an
 	// orphan. Only a report whose hold was sent after that can show that the run has
@@ -28,7 +28,7 @@
 // continue. The run keeps its capacity on the worker as an orphan.
 func (w *worker) addOrphan(t *task, eventSequence int64) {
 	capacity := t.step.spec.ReservedCapacity()
-	w.orphans[runID{t.id, t.runNumber}] = orphan{capacity, eventSequence}
+	w.orphans[runID{t.id, t.runNumber}] = orphanedRun{capacity, eventSequence}
 	w.usedCapacity = w.usedCapacity.Add(capacity)
 }
 
@@ -48,7 +48,7 @@
 	if st != nil {
 		capacity = st.spec.ReservedCapacity()
 	}
-	w.orphans[key] = orphan{capacity, s.eventSequence}
+	w.orphans[key] = orphanedRun{capacity, s.eventSequence}
 	w.usedCapacity = w.usedCapacity.Add(capacity)
 }
 
@@ -105,7 +105,7 @@
 	w.removeOrphans()
 	for _, t := range w.tasksSortedByID() {
 		s.log.Info("run_lapsed", "task", t.id.String(), "run", t.runNumber, "worker", w.registration.Life.ID)
-		s.requeue(t)
+		s.requeueTask(t)
 		s.stopOtherGangMembers(t, now)
 	}
 }
@@ -131,9 +131,9 @@
 	return max(s.timing.HoldWait, min(time.Duration(len(s.workers))*holdWaitPerWorker, maxHoldWait))
 }
 
-// requeueSpeculative requeues the speculative tasks of a silent worker, so that each
+// requeueSpeculativeTasks requeues the speculative tasks of a silent worker, so that each
 // starts a second time on another worker. The first run that completes counts.
-func (s *Scheduler) requeueSpeculative(w *worker, now time.Time) {
+func (s *Scheduler) requeueSpeculativeTasks(w *worker, now time.Time) {
 	if now.Sub(w.lastAnswerAt) < s.holdWait()+speculationDelay {
 		return
 	}
@@ -141,7 +141,7 @@
 		if t.step.spec.Speculative && t.phase == phaseRunning {
 			s.log.Info("run_copied", "task", t.id.String(), "run", t.runNumber, "worker", w.registration.Life.ID, "silent_ms", now.Sub(w.lastAnswerAt).Milliseconds())
 			w.addOrphan(t, s.eventSequence)
-			s.requeue(t)
+			s.requeueTask(t)
 		}
 	}
 }
@@ -169,7 +169,7 @@
 func (s *Scheduler) expireLeases(now time.Time) {
 	for _, life := range s.Workers() {
 		w := s.workers[life]
-		s.requeueSpeculative(w, now)
+		s.requeueSpeculativeTasks(w, now)
 		s.stopTasksWithCheckpointsIfDraining(w, now)
 		if now.Before(w.leaseEnd) {
 			continue
@@ -182,6 +182,6 @@
 			// It gets no new tasks until then.
 			w.confirmedToken = 0
 		}
-		s.removeIfIdle(w, now)
+		s.removeWorkerIfIdle(w, now)
 	}
 }
--- a/internal/cell/scheduler/load.go
+++ b/internal/cell/scheduler/load.go
@@ -21,10 +21,10 @@
 // logLoad logs, for each service, how much capacity of its workers is used and how
 // many jobs and tasks wait.
 func (s *Scheduler) logLoad(now time.Time) {
-	if now.Sub(s.lastLoadLog) < loadLogInterval {
+	if now.Sub(s.loadLastLoggedAt) < loadLogInterval {
 		return
 	}
-	s.lastLoadLog = now
+	s.loadLastLoggedAt = now
 	loads := map[string]serviceLoad{}
 	for _, w := range s.workers {
 		if !w.registered || w.registration.Draining {
--- a/internal/cell/scheduler/pace.go
+++ b/internal/cell/scheduler/pace.go
@@ -38,7 +38,7 @@
 		if !t.step.spec.Fills || t.phase != phaseRunning {
 			continue
 		}
-		if pace := nextPace(t.pacePercent, highestLatencyShare); pace != t.pacePercent {
+		if pace := nextPacePercent(t.pacePercent, highestLatencyShare); pace != t.pacePercent {
 			t.pacePercent = pace
 			s.effects.Paces = append(s.effects.Paces, Order[backend.Pace]{
 				Worker: w.registration.Life, Order: backend.Pace{Task: t.id, Run: t.runNumber, Percent: pace, Token: w.token},
@@ -47,10 +47,10 @@
 	}
 }
 
-// nextPace returns the new pace of a filling task. latencyShare is the latency of a
+// nextPacePercent returns the new pace of a filling task. latencyShare is the latency of a
 // serving task on the same worker, divided by the task's target; if there are several
 // serving tasks, the highest of these values. A pace of 0 pauses the filling task.
-func nextPace(pace int, latencyShare float64) int {
+func nextPacePercent(pace int, latencyShare float64) int {
 	switch {
 	case latencyShare > throttleAboveTargetShare:
 		pace /= throttleDivisor
--- a/internal/cell/scheduler/pool.go
+++ b/internal/cell/scheduler/pool.go
@@ -32,8 +32,8 @@
 	largeStepWaiting bool
 }
 
-// poolOf returns the pool of a service, which is empty if the service has no workers.
-func (s *Scheduler) poolOf(service string) *pool {
+// poolOfService returns the pool of a service, which is empty if the service has no workers.
+func (s *Scheduler) poolOfService(service string) *pool {
 	if s.pools == nil {
 		s.buildPools()
 	}
@@ -110,7 +110,7 @@
 // capableWorkers returns the workers of a service that could run a task of a step if
 // they were empty.
 func (s *Scheduler) capableWorkers(st *step, service string) []*worker {
-	p := s.poolOf(service)
+	p := s.poolOfService(service)
 	if st.spec.Label == "" && st.spec.ReservedCapacity().Fits(p.minCapacity) {
 		return p.workers
 	}
--- a/internal/cell/scheduler/reserve.go
+++ b/internal/cell/scheduler/reserve.go
@@ -57,7 +57,7 @@
 // the workers that are expected to have enough free capacity soonest, and none that
 // can never run the tasks.
 func (s *Scheduler) reserveWorkers(st *step, q *queue.Queue, r *reservations, now time.Time) {
-	if !s.isLarge(st, q) || r.reservedStepCount >= max(minReservingSteps, len(s.poolOf(q.Service).workers)/workersPerReservingStep) {
+	if !s.isLargeStep(st, q) || r.reservedStepCount >= max(minReservingSteps, len(s.poolOfService(q.Service).workers)/workersPerReservingStep) {
 		return
 	}
 	var places []expectedPlace
--- a/internal/cell/scheduler/runs.go
+++ b/internal/cell/scheduler/runs.go
@@ -15,10 +15,10 @@
 	// pauseAfterInvalidOrder is how long a task is not placed again after a worker has
 	// refused its start order as invalid.
 	pauseAfterInvalidOrder = time.Second
-	// After failuresBeforeAvoidance consecutive failed runs, a worker gets no new
+	// After failuresBeforeAvoidingWorker consecutive failed runs, a worker gets no new
 	// tasks for avoidancePause.
-	failuresBeforeAvoidance = 3
-	avoidancePause          = 3 * time.Second
+	failuresBeforeAvoidingWorker = 3
+	workerAvoidancePeriod        = 3 * time.Second
 )
 
 // StartAnswered handles the answer to a start order. An empty kind means that the
@@ -29,7 +29,7 @@
 	if w == nil {
 		return
 	}
-	w.setClock(clock, now)
+	w.setClockReading(clock, now)
 	t := s.findTask(o.Task)
 	if t == nil || t.worker != w || t.runNumber != o.Run || t.startToken != o.Token {
 		return // The run has ended, or a report has shown that it does not exist.
@@ -68,7 +68,7 @@
 		t.placeNotBefore = now.Add(pauseAfterInvalidOrder)
 	default:
 	}
-	s.requeue(t)
+	s.requeueTask(t)
 	s.stopOtherGangMembers(t, now)
 }
 
@@ -86,7 +86,7 @@
 	if e.Checkpoint != "" {
 		t.checkpoint = e.Checkpoint
 	}
-	s.recordOutcome(w, t, e, now)
+	s.recordRunOutcome(w, t, e, now)
 	if t.step.job.state.Ended() {
 		s.releaseCapacity(t)
 		t.phase = phaseDone
@@ -99,7 +99,7 @@
 	case backend.Failed:
 		s.applyFailedRun(t, w, e.Run, now)
 	default:
-		s.requeue(t)
+		s.requeueTask(t)
 		s.stopOtherGangMembers(t, now)
 	}
 }
@@ -113,7 +113,7 @@
 		return
 	}
 	if e.Outcome == backend.Failed {
-		s.countFailure(t, e.Run, now)
+		s.countFailedRun(t, e.Run, now)
 		return
 	}
 	if e.Outcome != backend.Done || t.step.spec.Gang {
@@ -134,7 +134,7 @@
 // it is requeued. The first member of a gang to complete completes all the others.
 func (s *Scheduler) applyCompletedRun(t *task, now time.Time) {
 	if t.step.spec.Lasting {
-		s.requeue(t)
+		s.requeueTask(t)
 		return
 	}
 	if !t.step.spec.Gang {
@@ -150,15 +150,15 @@
 // whole job fails.
 func (s *Scheduler) applyFailedRun(t *task, w *worker, run int64, now time.Time) {
 	t.lastFailedWorker = w.registration.Life.ID
-	s.requeue(t)
-	if !s.countFailure(t, run, now) {
+	s.requeueTask(t)
+	if !s.countFailedRun(t, run, now) {
 		s.stopOtherGangMembers(t, now)
 	}
 }
 
-// countFailure records a failed run of a task. It returns true if this failure makes
+// countFailedRun records a failed run of a task. It returns true if this failure makes
 // the whole job fail.
-func (s *Scheduler) countFailure(t *task, run int64, now time.Time) bool {
+func (s *Scheduler) countFailedRun(t *task, run int64, now time.Time) bool {
 	members := []*task{t}
 	if t.step.spec.Gang {
 		members = t.step.tasks
@@ -181,17 +181,17 @@
 	return true
 }
 
-// recordOutcome updates the failure count of a worker, and the average run time of
+// recordRunOutcome updates the failure count of a worker, and the average run time of
 // the image if the run has completed.
-func (s *Scheduler) recordOutcome(w *worker, t *task, e *backend.End, now time.Time) {
+func (s *Scheduler) recordRunOutcome(w *worker, t *task, e *backend.End, now time.Time) {
 	switch e.Outcome {
 	case backend.Done:
 		w.consecutiveFailures = 0
 		s.runTimes.recordRunTime(t, now)
 	case backend.Failed:
 		w.consecutiveFailures++
-		if w.consecutiveFailures >= failuresBeforeAvoidance {
-			w.avoidUntil = now.Add(avoidancePause)
+		if w.consecutiveFailures >= failuresBeforeAvoidingWorker {
+			w.avoidUntil = now.Add(workerAvoidancePeriod)
 			s.log.Info("worker_avoided", "worker", w.registration.Life.ID, "failures", w.consecutiveFailures)
 		}
 	default:
@@ -208,7 +208,7 @@
 	for _, member := range t.step.tasks {
 		switch member.phase {
 		case phasePlaced:
-			s.requeue(member)
+			s.requeueTask(member)
 		case phaseStartOrdered, phaseRunning:
 			s.stopTask(member, now)
 		case phaseWaiting, phaseStopping, phaseDone:
--- a/internal/cell/scheduler/schedule.go
+++ b/internal/cell/scheduler/schedule.go
@@ -18,7 +18,7 @@
 	reserved := newReservations()
 	s.reservations = reserved
 	clear(s.dispatcher.pendingSteps)
-	s.poolOf("")
+	s.poolOfService("")
 	for _, p := range s.pools {
 		p.refreshReadyWorkers(now, s.holdWait()+maxHoldAnswerDelay)
 		p.largeStepWaiting = false
@@ -79,7 +79,7 @@
 		return
 	}
 	if !st.open {
-		if q.Advice != nil && s.expectedToOpenWithin(st, adviceLeadTime+q.Advice.RequestDuration(maxWorkersPerRequest), now) {
+		if q.Advice != nil && s.isStepExpectedToOpenWithin(st, adviceLeadTime+q.Advice.RequestDuration(maxWorkersPerRequest), now) {
 			s.dispatcher.addPendingStep(st, q)
 		}
 		return
@@ -91,21 +91,21 @@
 		return
 	}
 	s.dispatcher.addPendingStep(st, q)
-	s.poolOf(q.Service).largeStepWaiting = s.poolOf(q.Service).largeStepWaiting || s.isLarge(st, q)
+	s.poolOfService(q.Service).largeStepWaiting = s.poolOfService(q.Service).largeStepWaiting || s.isLargeStep(st, q)
 	s.reserveWorkers(st, q, reserved, now)
 }
 
-// isLarge reports whether workers are reserved for a step while its tasks wait. That
+// isLargeStep reports whether workers are reserved for a step while its tasks wait. That
 // is so for a gang, and for a step whose tasks each need a large part of a worker.
-func (s *Scheduler) isLarge(st *step, q *queue.Queue) bool {
-	return st.spec.Gang || st.spec.ReservedCapacity().DominantFraction(s.poolOf(q.Service).maxCapacity) >= minLargeTaskFraction
+func (s *Scheduler) isLargeStep(st *step, q *queue.Queue) bool {
+	return st.spec.Gang || st.spec.ReservedCapacity().DominantFraction(s.poolOfService(q.Service).maxCapacity) >= minLargeTaskFraction
 }
 
 // placeStep places the tasks of an open step. It returns true if every task that may
 // be placed now has a worker.
 func (s *Scheduler) placeStep(st *step, q *queue.Queue, reserved *reservations, now time.Time) bool {
 	switch {
-	case !st.spec.ReservedCapacity().Fits(s.poolOf(q.Service).maxFreeCapacity):
+	case !st.spec.ReservedCapacity().Fits(s.poolOfService(q.Service).maxFreeCapacity):
 		return false
 	case st.spec.Gang:
 		return s.placeGang(st, q, reserved, now)
@@ -119,9 +119,9 @@
 	return slices.ContainsFunc(st.tasks, func(t *task) bool { return t.phase == phaseWaiting && !now.Before(t.placeNotBefore) })
 }
 
-// expectedToOpenWithin reports whether all steps that a step depends on are expected
+// isStepExpectedToOpenWithin reports whether all steps that a step depends on are expected
 // to complete within a duration.
-func (s *Scheduler) expectedToOpenWithin(st *step, within time.Duration, now time.Time) bool {
+func (s *Scheduler) isStepExpectedToOpenWithin(st *step, within time.Duration, now time.Time) bool {
 	for _, a := range st.spec.After {
 		earlier := st.occurrence.steps[a]
 		if !earlier.open {
--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -140,14 +140,14 @@
 	// schedulingNeeded is true if something has changed since the last scheduling
 	// pass.
 	schedulingNeeded bool
-	// lastConfirmedAppend is the start time of the last append in this epoch that the
+	// lastConfirmedAppendStart is the start time of the last append in this epoch that the
 	// store accepted.
-	lastConfirmedAppend time.Time
+	lastConfirmedAppendStart time.Time
 	// eventSequence is increased with each hold that is sent and each start that is
 	// confirmed. It shows which of two such events came first.
-	eventSequence     int64
-	lastEndedJobsDrop time.Time
-	lastLoadLog       time.Time
+	eventSequence          int64
+	endedJobsLastDroppedAt time.Time
+	loadLastLoggedAt       time.Time
 }
 
 // New returns a scheduler without jobs. now is the current time on a clock that does
@@ -155,7 +155,7 @@
 // moment.
 func New(timing Timing, epoch int64, now, wall time.Time, log logr.Logger) *Scheduler {
 	return &Scheduler{
-		log: log, timing: timing, epoch: epoch, clockBase: now, wallBase: wall, lastConfirmedAppend: now,
+		log: log, timing: timing, epoch: epoch, clockBase: now, wallBase: wall, lastConfirmedAppendStart: now,
 		table:              &queue.Table{},
 		jobs:               map[string]*job{},
 		activeJobs:         map[string]*job{},
@@ -207,8 +207,8 @@
 	s.expireLeases(now)
 	s.openDueOccurrences(now)
 	s.expireAdviceRequests(now)
-	if now.Sub(s.lastEndedJobsDrop) >= endedJobsDropInterval {
-		s.lastEndedJobsDrop = now
+	if now.Sub(s.endedJobsLastDroppedAt) >= endedJobsDropInterval {
+		s.endedJobsLastDroppedAt = now
 		s.dropEndedJobs(now)
 	}
 	s.schedulingNeeded = s.schedulingNeeded || s.hasWaitingTasks()
--- a/internal/cell/scheduler/worker.go
+++ b/internal/cell/scheduler/worker.go
@@ -33,7 +33,7 @@
 	// orphans contains the runs that may still exist on the worker but do not belong
 	// to a task there. They use capacity until they are missing in a report or the
 	// lease ends.
-	orphans map[runID]orphan
+	orphans map[runID]orphanedRun
 	// The worker numbers the ends of its runs. lastHandledEndNumber is the number of the
 	// last end that was handled. lastStoredEndNumber is the number of the last end whose
 	// effect is stored, so that it can be acknowledged.
@@ -112,7 +112,7 @@
 			w.registered = false
 			s.pools = nil
 			s.log.Info("worker_unlisted", "worker", life.ID, "tasks", len(w.tasks))
-			s.removeIfIdle(w, now)
+			s.removeWorkerIfIdle(w, now)
 		}
 	}
 	s.schedulingNeeded = true
@@ -151,7 +151,7 @@
 }
 
 func (s *Scheduler) addWorker(r backend.Registration, now time.Time) *worker {
-	w := &worker{registration: r, token: s.epoch << tokenCounterBits, tasks: map[work.TaskID]*task{}, orphans: map[runID]orphan{}, lastAnswerAt: now}
+	w := &worker{registration: r, token: s.epoch << tokenCounterBits, tasks: map[work.TaskID]*task{}, orphans: map[runID]orphanedRun{}, lastAnswerAt: now}
 	s.workers[r.Life] = w
 	s.pools = nil
 	if s.latestWorkerByID[r.Life.ID] == nil {
@@ -199,9 +199,9 @@
 	s.removeWorker(w, "address is in use by another worker", now)
 }
 
-// removeIfIdle removes a worker if it is not registered any more and has neither
+// removeWorkerIfIdle removes a worker if it is not registered any more and has neither
 // tasks nor orphans.
-func (s *Scheduler) removeIfIdle(w *worker, now time.Time) {
+func (s *Scheduler) removeWorkerIfIdle(w *worker, now time.Time) {
 	if !w.registered && len(w.tasks) == 0 && len(w.orphans) == 0 {
 		s.removeWorker(w, "unregistered", now)
 	}
