--- a/internal/cell/scheduler/advice.go
+++ b/internal/cell/scheduler/advice.go
@@ -60,8 +60,8 @@
 	// answered contains every worker that the adviser has either approved or
 	// rejected.
 	answered map[*worker]bool
-	// workersAwaitingAnswer contains the workers named in requests that the adviser has not
-	// answered yet.
+	// workersAwaitingAnswer contains the workers named in requests that the adviser
+	// has not answered yet.
 	workersAwaitingAnswer map[*worker]bool
 	// reservedWorkers lists the workers that the last scheduling pass reserved for
 	// the step. timeUntilReservedFree is the time, from that pass on, after which all
@@ -186,8 +186,8 @@
 
 func (a *adviceDispatcher) removePendingStep(st *step) { delete(a.pendingSteps, st) }
 
-// addPendingStep adds a step that needs tickets. It does nothing if the queue needs no
-// advice.
+// addPendingStep adds a step that needs tickets. It does nothing if the queue needs
+// no advice.
 func (a *adviceDispatcher) addPendingStep(st *step, q *queue.Queue) {
 	if q.Advice != nil {
 		a.pendingSteps[st] = q
@@ -246,7 +246,7 @@
 		w.requestsInFlight--
 		delete(o.step.advice.workersAwaitingAnswer, w)
 	}
-	s.dispatcher.finishRequest(o.vm, failed, now)
+	s.dispatcher.finishAdviceRequest(o.vm, failed, now)
 	s.schedulingNeeded = true
 	if failed {
 		s.log.Info("advice_failed", "job", o.step.id.Job, "step", o.step.id.Step, "vm", o.vm)
@@ -268,9 +268,9 @@
 	s.scheduleUrgentJob(o.step.job, now)
 }
 
-// finishRequest updates the state of a VM after one of its requests was answered or
-// failed. The VM is then expected to start on its next request now.
-func (a *adviceDispatcher) finishRequest(name string, failed bool, now time.Time) {
+// finishAdviceRequest updates the state of a VM after one of its requests was
+// answered or failed. The VM is then expected to start on its next request now.
+func (a *adviceDispatcher) finishAdviceRequest(name string, failed bool, now time.Time) {
 	v := a.vms[name]
 	if v == nil {
 		return
@@ -287,7 +287,8 @@
 	}
 }
 
-// expireAdviceRequests handles requests that have timed out in the same way as failed ones.
+// expireAdviceRequests handles requests that have timed out in the same way as failed
+// ones.
 func (s *Scheduler) expireAdviceRequests(now time.Time) {
 	for _, number := range slices.Sorted(maps.Keys(s.dispatcher.inFlightRequests)) {
 		if o := s.dispatcher.inFlightRequests[number]; now.After(o.expiresAt) {
--- a/internal/cell/scheduler/choose.go
+++ b/internal/cell/scheduler/choose.go
@@ -29,7 +29,8 @@
 		}
 		return c.bestWorker
 	}
-	// Of a large pool, only a few workers have tickets. Searching just these is faster.
+	// Of a large pool, only a few workers have tickets. Searching just these is
+	// faster.
 	for w := range st.advice.tickets {
 		if w.ready && w.acceptsTasksOf(q) && st.advice.hasValidTicket(w, now) {
 			c.considerWorker(w)
@@ -55,7 +56,7 @@
 // has a higher score.
 func (c *workerSelection) considerWorker(w *worker) {
 	st := c.task.step
-	if !c.taskCapacity.Fits(w.freeCapacity()) || !w.registration.HasLabel(st.spec.Label) || c.reserved.blocksTask(w, st.job, c.expectedEnd) || !belowTaskLimit(w, st) || w.hasOrphanOf(c.task.id) {
+	if !c.taskCapacity.Fits(w.freeCapacity()) || !w.registration.HasLabel(st.spec.Label) || c.reserved.blocksTask(w, st.job, c.expectedEnd) || !belowTaskLimit(w, st) || w.hasOrphanedRunOf(c.task.id) {
 		return
 	}
 	score := c.scheduler.scoreWorker(w, st, c.task, c.gangMembersByRack)
@@ -83,7 +84,7 @@
 			n++
 		}
 	}
-	for v := range w.orphans {
+	for v := range w.orphanedRuns {
 		if v.task.StepID == st.id {
 			n++
 		}
--- a/internal/cell/scheduler/commit.go
+++ b/internal/cell/scheduler/commit.go
@@ -19,8 +19,8 @@
 	startedAt time.Time
 	// placedTasks are the tasks that the records name with their new worker.
 	placedTasks []*task
-	// Workers number the ends of their runs. lastEndNumberByWorker maps a worker to the
-	// number of the last end whose effect is in the records.
+	// Workers number the ends of their runs. lastEndNumberByWorker maps a worker to
+	// the number of the last end whose effect is in the records.
 	lastEndNumberByWorker map[*worker]int64
 	// jobStates maps each job to the state that its record contains.
 	jobStates map[*job]work.State
--- a/internal/cell/scheduler/dispatch.go
+++ b/internal/cell/scheduler/dispatch.go
@@ -11,8 +11,8 @@
 	"github.com/almondpost/almondpost/internal/state/resource"
 )
 
-// dispatchAdviceRequests has idle VMs send requests for the steps that need tickets. The
-// steps of jobs at the front of sortedJobs come first.
+// dispatchAdviceRequests has idle VMs send requests for the steps that need tickets.
+// The steps of jobs at the front of sortedJobs come first.
 func (s *Scheduler) dispatchAdviceRequests(sortedJobs []*job, now time.Time) {
 	if len(s.dispatcher.pendingSteps) == 0 {
 		return
@@ -92,10 +92,11 @@
 	}
 }
 
-// isAdviceWorthRequesting reports whether an open step could use tickets before they expire.
-// It could if a worker has enough free capacity for a task now or soon. Otherwise it
-// may request advice only once, and only if it is among the first steps of its
-// service that wait for capacity. stepsWithoutCapacity counts these steps by service.
+// isAdviceWorthRequesting reports whether an open step could use tickets before they
+// expire. It could if a worker has enough free capacity for a task now or soon.
+// Otherwise it may request advice only once, and only if it is among the first steps
+// of its service that wait for capacity. stepsWithoutCapacity counts these steps by
+// service.
 //
 // Under a backlog, tickets for steps further back would expire unused, while the
 // steps at the front wait for a VM to send their requests.
@@ -113,7 +114,7 @@
 	var stale []*worker
 	places := 0
 	for w := range st.advice.tickets {
-		if !w.acceptsTasksOf(q) || s.reservations.reservedForOtherJob(w, st.job) {
+		if !w.acceptsTasksOf(q) || s.reservations.isReservedForOtherJob(w, st.job) {
 			continue
 		}
 		places += min(countPlaces(st.spec.ReservedCapacity(), w.freeCapacity()), remainingTaskLimit(w, st))
@@ -167,9 +168,9 @@
 	return len(st.advice.reservedWorkers) > 0 && st.advice.timeUntilReservedFree <= q.Advice.RequestDuration(len(st.advice.reservedWorkers))
 }
 
-// reservedWorkersWithoutValidTicket returns the reserved workers without a ticket that is
-// valid at a given time. The caller passes the time at which a request about them
-// would be answered.
+// reservedWorkersWithoutValidTicket returns the reserved workers without a ticket
+// that is valid at a given time. The caller passes the time at which a request about
+// them would be answered.
 //
 // Requests for a gang can take nearly as long as a ticket is valid. If only the
 // tickets that have expired by now were renewed, others would expire meanwhile, and
@@ -223,8 +224,8 @@
 // to approve in a request about maxWorkersPerRequest workers.
 const expectedApprovalsPerRequest = 12
 
-// workersWithoutRequest returns workers about which a step has not requested advice yet,
-// at most maxWorkersPerRequest. The order is: workers in the rack that holds the
+// workersWithoutRequest returns workers about which a step has not requested advice
+// yet, at most maxWorkersPerRequest. The order is: workers in the rack that holds the
 // input data, then workers with enough free capacity that no unanswered request of
 // any step names, then other workers with enough free capacity, then the rest. Within
 // each group, the least used workers come first. While a large step waits, the most
@@ -241,14 +242,14 @@
 	if len(st.advice.answered) >= len(p.workers) {
 		return nil
 	}
-	candidates := p.leastUsedFirst()
+	candidates := p.workersLeastUsedFirst()
 	minPlaces := 1
 	if p.largeStepWaiting && !s.isLargeStep(st, q) {
-		candidates = p.mostUsedFirst()
+		candidates = p.workersMostUsedFirst()
 		minPlaces = 1 + st.countWaitingTasks()/expectedApprovalsPerRequest
 	}
 	hasPlaces := func(w *worker) bool {
-		return countPlaces(st.spec.ReservedCapacity(), w.freeCapacity()) >= minPlaces && !s.reservations.reservedForOtherJob(w, st.job)
+		return countPlaces(st.spec.ReservedCapacity(), w.freeCapacity()) >= minPlaces && !s.reservations.isReservedForOtherJob(w, st.job)
 	}
 	var list []*worker
 	addMatching := func(matches func(w *worker) bool) {
--- a/internal/cell/scheduler/health.go
+++ b/internal/cell/scheduler/health.go
@@ -7,12 +7,12 @@
 	// counts as slow. It is well above 1 because the run times of tasks with the same
 	// image differ by half.
 	slowRunTimeRatio = 2.2
-	// minRunTimeToRateSpeed is how long a task must have been running before its speed is
-	// rated.
+	// minRunTimeToRateSpeed is how long a task must have been running before its
+	// speed is rated.
 	minRunTimeToRateSpeed = 300 * time.Millisecond
-	// A worker counts as slow if at least minSlowTasks of its tasks are slow, and these
-	// are at least the share minSlowTaskShare of its rated tasks. It counts as slow for
-	// slowWorkerPeriod from the report that shows this.
+	// A worker counts as slow if at least minSlowTasks of its tasks are slow, and
+	// these are at least the share minSlowTaskShare of its rated tasks. It counts as
+	// slow for slowWorkerPeriod from the report that shows this.
 	minSlowTasks     = 2
 	minSlowTaskShare = 0.6
 	slowWorkerPeriod = 1500 * time.Millisecond
--- a/internal/cell/scheduler/hold.go
+++ b/internal/cell/scheduler/hold.go
@@ -17,8 +17,8 @@
 	s.eventSequence++
 	hold = backend.Hold{Token: w.token, Acknowledged: w.lastStoredEndNumber}
 	if w.unansweredHolds == 0 {
-		// Only the first hold after an answer extends the lease. Otherwise the lease of
-		// a silent worker would never end.
+		// Only the first hold after an answer extends the lease. Otherwise the lease
+		// of a silent worker would never end.
 		hold.Deadline = max(w.leaseDeadline(now, s.leadershipEnd(), s.timing), 0)
 	}
 	w.unansweredHolds++
@@ -94,7 +94,7 @@
 	}
 	s.requeueMissingRuns(w, listed, sent, r.Truncated, now)
 	if !r.Truncated {
-		w.removeEndedOrphans(listed, sent)
+		w.removeEndedOrphanedRuns(listed, sent)
 	}
 	if w.confirmedToken < sent.token {
 		w.confirmedToken = sent.token
@@ -112,7 +112,7 @@
 }
 
 // applyReportedRun updates a task from the run that a report lists as running. A run
-// that does not belong to a task on the worker is recorded as an orphan. It is
+// that does not belong to a task on the worker is recorded as an orphaned run. It is
 // stopped, unless the worker itself replaces it by a newer run of the task.
 func (s *Scheduler) applyReportedRun(w *worker, r *backend.Run, now time.Time) {
 	t := s.findTask(r.Task)
--- a/internal/cell/scheduler/job.go
+++ b/internal/cell/scheduler/job.go
@@ -25,8 +25,8 @@
 	// submissionDropped is true once the caller was told to delete the submission
 	// from the store.
 	submissionDropped bool
-	// nextOccurrenceNumber is the number of the first occurrence that has not been opened
-	// yet.
+	// nextOccurrenceNumber is the number of the first occurrence that has not been
+	// opened yet.
 	nextOccurrenceNumber int
 	// waitingTasks counts the tasks of open steps that wait for a worker.
 	// tasksOnWorkers counts the tasks that use capacity of a worker.
@@ -193,11 +193,11 @@
 		}
 	}
 	j.waitingTasks = 0
-	s.markDirty(j)
+	s.markJobDirty(j)
 }
 
-// markDirty notes that the progress of a job has changed and must be stored.
-func (s *Scheduler) markDirty(j *job) {
+// markJobDirty notes that the progress of a job has changed and must be stored.
+func (s *Scheduler) markJobDirty(j *job) {
 	s.dirtyJobs[j.spec.ID] = j
 	s.schedulingNeeded = true
 }
@@ -260,10 +260,10 @@
 	}
 }
 
-// requeueTask takes a task off its worker and lets it wait for another one. If its job
-// has ended, the task becomes done instead.
+// requeueTask takes a task off its worker and lets it wait for another one. If its
+// job has ended, the task becomes done instead.
 func (s *Scheduler) requeueTask(t *task) {
-	s.releaseCapacity(t)
+	s.releaseTaskCapacity(t)
 	j := t.step.job
 	t.phase, t.percentDone, t.pacePercent, t.runConfirmed = phaseWaiting, 0, fullPacePercent, false
 	if j.state.Ended() {
@@ -273,11 +273,11 @@
 	if t.step.open {
 		j.waitingTasks++
 	}
-	s.markDirty(j)
+	s.markJobDirty(j)
 }
 
-// releaseCapacity frees the capacity that a task uses on its worker.
-func (s *Scheduler) releaseCapacity(t *task) {
+// releaseTaskCapacity frees the capacity that a task uses on its worker.
+func (s *Scheduler) releaseTaskCapacity(t *task) {
 	if t.worker == nil {
 		return
 	}
@@ -298,10 +298,10 @@
 	if t.phase == phaseWaiting && t.step.open {
 		j.waitingTasks--
 	}
-	s.releaseCapacity(t)
+	s.releaseTaskCapacity(t)
 	t.phase = phaseDone
 	t.step.tasksLeft--
-	s.markDirty(j)
+	s.markJobDirty(j)
 	if t.step.tasksLeft > 0 || j.state.Ended() {
 		return
 	}
@@ -337,7 +337,7 @@
 	case phaseWaiting:
 		t.phase = phaseDone
 	case phasePlaced:
-		s.releaseCapacity(t)
+		s.releaseTaskCapacity(t)
 		t.phase = phaseDone
 	case phaseStartOrdered, phaseRunning:
 		s.stopTask(t, now)
--- a/internal/cell/scheduler/lease.go
+++ b/internal/cell/scheduler/lease.go
@@ -14,47 +14,48 @@
 	runNumber int64
 }
 
-// orphanedRun describes a run that may still exist on a worker, although it is not the
-// current run of any task there.
+// orphanedRun describes a run that may still exist on a worker, although it is not
+// the current run of any task there.
 type orphanedRun struct {
 	capacity resource.Vector
 	// eventSequence is the value of Scheduler.eventSequence when the run became an
-	// orphan. Only a report whose hold was sent after that can show that the run has
-	// ended.
+	// orphaned run. Only a report whose hold was sent after that can show that the
+	// run has ended.
 	eventSequence int64
 }
 
-// addOrphan must be called before a task is taken off a worker on which its run may
-// continue. The run keeps its capacity on the worker as an orphan.
-func (w *worker) addOrphan(t *task, eventSequence int64) {
+// addOrphanedRun must be called before a task is taken off a worker on which its run
+// may continue. The run keeps its capacity on the worker as an orphaned run.
+func (w *worker) addOrphanedRun(t *task, eventSequence int64) {
 	capacity := t.step.spec.ReservedCapacity()
-	w.orphans[runID{t.id, t.runNumber}] = orphanedRun{capacity, eventSequence}
+	w.orphanedRuns[runID{t.id, t.runNumber}] = orphanedRun{capacity, eventSequence}
 	w.usedCapacity = w.usedCapacity.Add(capacity)
 }
 
-// addUnknownRun adds an orphan for a reported run that belongs to no task on the
-// worker. The run may continue until it is stopped or its lease ends. Another leader
-// may have extended the lease just now, so leaseEnd is moved accordingly; no lease is
-// granted here. st is the step of the run. If it is nil, the capacity that the run
-// uses is unknown, and the whole capacity of the worker is assumed, so that no other
-// task is placed beside the run.
+// addUnknownRun adds an orphaned run for a reported run that belongs to no task on
+// the worker. The run may continue until it is stopped or its lease ends. Another
+// leader may have extended the lease just now, so leaseEnd is moved accordingly; no
+// lease is granted here. st is the step of the run. If it is nil, the capacity that
+// the run uses is unknown, and the whole capacity of the worker is assumed, so that
+// no other task is placed beside the run.
 func (s *Scheduler) addUnknownRun(w *worker, r *backend.Run, st *step, now time.Time) {
 	w.extendLease(now, s.timing)
 	key := runID{r.Task, r.Run}
-	if _, known := w.orphans[key]; known {
+	if _, known := w.orphanedRuns[key]; known {
 		return
 	}
 	capacity := w.registration.Capacity
 	if st != nil {
 		capacity = st.spec.ReservedCapacity()
 	}
-	w.orphans[key] = orphanedRun{capacity, s.eventSequence}
+	w.orphanedRuns[key] = orphanedRun{capacity, s.eventSequence}
 	w.usedCapacity = w.usedCapacity.Add(capacity)
 }
 
-// hasOrphanOf reports whether an orphan on the worker is a run of a given task.
-func (w *worker) hasOrphanOf(id work.TaskID) bool {
-	for v := range w.orphans {
+// hasOrphanedRunOf reports whether an orphaned run on the worker is a run of a given
+// task.
+func (w *worker) hasOrphanedRunOf(id work.TaskID) bool {
+	for v := range w.orphanedRuns {
 		if v.task == id {
 			return true
 		}
@@ -62,21 +63,21 @@
 	return false
 }
 
-// removeEndedOrphans removes the orphans that are missing in a report and frees their
-// capacity.
-func (w *worker) removeEndedOrphans(listed map[runID]bool, sent HoldSent) {
-	for v, r := range w.orphans {
+// removeEndedOrphanedRuns removes the orphaned runs that are missing in a report and
+// frees their capacity.
+func (w *worker) removeEndedOrphanedRuns(listed map[runID]bool, sent HoldSent) {
+	for v, r := range w.orphanedRuns {
 		if !listed[v] && sent.eventSequence > r.eventSequence {
-			delete(w.orphans, v)
+			delete(w.orphanedRuns, v)
 			w.usedCapacity = w.usedCapacity.Sub(r.capacity)
 		}
 	}
 }
 
-// removeOrphans removes all orphans and frees their capacity.
-func (w *worker) removeOrphans() {
-	for v, r := range w.orphans {
-		delete(w.orphans, v)
+// removeOrphanedRuns removes all orphaned runs and frees their capacity.
+func (w *worker) removeOrphanedRuns() {
+	for v, r := range w.orphanedRuns {
+		delete(w.orphanedRuns, v)
 		w.usedCapacity = w.usedCapacity.Sub(r.capacity)
 	}
 }
@@ -102,7 +103,7 @@
 // requeueLapsedRuns requeues all tasks on a worker whose runs are known to have ended
 // without a report, because the lease has ended or the worker process is gone.
 func (s *Scheduler) requeueLapsedRuns(w *worker, now time.Time) {
-	w.removeOrphans()
+	w.removeOrphanedRuns()
 	for _, t := range w.tasksSortedByID() {
 		s.log.Info("run_lapsed", "task", t.id.String(), "run", t.runNumber, "worker", w.registration.Life.ID)
 		s.requeueTask(t)
@@ -131,8 +132,8 @@
 	return max(s.timing.HoldWait, min(time.Duration(len(s.workers))*holdWaitPerWorker, maxHoldWait))
 }
 
-// requeueSpeculativeTasks requeues the speculative tasks of a silent worker, so that each
-// starts a second time on another worker. The first run that completes counts.
+// requeueSpeculativeTasks requeues the speculative tasks of a silent worker, so that
+// each starts a second time on another worker. The first run that completes counts.
 func (s *Scheduler) requeueSpeculativeTasks(w *worker, now time.Time) {
 	if now.Sub(w.lastAnswerAt) < s.holdWait()+speculationDelay {
 		return
@@ -140,7 +141,7 @@
 	for _, t := range w.tasksSortedByID() {
 		if t.step.spec.Speculative && t.phase == phaseRunning {
 			s.log.Info("run_copied", "task", t.id.String(), "run", t.runNumber, "worker", w.registration.Life.ID, "silent_ms", now.Sub(w.lastAnswerAt).Milliseconds())
-			w.addOrphan(t, s.eventSequence)
+			w.addOrphanedRun(t, s.eventSequence)
 			s.requeueTask(t)
 		}
 	}
@@ -150,9 +151,9 @@
 // stops its tasks that save checkpoints. It is twice the time that a stop takes.
 const drainCheckpointLeadTime = 900 * time.Millisecond
 
-// stopTasksWithCheckpointsIfDraining stops the tasks on a worker that save checkpoints,
-// shortly before the worker exits. They resume on another worker from their
-// checkpoints.
+// stopTasksWithCheckpointsIfDraining stops the tasks on a worker that save
+// checkpoints, shortly before the worker exits. They resume on another worker from
+// their checkpoints.
 func (s *Scheduler) stopTasksWithCheckpointsIfDraining(w *worker, now time.Time) {
 	if !w.registration.Draining || w.drainEnd.IsZero() || now.Before(w.drainEnd.Add(-drainCheckpointLeadTime)) {
 		return
@@ -174,7 +175,7 @@
 		if now.Before(w.leaseEnd) {
 			continue
 		}
-		if len(w.tasks) > 0 || len(w.orphans) > 0 {
+		if len(w.tasks) > 0 || len(w.orphanedRuns) > 0 {
 			s.requeueLapsedRuns(w, now)
 		}
 		if w.confirmedToken != 0 && now.Sub(w.lastAnswerAt) > s.timing.Lease {
--- a/internal/cell/scheduler/pace.go
+++ b/internal/cell/scheduler/pace.go
@@ -47,9 +47,10 @@
 	}
 }
 
-// nextPacePercent returns the new pace of a filling task. latencyShare is the latency of a
-// serving task on the same worker, divided by the task's target; if there are several
-// serving tasks, the highest of these values. A pace of 0 pauses the filling task.
+// nextPacePercent returns the new pace of a filling task. latencyShare is the latency
+// of a serving task on the same worker, divided by the task's target; if there are
+// several serving tasks, the highest of these values. A pace of 0 pauses the filling
+// task.
 func nextPacePercent(pace int, latencyShare float64) int {
 	switch {
 	case latencyShare > throttleAboveTargetShare:
--- a/internal/cell/scheduler/pool.go
+++ b/internal/cell/scheduler/pool.go
@@ -24,15 +24,16 @@
 	// stays an upper bound during the pass, which only places tasks and frees
 	// nothing.
 	maxFreeCapacity resource.Vector
-	// leastUsed and mostUsed cache the results of leastUsedFirst and mostUsedFirst
-	// until the next scheduling pass.
+	// leastUsed and mostUsed cache the results of workersLeastUsedFirst and
+	// workersMostUsedFirst until the next scheduling pass.
 	leastUsed, mostUsed []*worker
 	// largeStepWaiting is true if the last scheduling pass found a large step whose
 	// tasks could not all be placed.
 	largeStepWaiting bool
 }
 
-// poolOfService returns the pool of a service, which is empty if the service has no workers.
+// poolOfService returns the pool of a service, which is empty if the service has no
+// workers.
 func (s *Scheduler) poolOfService(service string) *pool {
 	if s.pools == nil {
 		s.buildPools()
@@ -83,10 +84,10 @@
 	return w.registered && !w.removed && !w.registration.Draining && w.registration.Service == q.Service
 }
 
-// leastUsedFirst returns the workers of the pool, those with the smallest used
+// workersLeastUsedFirst returns the workers of the pool, those with the smallest used
 // fraction first. The fractions are those at the first call after a scheduling pass
 // began.
-func (p *pool) leastUsedFirst() []*worker {
+func (p *pool) workersLeastUsedFirst() []*worker {
 	if p.leastUsed != nil {
 		return p.leastUsed
 	}
@@ -98,10 +99,11 @@
 	return p.leastUsed
 }
 
-// mostUsedFirst returns the workers in the reverse order of leastUsedFirst.
-func (p *pool) mostUsedFirst() []*worker {
+// workersMostUsedFirst returns the workers in the reverse order of
+// workersLeastUsedFirst.
+func (p *pool) workersMostUsedFirst() []*worker {
 	if p.mostUsed == nil {
-		p.mostUsed = slices.Clone(p.leastUsedFirst())
+		p.mostUsed = slices.Clone(p.workersLeastUsedFirst())
 		slices.Reverse(p.mostUsed)
 	}
 	return p.mostUsed
--- a/internal/cell/scheduler/reserve.go
+++ b/internal/cell/scheduler/reserve.go
@@ -47,8 +47,8 @@
 	return ok && res.job != j && expectedEnd.After(res.freeAt)
 }
 
-// reservedForOtherJob reports whether a worker is reserved for a job other than j.
-func (r *reservations) reservedForOtherJob(w *worker, j *job) bool {
+// isReservedForOtherJob reports whether a worker is reserved for a job other than j.
+func (r *reservations) isReservedForOtherJob(w *worker, j *job) bool {
 	res, ok := r.byWorker[w]
 	return ok && res.job != j
 }
@@ -63,7 +63,7 @@
 	var places []expectedPlace
 	maxPlaces := 0
 	for _, w := range s.permittedWorkers(st, q) {
-		if r.reservedForOtherJob(w, st.job) || !belowTaskLimit(w, st) {
+		if r.isReservedForOtherJob(w, st.job) || !belowTaskLimit(w, st) {
 			continue
 		}
 		maxPlaces += countPlaces(st.spec.ReservedCapacity(), w.registration.Capacity)
--- a/internal/cell/scheduler/runs.go
+++ b/internal/cell/scheduler/runs.go
@@ -12,11 +12,11 @@
 	// pauseAfterRefusal is how long a worker gets no new tasks after it has refused a
 	// start for lack of capacity or because it is unhealthy.
 	pauseAfterRefusal = time.Second
-	// pauseAfterInvalidOrder is how long a task is not placed again after a worker has
-	// refused its start order as invalid.
+	// pauseAfterInvalidOrder is how long a task is not placed again after a worker
+	// has refused its start order as invalid.
 	pauseAfterInvalidOrder = time.Second
-	// After failuresBeforeAvoidingWorker consecutive failed runs, a worker gets no new
-	// tasks for avoidancePause.
+	// After failuresBeforeAvoidingWorker consecutive failed runs, a worker gets no
+	// new tasks for workerAvoidancePeriod.
 	failuresBeforeAvoidingWorker = 3
 	workerAvoidancePeriod        = 3 * time.Second
 )
@@ -88,9 +88,9 @@
 	}
 	s.recordRunOutcome(w, t, e, now)
 	if t.step.job.state.Ended() {
-		s.releaseCapacity(t)
+		s.releaseTaskCapacity(t)
 		t.phase = phaseDone
-		s.markDirty(t.step.job)
+		s.markJobDirty(t.step.job)
 		return
 	}
 	switch e.Outcome {
@@ -121,7 +121,7 @@
 	}
 	s.log.Info("late_run_accepted", "task", t.id.String(), "run", e.Run, "later_run", t.runNumber)
 	if w := t.worker; w != nil && t.phase != phasePlaced {
-		w.addOrphan(t, s.eventSequence)
+		w.addOrphanedRun(t, s.eventSequence)
 		if !t.runConfirmed {
 			s.raiseToken(w)
 		}
@@ -156,8 +156,8 @@
 	}
 }
 
-// countFailedRun records a failed run of a task. It returns true if this failure makes
-// the whole job fail.
+// countFailedRun records a failed run of a task. It returns true if this failure
+// makes the whole job fail.
 func (s *Scheduler) countFailedRun(t *task, run int64, now time.Time) bool {
 	members := []*task{t}
 	if t.step.spec.Gang {
@@ -168,7 +168,7 @@
 			m.failedRuns = append(m.failedRuns, run)
 		}
 	}
-	s.markDirty(t.step.job)
+	s.markJobDirty(t.step.job)
 	limit := 0
 	if q := s.table.Queue(t.step.job.spec.Queue); q != nil {
 		limit = q.MaxAttempts
--- a/internal/cell/scheduler/schedule.go
+++ b/internal/cell/scheduler/schedule.go
@@ -14,7 +14,7 @@
 // large steps without a place, and sends requests for advice.
 func (s *Scheduler) Plan(now time.Time) {
 	s.schedulingNeeded = false
-	sortedJobs := s.schedulingOrder(now)
+	sortedJobs := s.jobsInSchedulingOrder(now)
 	reserved := newReservations()
 	s.reservations = reserved
 	clear(s.dispatcher.pendingSteps)
@@ -54,7 +54,7 @@
 	if q == nil || q.Priority != urgentPriority || j.state.Ended() || s.reservations == nil {
 		return
 	}
-	if p := s.timelinessOf(j, q, s.allowance(j, q), now); p == timelinessOverdue || p == timelinessTooLate {
+	if p := s.timelinessOf(j, q, s.jobAllowance(j, q), now); p == timelinessOverdue || p == timelinessTooLate {
 		return
 	}
 	needsAdvice := false
@@ -95,8 +95,9 @@
 	s.reserveWorkers(st, q, reserved, now)
 }
 
-// isLargeStep reports whether workers are reserved for a step while its tasks wait. That
-// is so for a gang, and for a step whose tasks each need a large part of a worker.
+// isLargeStep reports whether workers are reserved for a step while its tasks wait.
+// That is so for a gang, and for a step whose tasks each need a large part of a
+// worker.
 func (s *Scheduler) isLargeStep(st *step, q *queue.Queue) bool {
 	return st.spec.Gang || st.spec.ReservedCapacity().DominantFraction(s.poolOfService(q.Service).maxCapacity) >= minLargeTaskFraction
 }
@@ -119,8 +120,8 @@
 	return slices.ContainsFunc(st.tasks, func(t *task) bool { return t.phase == phaseWaiting && !now.Before(t.placeNotBefore) })
 }
 
-// isStepExpectedToOpenWithin reports whether all steps that a step depends on are expected
-// to complete within a duration.
+// isStepExpectedToOpenWithin reports whether all steps that a step depends on are
+// expected to complete within a duration.
 func (s *Scheduler) isStepExpectedToOpenWithin(st *step, within time.Duration, now time.Time) bool {
 	for _, a := range st.spec.After {
 		earlier := st.occurrence.steps[a]
@@ -221,7 +222,7 @@
 	if j.state == work.Queued {
 		j.state = work.Running
 	}
-	s.markDirty(j)
+	s.markJobDirty(j)
 }
 
 // Workers returns the workers that the scheduler has not removed, sorted by ID and
--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -140,8 +140,8 @@
 	// schedulingNeeded is true if something has changed since the last scheduling
 	// pass.
 	schedulingNeeded bool
-	// lastConfirmedAppendStart is the start time of the last append in this epoch that the
-	// store accepted.
+	// lastConfirmedAppendStart is the start time of the last append in this epoch
+	// that the store accepted.
 	lastConfirmedAppendStart time.Time
 	// eventSequence is increased with each hold that is sent and each start that is
 	// confirmed. It shows which of two such events came first.
--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -27,16 +27,16 @@
 		j := &work.Job{ID: fmt.Sprintf("job-%d", i), Queue: "urgent", Steps: []work.Step{
 			{Count: 1 + sm.randomSource.IntN(4), Size: taskSize, Estimate: 700 * time.Millisecond},
 		}}
-		if sm.withProbability(0.5) {
+		if sm.occursWithProbability(0.5) {
 			j.Steps = append(j.Steps, work.Step{Count: 2, Size: taskSize, Estimate: 500 * time.Millisecond, After: []int{0}})
 		}
-		if sm.withProbability(0.3) {
+		if sm.occursWithProbability(0.3) {
 			j.Queue = "advised"
 		}
-		if sm.withProbability(0.2) {
+		if sm.occursWithProbability(0.2) {
 			j.Steps[0].MostPerWorker = 1
 		}
-		j.Steps[0].Speculative = sm.withProbability(0.4)
+		j.Steps[0].Speculative = sm.occursWithProbability(0.4)
 		profile := fleet.TaskProfile{RunTime: sm.randomDuration(100*time.Millisecond, 3*time.Second)}
 		sm.schedule(sm.randomDuration(0, 5*time.Second), func() { sm.submit(j, profile) })
 	}
@@ -63,7 +63,7 @@
 		{"workers are unreachable but keep running", faultProbabilities{}, func(sm *simulation) {
 			sm.schedule(2*time.Second, func() {
 				for _, life := range sm.sortedLives() {
-					if sm.withProbability(0.5) {
+					if sm.occursWithProbability(0.5) {
 						sm.unreachableWorkers[life] = true
 					}
 				}
@@ -74,7 +74,7 @@
 			for i := range 3 {
 				sm.schedule(time.Duration(i+1)*time.Second, func() {
 					for _, life := range sm.sortedLives() {
-						if sm.withProbability(0.3) {
+						if sm.occursWithProbability(0.3) {
 							sm.restartWorker(life)
 						}
 					}
@@ -248,8 +248,8 @@
 	}
 }
 
-// A step whose tasks can never all start must not reserve workers; otherwise all other
-// tasks would wait forever.
+// A step whose tasks can never all start must not reserve workers; otherwise all
+// other tasks would wait forever.
 func TestImpossibleTasksKeepNothing(t *testing.T) {
 	whole := resource.Vector{Milliprocessors: 8000, MemoryMebibytes: 8000}
 	scenarios := []struct {
--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -56,9 +56,9 @@
 }
 
 // simulation runs leaders, workers and the store on a virtual clock. Each time a task
-// starts, it checks that the task does not run elsewhere and has not completed (unless
-// it is speculative), that the worker has enough capacity, and that the run was stored
-// before.
+// starts, it checks that the task does not run elsewhere and has not completed
+// (unless it is speculative), that the worker has enough capacity, and that the run
+// was stored before.
 type simulation struct {
 	now                time.Time
 	events             eventHeap
@@ -128,8 +128,8 @@
 	return shortest + time.Duration(sm.randomSource.Int64N(int64(longest-shortest)+1))
 }
 
-// withProbability returns true with probability p.
-func (sm *simulation) withProbability(p float64) bool { return sm.randomSource.Float64() < p }
+// occursWithProbability returns true with probability p.
+func (sm *simulation) occursWithProbability(p float64) bool { return sm.randomSource.Float64() < p }
 
 // reportViolation records that a check has failed, with the time of the virtual
 // clock.
@@ -359,10 +359,10 @@
 		}
 	}
 	switch {
-	case sm.withProbability(sm.faultProbabilities.lateCallProbability):
+	case sm.occursWithProbability(sm.faultProbabilities.lateCallProbability):
 		sm.schedule(sm.randomDuration(2*time.Second, 12*time.Second), func() { execute(false) })
 		sm.schedule(500*minEventDelay, onLost)
-	case sm.withProbability(sm.faultProbabilities.lostAnswerProbability):
+	case sm.occursWithProbability(sm.faultProbabilities.lostAnswerProbability):
 		sm.schedule(sm.randomDuration(minEventDelay, 8*minEventDelay), func() { execute(false) })
 		sm.schedule(500*minEventDelay, onLost)
 	default:
@@ -430,7 +430,7 @@
 			}
 		}
 		l.updateScheduler(func(at time.Time) {
-			l.scheduler.AdviceAnswered(a.Number, answer, sm.withProbability(sm.faultProbabilities.lostAnswerProbability), at)
+			l.scheduler.AdviceAnswered(a.Number, answer, sm.occursWithProbability(sm.faultProbabilities.lostAnswerProbability), at)
 		})
 	})
 }
--- a/internal/cell/scheduler/timeliness.go
+++ b/internal/cell/scheduler/timeliness.go
@@ -14,7 +14,8 @@
 type timeliness int
 
 const (
-	// timelinessDueNow means that the job can still complete in time if it starts now.
+	// timelinessDueNow means that the job can still complete in time if it starts
+	// now.
 	timelinessDueNow timeliness = iota
 	// timelinessOverdue means that the job can no longer complete in time, but its
 	// result is still useful.
@@ -44,14 +45,14 @@
 	due        time.Time
 }
 
-// schedulingOrder returns the active jobs that have tasks to place or may need advice
-// soon, sorted by timeliness, then by priority, then by due time.
+// jobsInSchedulingOrder returns the active jobs that have tasks to place or may need
+// advice soon, sorted by timeliness, then by priority, then by due time.
 //
 // Timeliness comes first because of overload. If jobs were sorted by due time alone,
 // each job would wait until it is late, so that all jobs would be late. After an
 // outage, urgent jobs that have become late also run before long jobs that lose
 // nothing by waiting.
-func (s *Scheduler) schedulingOrder(now time.Time) []*job {
+func (s *Scheduler) jobsInSchedulingOrder(now time.Time) []*job {
 	ranks := make([]rankedJob, 0, len(s.activeJobs))
 	for _, j := range s.activeJobs {
 		if j.waitingTasks == 0 && !s.mayOpenLaterStep(j) {
@@ -61,7 +62,7 @@
 		if q == nil {
 			continue
 		}
-		allowance := s.allowance(j, q)
+		allowance := s.jobAllowance(j, q)
 		ranks = append(ranks, rankedJob{
 			job: j, priority: q.Priority, due: j.submittedAt.Add(allowance),
 			timeliness: s.timelinessOf(j, q, allowance, now),
@@ -80,8 +81,9 @@
 	return order
 }
 
-// allowance returns the time after its submission within which a job should complete.
-func (s *Scheduler) allowance(j *job, q *queue.Queue) time.Duration {
+// jobAllowance returns the time after its submission within which a job should
+// complete.
+func (s *Scheduler) jobAllowance(j *job, q *queue.Queue) time.Duration {
 	longest := time.Duration(0)
 	if len(j.criticalPaths) > 0 {
 		longest = slices.Max(j.criticalPaths)
--- a/internal/cell/scheduler/worker.go
+++ b/internal/cell/scheduler/worker.go
@@ -30,13 +30,13 @@
 	token, confirmedToken int64
 	usedCapacity          resource.Vector
 	tasks                 map[work.TaskID]*task
-	// orphans contains the runs that may still exist on the worker but do not belong
-	// to a task there. They use capacity until they are missing in a report or the
-	// lease ends.
-	orphans map[runID]orphanedRun
-	// The worker numbers the ends of its runs. lastHandledEndNumber is the number of the
-	// last end that was handled. lastStoredEndNumber is the number of the last end whose
-	// effect is stored, so that it can be acknowledged.
+	// orphanedRuns contains the runs that may still exist on the worker but do not
+	// belong to a task there. They use capacity until they are missing in a report or
+	// the lease ends.
+	orphanedRuns map[runID]orphanedRun
+	// The worker numbers the ends of its runs. lastHandledEndNumber is the number of
+	// the last end that was handled. lastStoredEndNumber is the number of the last
+	// end whose effect is stored, so that it can be acknowledged.
 	lastHandledEndNumber, lastStoredEndNumber int64
 	// clockReading is the reading of the worker's clock at clockReadAt.
 	clockReading time.Duration
@@ -151,7 +151,7 @@
 }
 
 func (s *Scheduler) addWorker(r backend.Registration, now time.Time) *worker {
-	w := &worker{registration: r, token: s.epoch << tokenCounterBits, tasks: map[work.TaskID]*task{}, orphans: map[runID]orphanedRun{}, lastAnswerAt: now}
+	w := &worker{registration: r, token: s.epoch << tokenCounterBits, tasks: map[work.TaskID]*task{}, orphanedRuns: map[runID]orphanedRun{}, lastAnswerAt: now}
 	s.workers[r.Life] = w
 	s.pools = nil
 	if s.latestWorkerByID[r.Life.ID] == nil {
@@ -199,10 +199,10 @@
 	s.removeWorker(w, "address is in use by another worker", now)
 }
 
-// removeWorkerIfIdle removes a worker if it is not registered any more and has neither
-// tasks nor orphans.
+// removeWorkerIfIdle removes a worker if it is not registered any more and has
+// neither tasks nor orphaned runs.
 func (s *Scheduler) removeWorkerIfIdle(w *worker, now time.Time) {
-	if !w.registered && len(w.tasks) == 0 && len(w.orphans) == 0 {
+	if !w.registered && len(w.tasks) == 0 && len(w.orphanedRuns) == 0 {
 		s.removeWorker(w, "unregistered", now)
 	}
 }
