--- a/internal/cell/scheduler/choose.go
+++ b/internal/cell/scheduler/choose.go
@@ -24,18 +24,19 @@
 func (s *Scheduler) chooseWorker(st *step, q *queue.Queue, t *task, reserved *reservations, gangMembersByRack map[string]int, now time.Time) *worker {
 	c := workerSelection{scheduler: s, task: t, reserved: reserved, gangMembersByRack: gangMembersByRack, taskCapacity: st.spec.ReservedCapacity(), now: now, expectedEnd: now.Add(s.runTimes.expectedOccupancy(st))}
 	if q.Advice == nil {
-		for _, w := range s.poolOf(q.Service).readyWorkers {
+		for _, w := range s.poolOfService(q.Service).readyWorkers {
 			c.considerWorker(w)
 		}
-		return c.best
+		return c.bestWorker
 	}
-	// Of a large pool, only a few workers have tickets. Searching just these is faster.
+	// Of a large pool, only a few workers have tickets. Searching just these is
+	// faster.
 	for w := range st.advice.tickets {
 		if w.ready && w.acceptsTasksOf(q) && st.advice.hasValidTicket(w, now) {
 			c.considerWorker(w)
 		}
 	}
-	return c.best
+	return c.bestWorker
 }
 
 // workerSelection searches for the best worker for a task.
@@ -47,7 +48,7 @@
 	taskCapacity      resource.Vector
 	// expectedEnd is when the task is expected to end if it starts at now.
 	now, expectedEnd time.Time
-	best             *worker
+	bestWorker       *worker
 	bestScore        float64
 }
 
@@ -55,15 +56,15 @@
 // has a higher score.
 func (c *workerSelection) considerWorker(w *worker) {
 	st := c.task.step
-	if !c.taskCapacity.Fits(w.freeCapacity()) || !w.registration.HasLabel(st.spec.Label) || c.reserved.blocksTask(w, st.job, c.expectedEnd) || !belowTaskLimit(w, st) || w.hasOrphanOf(c.task.id) {
+	if !c.taskCapacity.Fits(w.freeCapacity()) || !w.registration.HasLabel(st.spec.Label) || c.reserved.blocksTask(w, st.job, c.expectedEnd) || !belowTaskLimit(w, st) || w.hasOrphanedRunOf(c.task.id) {
 		return
 	}
 	score := c.scheduler.scoreWorker(w, st, c.task, c.gangMembersByRack)
 	if c.now.Before(w.slowUntil) {
 		score -= slowWorkerPenalty
 	}
-	if c.best == nil || score > c.bestScore || (score == c.bestScore && compareLives(w.registration.Life, c.best.registration.Life) < 0) {
-		c.best, c.bestScore = w, score
+	if c.bestWorker == nil || score > c.bestScore || (score == c.bestScore && compareLives(w.registration.Life, c.bestWorker.registration.Life) < 0) {
+		c.bestWorker, c.bestScore = w, score
 	}
 }
 
@@ -83,7 +84,7 @@
 			n++
 		}
 	}
-	for v := range w.orphans {
+	for v := range w.orphanedRuns {
 		if v.task.StepID == st.id {
 			n++
 		}
--- a/internal/cell/scheduler/commit.go
+++ b/internal/cell/scheduler/commit.go
@@ -19,9 +19,9 @@
 	startedAt time.Time
 	// placedTasks are the tasks that the records name with their new worker.
 	placedTasks []*task
-	// Workers number the ends of their runs. lastEndNumbers maps a worker to the
-	// number of the last end whose effect is in the records.
-	lastEndNumbers map[*worker]int64
+	// Workers number the ends of their runs. lastEndNumberByWorker maps a worker to
+	// the number of the last end whose effect is in the records.
+	lastEndNumberByWorker map[*worker]int64
 	// jobStates maps each job to the state that its record contains.
 	jobStates map[*job]work.State
 }
@@ -30,7 +30,7 @@
 // caller must store the commits one at a time, in the order in which NextCommit
 // returned them.
 func (s *Scheduler) NextCommit(now time.Time) *Commit {
-	c := &Commit{startedAt: now, lastEndNumbers: map[*worker]int64{}, jobStates: map[*job]work.State{}}
+	c := &Commit{startedAt: now, lastEndNumberByWorker: map[*worker]int64{}, jobStates: map[*job]work.State{}}
 	for _, id := range slices.Sorted(maps.Keys(s.dirtyJobs)) {
 		j := s.dirtyJobs[id]
 		c.Records = append(c.Records, store.Record{Key: id, Value: work.Encode(j.progress())})
@@ -47,11 +47,11 @@
 	}
 	s.expiredJobs = nil
 	for _, w := range s.workers {
-		if w.lastHandledEnd > w.lastStoredEnd {
-			c.lastEndNumbers[w] = w.lastHandledEnd
+		if w.lastHandledEndNumber > w.lastStoredEndNumber {
+			c.lastEndNumberByWorker[w] = w.lastHandledEndNumber
 		}
 	}
-	if len(c.Records) == 0 && len(c.lastEndNumbers) == 0 {
+	if len(c.Records) == 0 && len(c.lastEndNumberByWorker) == 0 {
 		return nil
 	}
 	return c
@@ -62,15 +62,15 @@
 // confirm that this VM is still the leader.
 func (s *Scheduler) Committed(c *Commit, now time.Time) {
 	if len(c.Records) > 0 {
-		s.lastConfirmedAppend = c.startedAt
+		s.lastConfirmedAppendStart = c.startedAt
 	}
 	for j, state := range c.jobStates {
 		if !j.storedState.Ended() {
 			j.storedState = state
 		}
 	}
-	for w, number := range c.lastEndNumbers {
-		w.lastStoredEnd = number
+	for w, number := range c.lastEndNumberByWorker {
+		w.lastStoredEndNumber = number
 	}
 	for _, t := range c.placedTasks {
 		if t.phase == phasePlaced && t.inCommit {
@@ -81,12 +81,12 @@
 
 // AppendConfirmed must be called when the store has accepted an append of this leader
 // that is not a commit. appendStart is when the append began.
-func (s *Scheduler) AppendConfirmed(appendStart time.Time) { s.lastConfirmedAppend = appendStart }
+func (s *Scheduler) AppendConfirmed(appendStart time.Time) { s.lastConfirmedAppendStart = appendStart }
 
 // leadershipEnd returns the time until which this leader may extend leases if the
 // store accepts no further append.
 func (s *Scheduler) leadershipEnd() time.Time {
-	return s.lastConfirmedAppend.Add(s.timing.LeadershipLease)
+	return s.lastConfirmedAppendStart.Add(s.timing.LeadershipLease)
 }
 
 // orderStart orders the worker of a task to start it, once the placement is stored.
@@ -97,7 +97,7 @@
 	t.inCommit = false
 	if w.removed || w.tokenUnconfirmed() || now.Sub(commitStart) > maxStartDelay {
 		s.log.Info("start_withdrawn", "task", t.id.String(), "run", t.runNumber, "worker", w.registration.Life.ID, "age_ms", now.Sub(commitStart).Milliseconds())
-		s.requeue(t)
+		s.requeueTask(t)
 		s.stopOtherGangMembers(t, now)
 		return
 	}
--- a/internal/cell/scheduler/hold.go
+++ b/internal/cell/scheduler/hold.go
@@ -15,14 +15,14 @@
 		return hold, sent, false
 	}
 	s.eventSequence++
-	hold = backend.Hold{Token: w.token, Acknowledged: w.lastStoredEnd}
+	hold = backend.Hold{Token: w.token, Acknowledged: w.lastStoredEndNumber}
 	if w.unansweredHolds == 0 {
-		// Only the first hold after an answer extends the lease. Otherwise the lease of
-		// a silent worker would never end.
+		// Only the first hold after an answer extends the lease. Otherwise the lease
+		// of a silent worker would never end.
 		hold.Deadline = max(w.leaseDeadline(now, s.leadershipEnd(), s.timing), 0)
 	}
 	w.unansweredHolds++
-	if !w.tokenUnconfirmed() && w.lastHandledEnd == w.lastStoredEnd {
+	if !w.tokenUnconfirmed() && w.lastHandledEndNumber == w.lastStoredEndNumber {
 		hold.Wait = s.holdWait()
 	}
 	if hold.Deadline > 0 {
@@ -35,7 +35,7 @@
 // are stored.
 func (s *Scheduler) EndsStored(life backend.Life) bool {
 	w := s.workers[life]
-	return w == nil || w.lastHandledEnd == w.lastStoredEnd
+	return w == nil || w.lastHandledEndNumber == w.lastStoredEndNumber
 }
 
 // HoldSent identifies a hold that was sent. With it, the scheduler determines which
@@ -79,10 +79,10 @@
 		return
 	}
 	w.lastAnswerAt, w.unansweredHolds = now, 0
-	w.setClock(r.Clock, now)
+	w.setClockReading(r.Clock, now)
 	for i := range r.Ended {
-		if e := &r.Ended[i]; e.Number > w.lastHandledEnd {
-			w.lastHandledEnd = e.Number
+		if e := &r.Ended[i]; e.Number > w.lastHandledEndNumber {
+			w.lastHandledEndNumber = e.Number
 			s.applyRunEnd(w, e, now)
 		}
 	}
@@ -94,7 +94,7 @@
 	}
 	s.requeueMissingRuns(w, listed, sent, r.Truncated, now)
 	if !r.Truncated {
-		w.removeEndedOrphans(listed, sent)
+		w.removeEndedOrphanedRuns(listed, sent)
 	}
 	if w.confirmedToken < sent.token {
 		w.confirmedToken = sent.token
@@ -102,17 +102,17 @@
 	}
 	s.detectSlowWorker(w, now)
 	s.adjustFillingTaskPaces(w)
-	s.removeIfIdle(w, now)
+	s.removeWorkerIfIdle(w, now)
 }
 
-func (w *worker) setClock(clock time.Duration, now time.Time) {
+func (w *worker) setClockReading(clock time.Duration, now time.Time) {
 	if clock > 0 {
 		w.clockReading, w.clockReadAt = clock, now
 	}
 }
 
 // applyReportedRun updates a task from the run that a report lists as running. A run
-// that does not belong to a task on the worker is recorded as an orphan. It is
+// that does not belong to a task on the worker is recorded as an orphaned run. It is
 // stopped, unless the worker itself replaces it by a newer run of the task.
 func (s *Scheduler) applyReportedRun(w *worker, r *backend.Run, now time.Time) {
 	t := s.findTask(r.Task)
@@ -179,7 +179,7 @@
 			continue // The report was cut off, so a later one may list the end of the run.
 		}
 		s.log.Info("run_absent", "task", t.id.String(), "run", t.runNumber, "worker", w.registration.Life.ID, "token", t.startToken, "hold_token", sent.token)
-		s.requeue(t)
+		s.requeueTask(t)
 		s.stopOtherGangMembers(t, now)
 	}
 }
--- a/internal/cell/scheduler/job.go
+++ b/internal/cell/scheduler/job.go
@@ -25,9 +25,9 @@
 	// submissionDropped is true once the caller was told to delete the submission
 	// from the store.
 	submissionDropped bool
-	// nextOccurrence is the number of the first occurrence that has not been opened
-	// yet.
-	nextOccurrence int
+	// nextOccurrenceNumber is the number of the first occurrence that has not been
+	// opened yet.
+	nextOccurrenceNumber int
 	// waitingTasks counts the tasks of open steps that wait for a worker.
 	// tasksOnWorkers counts the tasks that use capacity of a worker.
 	waitingTasks, tasksOnWorkers int
@@ -189,15 +189,15 @@
 			for _, t := range st.tasks {
 				s.endTask(t, now)
 			}
-			s.dispatcher.dequeue(st)
+			s.dispatcher.removePendingStep(st)
 		}
 	}
 	j.waitingTasks = 0
-	s.markDirty(j)
+	s.markJobDirty(j)
 }
 
-// markDirty notes that the progress of a job has changed and must be stored.
-func (s *Scheduler) markDirty(j *job) {
+// markJobDirty notes that the progress of a job has changed and must be stored.
+func (s *Scheduler) markJobDirty(j *job) {
 	s.dirtyJobs[j.spec.ID] = j
 	s.schedulingNeeded = true
 }
@@ -211,9 +211,9 @@
 
 // openDueOccurrencesOfJob opens the occurrences of one job that are due.
 func (s *Scheduler) openDueOccurrencesOfJob(j *job, now time.Time) {
-	for j.nextOccurrence < j.spec.Occurrences() && (j.spec.Repeat == nil || !now.Before(s.toSchedulerClock(j.spec.Due(j.nextOccurrence)).Add(-s.timing.EarlyStart))) {
-		o := s.addOccurrence(j, j.nextOccurrence, now)
-		j.nextOccurrence++
+	for j.nextOccurrenceNumber < j.spec.Occurrences() && (j.spec.Repeat == nil || !now.Before(s.toSchedulerClock(j.spec.Due(j.nextOccurrenceNumber)).Add(-s.timing.EarlyStart))) {
+		o := s.addOccurrence(j, j.nextOccurrenceNumber, now)
+		j.nextOccurrenceNumber++
 		s.openReadySteps(o, now)
 	}
 }
@@ -260,10 +260,10 @@
 	}
 }
 
-// requeue takes a task off its worker and lets it wait for another one. If its job
-// has ended, the task becomes done instead.
-func (s *Scheduler) requeue(t *task) {
-	s.releaseCapacity(t)
+// requeueTask takes a task off its worker and lets it wait for another one. If its
+// job has ended, the task becomes done instead.
+func (s *Scheduler) requeueTask(t *task) {
+	s.releaseTaskCapacity(t)
 	j := t.step.job
 	t.phase, t.percentDone, t.pacePercent, t.runConfirmed = phaseWaiting, 0, fullPacePercent, false
 	if j.state.Ended() {
@@ -273,11 +273,11 @@
 	if t.step.open {
 		j.waitingTasks++
 	}
-	s.markDirty(j)
+	s.markJobDirty(j)
 }
 
-// releaseCapacity frees the capacity that a task uses on its worker.
-func (s *Scheduler) releaseCapacity(t *task) {
+// releaseTaskCapacity frees the capacity that a task uses on its worker.
+func (s *Scheduler) releaseTaskCapacity(t *task) {
 	if t.worker == nil {
 		return
 	}
@@ -298,14 +298,14 @@
 	if t.phase == phaseWaiting && t.step.open {
 		j.waitingTasks--
 	}
-	s.releaseCapacity(t)
+	s.releaseTaskCapacity(t)
 	t.phase = phaseDone
 	t.step.tasksLeft--
-	s.markDirty(j)
+	s.markJobDirty(j)
 	if t.step.tasksLeft > 0 || j.state.Ended() {
 		return
 	}
-	s.dispatcher.dequeue(t.step)
+	s.dispatcher.removePendingStep(t.step)
 	o := t.step.occurrence
 	o.stepsLeft--
 	if o.stepsLeft > 0 {
@@ -318,7 +318,7 @@
 
 // completeJobIfDone completes a job when all its occurrences have completed.
 func (s *Scheduler) completeJobIfDone(j *job, now time.Time) {
-	if j.nextOccurrence < j.spec.Occurrences() {
+	if j.nextOccurrenceNumber < j.spec.Occurrences() {
 		return
 	}
 	for _, o := range j.occurrences {
@@ -337,7 +337,7 @@
 	case phaseWaiting:
 		t.phase = phaseDone
 	case phasePlaced:
-		s.releaseCapacity(t)
+		s.releaseTaskCapacity(t)
 		t.phase = phaseDone
 	case phaseStartOrdered, phaseRunning:
 		s.stopTask(t, now)
--- a/internal/cell/scheduler/reserve.go
+++ b/internal/cell/scheduler/reserve.go
@@ -47,8 +47,8 @@
 	return ok && res.job != j && expectedEnd.After(res.freeAt)
 }
 
-// reservedForOtherJob reports whether a worker is reserved for a job other than j.
-func (r *reservations) reservedForOtherJob(w *worker, j *job) bool {
+// isReservedForOtherJob reports whether a worker is reserved for a job other than j.
+func (r *reservations) isReservedForOtherJob(w *worker, j *job) bool {
 	res, ok := r.byWorker[w]
 	return ok && res.job != j
 }
@@ -57,13 +57,13 @@
 // the workers that are expected to have enough free capacity soonest, and none that
 // can never run the tasks.
 func (s *Scheduler) reserveWorkers(st *step, q *queue.Queue, r *reservations, now time.Time) {
-	if !s.isLarge(st, q) || r.reservedStepCount >= max(minReservingSteps, len(s.poolOf(q.Service).workers)/workersPerReservingStep) {
+	if !s.isLargeStep(st, q) || r.reservedStepCount >= max(minReservingSteps, len(s.poolOfService(q.Service).workers)/workersPerReservingStep) {
 		return
 	}
 	var places []expectedPlace
 	maxPlaces := 0
 	for _, w := range s.permittedWorkers(st, q) {
-		if r.reservedForOtherJob(w, st.job) || !belowTaskLimit(w, st) {
+		if r.isReservedForOtherJob(w, st.job) || !belowTaskLimit(w, st) {
 			continue
 		}
 		maxPlaces += countPlaces(st.spec.ReservedCapacity(), w.registration.Capacity)
--- a/internal/cell/scheduler/runs.go
+++ b/internal/cell/scheduler/runs.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// refusalPause is how long a worker gets no new tasks after it has refused a
+	// pauseAfterRefusal is how long a worker gets no new tasks after it has refused a
 	// start for lack of capacity or because it is unhealthy.
-	refusalPause = time.Second
-	// invalidOrderPause is how long a task is not placed again after a worker has
-	// refused its start order as invalid.
-	invalidOrderPause = time.Second
-	// After failuresBeforeAvoidance consecutive failed runs, a worker gets no new
-	// tasks for avoidancePause.
-	failuresBeforeAvoidance = 3
-	avoidancePause          = 3 * time.Second
+	pauseAfterRefusal = time.Second
+	// pauseAfterInvalidOrder is how long a task is not placed again after a worker
+	// has refused its start order as invalid.
+	pauseAfterInvalidOrder = time.Second
+	// After failuresBeforeAvoidingWorker consecutive failed runs, a worker gets no
+	// new tasks for workerAvoidancePeriod.
+	failuresBeforeAvoidingWorker = 3
+	workerAvoidancePeriod        = 3 * time.Second
 )
 
 // StartAnswered handles the answer to a start order. An empty kind means that the
@@ -29,7 +29,7 @@
 	if w == nil {
 		return
 	}
-	w.setClock(clock, now)
+	w.setClockReading(clock, now)
 	t := s.findTask(o.Task)
 	if t == nil || t.worker != w || t.runNumber != o.Run || t.startToken != o.Token {
 		return // The run has ended, or a report has shown that it does not exist.
@@ -63,12 +63,12 @@
 	case backend.KindTicket:
 		t.step.advice.expireTicket(w)
 	case backend.KindNoRoom, backend.KindUnhealthy:
-		w.avoidUntil = now.Add(refusalPause)
+		w.avoidUntil = now.Add(pauseAfterRefusal)
 	case backend.KindInvalid:
-		t.placeNotBefore = now.Add(invalidOrderPause)
+		t.placeNotBefore = now.Add(pauseAfterInvalidOrder)
 	default:
 	}
-	s.requeue(t)
+	s.requeueTask(t)
 	s.stopOtherGangMembers(t, now)
 }
 
@@ -86,11 +86,11 @@
 	if e.Checkpoint != "" {
 		t.checkpoint = e.Checkpoint
 	}
-	s.recordOutcome(w, t, e, now)
+	s.recordRunOutcome(w, t, e, now)
 	if t.step.job.state.Ended() {
-		s.releaseCapacity(t)
+		s.releaseTaskCapacity(t)
 		t.phase = phaseDone
-		s.markDirty(t.step.job)
+		s.markJobDirty(t.step.job)
 		return
 	}
 	switch e.Outcome {
@@ -99,7 +99,7 @@
 	case backend.Failed:
 		s.applyFailedRun(t, w, e.Run, now)
 	default:
-		s.requeue(t)
+		s.requeueTask(t)
 		s.stopOtherGangMembers(t, now)
 	}
 }
@@ -113,7 +113,7 @@
 		return
 	}
 	if e.Outcome == backend.Failed {
-		s.countFailure(t, e.Run, now)
+		s.countFailedRun(t, e.Run, now)
 		return
 	}
 	if e.Outcome != backend.Done || t.step.spec.Gang {
@@ -121,7 +121,7 @@
 	}
 	s.log.Info("late_run_accepted", "task", t.id.String(), "run", e.Run, "later_run", t.runNumber)
 	if w := t.worker; w != nil && t.phase != phasePlaced {
-		w.addOrphan(t, s.eventSequence)
+		w.addOrphanedRun(t, s.eventSequence)
 		if !t.runConfirmed {
 			s.raiseToken(w)
 		}
@@ -134,7 +134,7 @@
 // it is requeued. The first member of a gang to complete completes all the others.
 func (s *Scheduler) applyCompletedRun(t *task, now time.Time) {
 	if t.step.spec.Lasting {
-		s.requeue(t)
+		s.requeueTask(t)
 		return
 	}
 	if !t.step.spec.Gang {
@@ -150,15 +150,15 @@
 // whole job fails.
 func (s *Scheduler) applyFailedRun(t *task, w *worker, run int64, now time.Time) {
 	t.lastFailedWorker = w.registration.Life.ID
-	s.requeue(t)
-	if !s.countFailure(t, run, now) {
+	s.requeueTask(t)
+	if !s.countFailedRun(t, run, now) {
 		s.stopOtherGangMembers(t, now)
 	}
 }
 
-// countFailure records a failed run of a task. It returns true if this failure makes
-// the whole job fail.
-func (s *Scheduler) countFailure(t *task, run int64, now time.Time) bool {
+// countFailedRun records a failed run of a task. It returns true if this failure
+// makes the whole job fail.
+func (s *Scheduler) countFailedRun(t *task, run int64, now time.Time) bool {
 	members := []*task{t}
 	if t.step.spec.Gang {
 		members = t.step.tasks
@@ -168,7 +168,7 @@
 			m.failedRuns = append(m.failedRuns, run)
 		}
 	}
-	s.markDirty(t.step.job)
+	s.markJobDirty(t.step.job)
 	limit := 0
 	if q := s.table.Queue(t.step.job.spec.Queue); q != nil {
 		limit = q.MaxAttempts
@@ -181,17 +181,17 @@
 	return true
 }
 
-// recordOutcome updates the failure count of a worker, and the average run time of
+// recordRunOutcome updates the failure count of a worker, and the average run time of
 // the image if the run has completed.
-func (s *Scheduler) recordOutcome(w *worker, t *task, e *backend.End, now time.Time) {
+func (s *Scheduler) recordRunOutcome(w *worker, t *task, e *backend.End, now time.Time) {
 	switch e.Outcome {
 	case backend.Done:
 		w.consecutiveFailures = 0
 		s.runTimes.recordRunTime(t, now)
 	case backend.Failed:
 		w.consecutiveFailures++
-		if w.consecutiveFailures >= failuresBeforeAvoidance {
-			w.avoidUntil = now.Add(avoidancePause)
+		if w.consecutiveFailures >= failuresBeforeAvoidingWorker {
+			w.avoidUntil = now.Add(workerAvoidancePeriod)
 			s.log.Info("worker_avoided", "worker", w.registration.Life.ID, "failures", w.consecutiveFailures)
 		}
 	default:
@@ -208,7 +208,7 @@
 	for _, member := range t.step.tasks {
 		switch member.phase {
 		case phasePlaced:
-			s.requeue(member)
+			s.requeueTask(member)
 		case phaseStartOrdered, phaseRunning:
 			s.stopTask(member, now)
 		case phaseWaiting, phaseStopping, phaseDone:
