--- a/internal/node/entryvm/commits.go
+++ b/internal/node/entryvm/commits.go
@@ -95,7 +95,7 @@
 		if l.ctx.Err() != nil {
 			return l.ctx.Err()
 		}
-		switch storeKind(err) {
+		switch storeErrorKind(err) {
 		case store.KindRefused, store.KindUnknown:
 			l.node.log.Info("progress_not_stored", "epoch", l.epoch, "records", len(records), "error", err.Error())
 			sleep(l.ctx, appendRetryPause)
--- a/internal/node/entryvm/configuration.go
+++ b/internal/node/entryvm/configuration.go
@@ -23,8 +23,8 @@
 
 func newConfigurationWatcher(n *Node) *configurationWatcher { return &configurationWatcher{node: n} }
 
-// current returns the newest known configuration, or nil before the first one.
-func (c *configurationWatcher) current() *queue.Table {
+// currentTable returns the newest known configuration, or nil before the first one.
+func (c *configurationWatcher) currentTable() *queue.Table {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.table
@@ -32,7 +32,7 @@
 
 // version returns the version of the current configuration, or 0 before the first one.
 func (c *configurationWatcher) version() int64 {
-	if table := c.current(); table != nil {
+	if table := c.currentTable(); table != nil {
 		return table.Version
 	}
 	return 0
--- a/internal/node/entryvm/election.go
+++ b/internal/node/entryvm/election.go
@@ -21,9 +21,9 @@
 	// leaderTimeout is how long the leader must be silent before another VM claims
 	// leadership: three heartbeat intervals and some delay.
 	leaderTimeout = 900 * time.Millisecond
-	// delayPerRank is added to the wait before a claim once for each VM that should claim
+	// claimDelayPerRank is added to the wait before a claim once for each VM that should claim
 	// before this one, so that two VMs rarely claim at the same time.
-	delayPerRank = 200 * time.Millisecond
+	claimDelayPerRank = 200 * time.Millisecond
 	// maxClaimRank limits the rank that claimRank returns, and thereby how long a VM
 	// waits for others to claim first.
 	maxClaimRank = 8
@@ -39,8 +39,8 @@
 	electionPollInterval = 100 * time.Millisecond
 	// peerCallTimeout limits a call to another VM during an election or a hand-over.
 	peerCallTimeout = 300 * time.Millisecond
-	// claimKey is the key of the claim record.
-	claimKey = "leader"
+	// leaderClaimKey is the key of the claim record.
+	leaderClaimKey = "leader"
 )
 
 // claim is the record that a VM stores to become leader. It supersedes claims with a
@@ -171,7 +171,7 @@
 // depends on the epoch. The previous leader does not count, unless it is this VM.
 func (e *election) claimRank(epoch int64, leader string) int {
 	self, _ := e.node.members.findByName(e.node.settings.Name)
-	candidates := append(e.node.members.others(), self)
+	candidates := append(e.node.members.otherMembers(), self)
 	candidates = slices.DeleteFunc(candidates, func(m member) bool { return m.Name == leader && m.Name != self.Name })
 	order := func(m member) uint64 { return xxhash.Sum64String(m.Name) ^ uint64(epoch) }
 	slices.SortFunc(candidates, func(a, b member) int {
@@ -239,12 +239,12 @@
 	case c.storeReachableFor < 0, c.majoritySilent && c.storeReachableFor < minStoreReachableTime:
 		return false
 	}
-	return c.leaderSilence >= wait+time.Duration(c.rank)*delayPerRank
+	return c.leaderSilence >= wait+time.Duration(c.rank)*claimDelayPerRank
 }
 
 // majoritySilent reports whether most other VMs have recently not answered calls.
 func (e *election) majoritySilent() bool {
-	others := e.node.members.others()
+	others := e.node.members.otherMembers()
 	silent := 0
 	for _, m := range others {
 		if e.node.peerClient.Silent(m.Address) {
@@ -258,7 +258,7 @@
 // leaderTimeout, and reports whether one has. It does not wait for VMs that have
 // recently not answered calls, unless these are at least half of the VMs asked.
 func (e *election) othersHearLeader(ctx context.Context, c claim) bool {
-	others := slices.DeleteFunc(e.node.members.others(), func(m member) bool { return m.Name == c.Name })
+	others := slices.DeleteFunc(e.node.members.otherMembers(), func(m member) bool { return m.Name == c.Name })
 	heard := make(chan bool, len(others))
 	silent := 0
 	callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
@@ -310,7 +310,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	_, err := e.node.store.Append(callCtx, store.Append{
-		Topic: store.Claims, Records: []store.Record{{Key: claimKey, Value: value}}, Condition: store.Condition{Set: true, End: end},
+		Topic: store.Claims, Records: []store.Record{{Key: leaderClaimKey, Value: value}}, Condition: store.Condition{Set: true, End: end},
 	})
 	if err != nil {
 		e.node.log.Info("claim_failed", "epoch", c.Epoch, "reason", reason, "error", err.Error())
--- a/internal/node/entryvm/election_test.go
+++ b/internal/node/entryvm/election_test.go
@@ -14,7 +14,7 @@
 func TestUnknownLeaderIsReached(t *testing.T) {
 	is := is.New(t)
 	n := &Node{settings: Settings{Name: "vm-0", Domain: "domain-0"}, log: logr.Discard()}
-	n.members, n.isolation = newMembers(n), &isolationDetector{node: n}
+	n.members, n.isolation = newMemberList(n), &isolationDetector{node: n}
 	n.election = newElection(n)
 	address := netip.MustParseAddrPort("127.0.0.1:7000")
 	n.election.recordHeartbeat(HeartbeatArgs{Epoch: 5, Leader: "vm-1", Address: address})
@@ -36,7 +36,7 @@
 		{"the leader was heard lately", candidacy{epoch: 3, leaderSilence: 200 * time.Millisecond, storeReachableFor: time.Hour}, false},
 		{"the leader is silent", candidacy{epoch: 3, leaderSilence: leaderTimeout, storeReachableFor: time.Hour}, true},
 		{"fitter VMs should claim first", candidacy{epoch: 3, leaderSilence: leaderTimeout, storeReachableFor: time.Hour, rank: 2}, false},
-		{"fitter VMs have not claimed in their time", candidacy{epoch: 3, leaderSilence: leaderTimeout + 2*delayPerRank, storeReachableFor: time.Hour, rank: 2}, true},
+		{"fitter VMs have not claimed in their time", candidacy{epoch: 3, leaderSilence: leaderTimeout + 2*claimDelayPerRank, storeReachableFor: time.Hour, rank: 2}, true},
 		{"the VM does not reach the store", candidacy{epoch: 3, leaderSilence: 6 * time.Second, storeReachableFor: -1}, false},
 		{"the store is reachable again but most VMs are still silent", candidacy{epoch: 3, leaderSilence: 6 * time.Second, storeReachableFor: 10 * time.Millisecond, majoritySilent: true}, false},
 		{"the store has been reachable for a while and most VMs are still silent", candidacy{epoch: 3, leaderSilence: 6 * time.Second, storeReachableFor: minStoreReachableTime, majoritySilent: true}, true},
--- a/internal/node/entryvm/heartbeats.go
+++ b/internal/node/entryvm/heartbeats.go
@@ -22,7 +22,7 @@
 	names := l.reachableVMs(at)
 	vmReachesStore := maps.Clone(l.vmReachesStore)
 	l.mutex.Unlock()
-	others := slices.DeleteFunc(l.node.members.others(), func(m member) bool { return !slices.Contains(names, m.Name) || !vmReachesStore[m.Name] })
+	others := slices.DeleteFunc(l.node.members.otherMembers(), func(m member) bool { return !slices.Contains(names, m.Name) || !vmReachesStore[m.Name] })
 	switch sinceTimerStart := at.Sub(l.handOverTimerStart); {
 	case l.node.store.reachableFor(at) < -handOverWithoutStoreDelay && sinceTimerStart > handOverWithoutStoreDelay:
 		return others
@@ -53,14 +53,14 @@
 // Without one, another VM may have become leader, and this one reports only stored
 // states.
 func (l *leader) hasQuorum(at time.Time) bool {
-	others := len(l.node.members.others())
+	others := len(l.node.members.otherMembers())
 	return 2*(len(l.reachableVMs(at))-1) > others || others == 0
 }
 
 // sendHeartbeats sends heartbeats to the other entry VMs until the leader is stopped.
 func (l *leader) sendHeartbeats() {
 	for {
-		for _, m := range l.node.members.others() {
+		for _, m := range l.node.members.otherMembers() {
 			go l.sendHeartbeat(m)
 		}
 		l.node.election.recordHeartbeat(HeartbeatArgs{Epoch: l.epoch, Leader: l.node.settings.Name, Address: l.node.settings.ListenAddress})
@@ -141,7 +141,7 @@
 func (l *leader) sendConfiguration(m member) {
 	ctx, cancel := context.WithTimeout(l.ctx, configurationSendTimeout)
 	defer cancel()
-	table := l.node.configuration.current()
+	table := l.node.configuration.currentTable()
 	_, err := link.Call[ConfigurationArgs, Nothing](ctx, l.node.peerClient, m.Address, "Table", ConfigurationArgs{Version: table.Version, Text: compress(table.Text)})
 	l.node.log.Info("configuration_told", "vm", m.Name, "version", table.Version, "told", err == nil)
 	l.mutex.Lock()
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -132,7 +132,7 @@
 		l.node.log.Info("take_over_failed", "epoch", l.epoch, "error", err.Error())
 		return
 	}
-	if t := l.node.configuration.current(); t != nil {
+	if t := l.node.configuration.currentTable(); t != nil {
 		l.setTable(t)
 	}
 	for part, from := range offsets {
@@ -191,7 +191,7 @@
 func (l *leader) applyEffects(e *scheduler.Effects) {
 	for i := range e.Opened {
 		r := e.Opened[i]
-		s := newSession(l, r)
+		s := newWorkerSession(l, r)
 		l.sessions[r.Life] = s
 		go s.run()
 	}
--- a/internal/node/entryvm/members.go
+++ b/internal/node/entryvm/members.go
@@ -33,7 +33,7 @@
 	byName map[string]member
 }
 
-func newMembers(n *Node) *memberList {
+func newMemberList(n *Node) *memberList {
 	self := member{Name: n.settings.Name, Domain: n.settings.Domain, Address: n.settings.ListenAddress, Fitness: n.settings.Fitness, Started: time.Now().UnixMilli()}
 	return &memberList{node: n, byName: map[string]member{self.Name: self}}
 }
@@ -92,8 +92,8 @@
 	}
 }
 
-// others returns the other entry VMs, sorted by name.
-func (m *memberList) others() []member {
+// otherMembers returns the other entry VMs, sorted by name.
+func (m *memberList) otherMembers() []member {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	list := make([]member, 0, len(m.byName))
@@ -121,7 +121,7 @@
 // hasMuchFitterVM reports whether the fitness of another VM is more than
 // muchFitterRatio times that of this one.
 func (m *memberList) hasMuchFitterVM() bool {
-	return slices.ContainsFunc(m.others(), func(vm member) bool { return vm.Fitness > muchFitterRatio*m.node.settings.Fitness })
+	return slices.ContainsFunc(m.otherMembers(), func(vm member) bool { return vm.Fitness > muchFitterRatio*m.node.settings.Fitness })
 }
 
 // fixedWait returns a function that always returns d.
@@ -137,7 +137,7 @@
 	for ctx.Err() == nil {
 		records, next, err := readFrom(ctx, n.store, store.Read{Topic: topic, From: from, Wait: wait()})
 		if err != nil {
-			if storeKind(err) == store.KindDropped {
+			if storeErrorKind(err) == store.KindDropped {
 				from = -1
 				continue
 			}
--- a/internal/node/entryvm/node.go
+++ b/internal/node/entryvm/node.go
@@ -124,7 +124,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{log: log, measures: measures, settings: s, dependencies: p, peerClient: link.NewClient(rpcServiceName), listener: l, ctx: ctx, cancel: cancel}
-	n.members = newMembers(n)
+	n.members = newMemberList(n)
 	n.store = newRelayedStore(p.Store, n)
 	n.configuration = newConfigurationWatcher(n)
 	n.writer = newJobWriter(n)
@@ -146,14 +146,14 @@
 }
 
 // Table returns the current configuration, or nil before the first one is received.
-func (n *Node) Table() *queue.Table { return n.configuration.current() }
+func (n *Node) Table() *queue.Table { return n.configuration.currentTable() }
 
 // Ready reports whether callers should be sent to this VM: it has a configuration, is
 // not isolated and is not about to stop.
 func (n *Node) Ready() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return !n.stopping && !n.isolation.isolated.Load() && n.configuration.current() != nil
+	return !n.stopping && !n.isolation.isolated.Load() && n.configuration.currentTable() != nil
 }
 
 // Drain begins a planned stop. The VM is no longer ready and, if it leads, hands the
@@ -165,7 +165,7 @@
 	n.mutex.Unlock()
 	n.log.Info("drain_started", "leading", l != nil)
 	if l != nil {
-		n.election.handOver(ctx, n.members.others())
+		n.election.handOver(ctx, n.members.otherMembers())
 	}
 }
 
--- a/internal/node/entryvm/protocol.go
+++ b/internal/node/entryvm/protocol.go
@@ -246,6 +246,6 @@
 // setError sets the error fields of the reply, unless err is nil.
 func (r *StoreReply) setError(err error) {
 	if err != nil {
-		r.Kind, r.Message = storeKind(err), err.Error()
+		r.Kind, r.Message = storeErrorKind(err), err.Error()
 	}
 }
--- a/internal/node/entryvm/relay.go
+++ b/internal/node/entryvm/relay.go
@@ -87,22 +87,22 @@
 	return since
 }
 
-// storeKind returns the kind of a store error. Errors of other types have KindUnknown,
+// storeErrorKind returns the kind of a store error. Errors of other types have KindUnknown,
 // since the call may have been carried out.
-func storeKind(err error) store.Kind { return fault.KindOr(err, store.KindUnknown) }
+func storeErrorKind(err error) store.Kind { return fault.KindOr(err, store.KindUnknown) }
 
-// appendOutcome returns the outcome of an append as it appears in the metrics.
-func appendOutcome(err error) store.Kind {
+// appendMetricLabel returns the outcome of an append as it appears in the metrics.
+func appendMetricLabel(err error) store.Kind {
 	if err == nil {
 		return "stored"
 	}
-	return storeKind(err)
+	return storeErrorKind(err)
 }
 
-// isUnreachable reports whether an error means that the store refused the call or did
+// isUnreachableError reports whether an error means that the store refused the call or did
 // not answer, so that the call may succeed through another VM.
-func isUnreachable(err error) bool {
-	k := storeKind(err)
+func isUnreachableError(err error) bool {
+	k := storeErrorKind(err)
 	return err != nil && (k == store.KindRefused || k == store.KindUnknown)
 }
 
@@ -118,17 +118,17 @@
 	if ctx.Err() == context.Canceled {
 		return
 	}
-	s.node.measures.Observe(measure.Key{Name: "store_append", Label: string(appendOutcome(err))}, took)
-	if !isUnreachable(err) {
+	s.node.measures.Observe(measure.Key{Name: "store_append", Label: string(appendMetricLabel(err))}, took)
+	if !isUnreachableError(err) {
 		s.node.isolation.recordContact()
 		s.consecutiveFailures.Store(0)
 		s.appendLatency.Store((s.appendLatency.Load() + int64(took)) / 2)
 		return
 	}
-	if storeKind(err) == store.KindUnknown && took >= minAppendTimeout {
+	if storeErrorKind(err) == store.KindUnknown && took >= minAppendTimeout {
 		s.appendLatency.Store(min(2*max(s.appendLatency.Load(), int64(minAppendTimeout/appendTimeoutFactor)), int64(maxAppendTimeout/appendTimeoutFactor)))
 	}
-	if s.consecutiveFailures.Add(1) < appendFailuresUntilCheck && storeKind(err) == store.KindUnknown {
+	if s.consecutiveFailures.Add(1) < appendFailuresUntilCheck && storeErrorKind(err) == store.KindUnknown {
 		return
 	}
 	if !s.unreachable.Load() && s.checkingPartitions.CompareAndSwap(false, true) {
@@ -169,7 +169,7 @@
 	for _, part := range parts {
 		go func() {
 			_, err := s.directStore.Read(ctx, store.Read{Topic: store.Claims, Part: part})
-			answered <- !isUnreachable(err)
+			answered <- !isUnreachableError(err)
 		}()
 	}
 	for range parts {
@@ -202,7 +202,7 @@
 		begun := now()
 		end, err := s.appendDirect(ctx, a)
 		s.recordAppendResult(ctx, err, now().Sub(begun))
-		if storeKind(err) != store.KindRefused || err == nil {
+		if storeErrorKind(err) != store.KindRefused || err == nil {
 			return end, err
 		}
 	}
@@ -231,7 +231,7 @@
 		defer close(answered)
 		end, err = s.directStore.Append(ctx, a)
 	}()
-	if timeout := s.appendTimeout(); !closedWithin(answered, timeout/2) {
+	if timeout := s.appendTimeout(); !channelClosedWithin(answered, timeout/2) {
 		readBegun := now()
 		limit := timeout
 		if s.anyPartitionAnswers(readProbeTimeout, probedPartitions[:]...) {
@@ -240,7 +240,7 @@
 			s.markUnreachable("neither appends nor reads are answered")
 			s.checkingPartitions.Store(false)
 		}
-		if !closedWithin(answered, limit-now().Sub(begun)) {
+		if !channelClosedWithin(answered, limit-now().Sub(begun)) {
 			cancel()
 			<-answered
 		}
@@ -248,8 +248,8 @@
 	return end, err
 }
 
-// closedWithin reports whether done is closed before the timeout.
-func closedWithin(done <-chan struct{}, timeout time.Duration) bool {
+// channelClosedWithin reports whether done is closed before the timeout.
+func channelClosedWithin(done <-chan struct{}, timeout time.Duration) bool {
 	select {
 	case <-done:
 		return true
@@ -290,7 +290,7 @@
 // has store.KindUnknown if the call may have been carried out, and store.KindRefused if
 // it was not.
 func (s *relayedStore) callThroughOthers(ctx context.Context, operation string, call func(context.Context, member) (StoreReply, error)) (StoreReply, error) {
-	others := slices.DeleteFunc(s.node.members.others(), func(m member) bool { return s.node.peerClient.Silent(m.Address) })
+	others := slices.DeleteFunc(s.node.members.otherMembers(), func(m member) bool { return s.node.peerClient.Silent(m.Address) })
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	uncertain := false
 	for i, m := range others {
--- a/internal/node/entryvm/session.go
+++ b/internal/node/entryvm/session.go
@@ -50,7 +50,7 @@
 	holdInterrupted bool
 }
 
-func newSession(l *leader, r backend.Registration) *workerSession {
+func newWorkerSession(l *leader, r backend.Registration) *workerSession {
 	ctx, cancel := context.WithCancel(l.ctx)
 	return &workerSession{leader: l, life: r.Life, worker: l.dialWorker(r), ctx: ctx, cancel: cancel}
 }
--- a/internal/node/entryvm/tail.go
+++ b/internal/node/entryvm/tail.go
@@ -47,7 +47,7 @@
 		begun := now()
 		records, next, err := readFrom(l.ctx, l.node.store, store.Read{Topic: store.Jobs, Part: part, From: from})
 		if err != nil {
-			if storeKind(err) == store.KindDropped {
+			if storeErrorKind(err) == store.KindDropped {
 				from = -1
 			}
 			continue
@@ -91,7 +91,7 @@
 	for sleep(l.ctx, registrationsReadInterval) {
 		records, next, err := readFrom(l.ctx, l.node.store, store.Read{Topic: store.Workers, From: from})
 		if err != nil {
-			if storeKind(err) == store.KindDropped {
+			if storeErrorKind(err) == store.KindDropped {
 				from = -1
 			}
 			continue
--- a/internal/node/entryvm/takeover.go
+++ b/internal/node/entryvm/takeover.go
@@ -37,7 +37,7 @@
 // returns, for each job partition, the offset from which to continue reading.
 func (l *leader) restore() ([]int64, error) {
 	begun := now()
-	saved, err := l.readStored()
+	saved, err := l.readStoredState()
 	if err != nil {
 		return saved.nextJobOffsets, err
 	}
@@ -72,10 +72,10 @@
 	return saved.nextJobOffsets, nil
 }
 
-// readStored reads the stored state with concurrent calls. It fences the previous
+// readStoredState reads the stored state with concurrent calls. It fences the previous
 // leader before it reads jobs and progress, since the previous leader can start newly
 // submitted jobs until it is fenced.
-func (l *leader) readStored() (storedState, error) {
+func (l *leader) readStoredState() (storedState, error) {
 	parts := l.node.settings.Partitions
 	saved := storedState{jobRecords: make([][]store.Record, parts), nextJobOffsets: make([]int64, parts)}
 	var g, afterFence errgroup.Group
--- a/internal/node/entryvm/writer.go
+++ b/internal/node/entryvm/writer.go
@@ -184,7 +184,7 @@
 	defer w.mutex.Unlock()
 	for _, p := range batch {
 		p.inFlight = false
-		p.maybeStored = p.maybeStored || (err != nil && storeKind(err) != store.KindRefused)
+		p.maybeStored = p.maybeStored || (err != nil && storeErrorKind(err) != store.KindRefused)
 	}
 	if err != nil {
 		w.node.log.Info("jobs_not_stored", "records", len(batch), "partition", w.currentPartition, "error", err.Error())
--- a/internal/node/keeper/assignment.go
+++ b/internal/node/keeper/assignment.go
@@ -18,9 +18,9 @@
 	// each batch contains more calls, but the loss of a keeper interrupts calls to more
 	// workers.
 	workersPerKeeper = 40
-	// minKeeperFitnessShare is the lowest fitness that a keeper may have, as a fraction
+	// minFitnessRelativeToBest is the lowest fitness that a keeper may have, as a fraction
 	// of the highest fitness in its failure domain.
-	minKeeperFitnessShare = 0.5
+	minFitnessRelativeToBest = 0.5
 )
 
 // Member is an entry VM that can become a keeper.
@@ -73,7 +73,7 @@
 	slices.SortFunc(list, func(a, b hashedMember) int {
 		return cmp.Or(cmp.Compare(b.member.Fitness, a.member.Fitness), cmp.Compare(a.hash, b.hash))
 	})
-	count := slices.IndexFunc(list, func(k hashedMember) bool { return k.member.Fitness < minKeeperFitnessShare*list[0].member.Fitness })
+	count := slices.IndexFunc(list, func(k hashedMember) bool { return k.member.Fitness < minFitnessRelativeToBest*list[0].member.Fitness })
 	if count < 0 {
 		count = len(list)
 	}
