--- a/internal/node/entryvm/commits.go
+++ b/internal/node/entryvm/commits.go
@@ -15,12 +15,12 @@
 func (l *leader) reportedEndsStored(life backend.Life) (bool, chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.scheduler.EndsStored(life), l.commitDone
+	return l.scheduler.EndsStored(life), l.nextCommitDone
 }
 
-// renewClaim makes the commit loop renew the claim at once. It is called when a worker
+// signalClaimRenewal makes the commit loop renew the claim at once. It is called when a worker
 // has seen a higher fencing token, which suggests that another VM leads.
-func (l *leader) renewClaim() { trySignal(l.renewClaimSignal) }
+func (l *leader) signalClaimRenewal() { trySignal(l.renewClaimSignal) }
 
 // commitLoop stores the progress of jobs, one append at a time, and renews the claim.
 // It returns when the claim is lost or the leader is stopped.
@@ -64,8 +64,8 @@
 			} else {
 				s.AppendConfirmed(begun)
 			}
-			close(l.commitDone)
-			l.commitDone = make(chan struct{})
+			close(l.nextCommitDone)
+			l.nextCommitDone = make(chan struct{})
 		})
 		sleep(l.ctx, commitPause)
 	}
@@ -136,7 +136,7 @@
 		mask, known := l.jobPartitions[id]
 		for part := range records {
 			if !known || mask&(1<<part) != 0 {
-				records[part] = append(records[part], store.Record{Key: id}, store.Record{Key: id + cancelSuffix})
+				records[part] = append(records[part], store.Record{Key: id}, store.Record{Key: id + cancelKeySuffix})
 			}
 		}
 		delete(l.jobPartitions, id)
--- a/internal/node/entryvm/configuration.go
+++ b/internal/node/entryvm/configuration.go
@@ -30,8 +30,8 @@
 	return c.table
 }
 
-// version returns the version of the current configuration, or 0 before the first one.
-func (c *configurationWatcher) version() int64 {
+// currentVersion returns the version of the current configuration, or 0 before the first one.
+func (c *configurationWatcher) currentVersion() int64 {
 	if table := c.currentTable(); table != nil {
 		return table.Version
 	}
--- a/internal/node/entryvm/election.go
+++ b/internal/node/entryvm/election.go
@@ -343,11 +343,11 @@
 	e.leaderWaitStart = now().Add(-leaderTimeout / 2)
 }
 
-// handOver asks the other VMs, one after the other, to take over the leadership, until
+// handOverLeadership asks the other VMs, one after the other, to take over the leadership, until
 // one accepts. Fitter VMs come first. Among VMs of equal fitness, the one that started
 // last comes first: in a rolling replacement it has already been replaced and does not
 // stop again soon.
-func (e *election) handOver(ctx context.Context, others []member) {
+func (e *election) handOverLeadership(ctx context.Context, others []member) {
 	slices.SortStableFunc(others, func(a, b member) int {
 		return cmp.Or(cmp.Compare(b.Fitness, a.Fitness), cmp.Compare(b.Started, a.Started))
 	})
--- a/internal/node/entryvm/heartbeats.go
+++ b/internal/node/entryvm/heartbeats.go
@@ -12,12 +12,12 @@
 	"github.com/almondpost/almondpost/internal/peer/link"
 )
 
-// successors returns the VMs that should lead instead of this one, if any. It considers
+// handOverCandidates returns the VMs that should lead instead of this one, if any. It considers
 // only VMs that answer heartbeats and reach the store directly. If this VM has not
 // reached the store directly for handOverWithoutStoreDelay, it returns all of them.
 // Otherwise it returns those that are much fitter than this VM, but only after
-// handOverToFitterDelay. Both delays are also counted from handOverTimerStart.
-func (l *leader) successors(at time.Time) []member {
+// handOverToFitterVMDelay. Both delays are also counted from handOverTimerStart.
+func (l *leader) handOverCandidates(at time.Time) []member {
 	l.mutex.Lock()
 	names := l.reachableVMs(at)
 	vmReachesStore := maps.Clone(l.vmReachesStore)
@@ -26,7 +26,7 @@
 	switch sinceTimerStart := at.Sub(l.handOverTimerStart); {
 	case l.node.store.reachableFor(at) < -handOverWithoutStoreDelay && sinceTimerStart > handOverWithoutStoreDelay:
 		return others
-	case sinceTimerStart > handOverToFitterDelay:
+	case sinceTimerStart > handOverToFitterVMDelay:
 		return slices.DeleteFunc(others, func(m member) bool { return m.Fitness <= muchFitterRatio*l.node.settings.Fitness })
 	}
 	return nil
@@ -75,7 +75,7 @@
 func (l *leader) sendHeartbeat(m member) {
 	ctx, cancel := context.WithTimeout(l.ctx, leaderTimeout)
 	defer cancel()
-	args := HeartbeatArgs{Epoch: l.epoch, Leader: l.node.settings.Name, Address: l.node.settings.ListenAddress, Version: l.node.configuration.version()}
+	args := HeartbeatArgs{Epoch: l.epoch, Leader: l.node.settings.Name, Address: l.node.settings.ListenAddress, Version: l.node.configuration.currentVersion()}
 	r, err := link.Call[HeartbeatArgs, HeartbeatReply](ctx, l.node.peerClient, m.Address, "Heartbeat", args)
 	if err != nil {
 		return
--- a/internal/node/entryvm/isolation.go
+++ b/internal/node/entryvm/isolation.go
@@ -50,7 +50,7 @@
 		}
 		i.node.log.Info("isolation_changed", "isolated", isolated)
 		if isolated {
-			i.node.writer.failAll()
+			i.node.writer.failPendingWrites()
 		}
 	}
 }
--- a/internal/node/entryvm/jobs.go
+++ b/internal/node/entryvm/jobs.go
@@ -23,7 +23,7 @@
 // Submit stores a job. The error has KindNotStored if the job is not stored and never
 // will be, and KindUnknown if it may be.
 func (n *Node) Submit(ctx context.Context, j *work.Job) error {
-	return n.write(ctx, store.Record{Key: j.ID, Value: work.Encode(j)})
+	return n.storeJobRecord(ctx, store.Record{Key: j.ID, Value: work.Encode(j)})
 }
 
 // errIsolated is the error of Submit and Cancel while this VM is isolated. In that case
@@ -32,11 +32,11 @@
 
 // Cancel stores the cancellation of a job. It returns the same errors as Submit.
 func (n *Node) Cancel(ctx context.Context, id string) error {
-	return n.write(ctx, store.Record{Key: id + cancelSuffix, Value: []byte{1}})
+	return n.storeJobRecord(ctx, store.Record{Key: id + cancelKeySuffix, Value: []byte{1}})
 }
 
-// write stores a record, unless this VM is isolated.
-func (n *Node) write(ctx context.Context, r store.Record) error {
+// storeJobRecord stores a record, unless this VM is isolated.
+func (n *Node) storeJobRecord(ctx context.Context, r store.Record) error {
 	if n.isolation.isolated.Load() {
 		return errIsolated
 	}
--- a/internal/node/entryvm/keepers_test.go
+++ b/internal/node/entryvm/keepers_test.go
@@ -47,17 +47,17 @@
 			f.addLargeFleet()
 			leader := f.leaderIndex()
 			survivor := (leader + 3) % 4
-			const jobs = 40
-			for i := range jobs {
+			const jobCount = 40
+			for i := range jobCount {
 				is.NoErr(f.submit(f.nodes[survivor], fmt.Sprintf("job-%d", i)))
 			}
-			for i := range jobs {
+			for i := range jobCount {
 				f.awaitState(f.nodes[survivor], fmt.Sprintf("job-%d", i), work.Running)
 			}
 			for _, i := range sc.closed(leader) {
 				f.nodes[i].Close()
 			}
-			for i := range jobs {
+			for i := range jobCount {
 				f.awaitState(f.nodes[survivor], fmt.Sprintf("job-%d", i), work.Completed)
 				for k := range 2 {
 					task := firstTask(fmt.Sprintf("job-%d", i))
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -50,18 +50,18 @@
 	// restoreTimeout limits how long a new leader may take to read the stored state. If
 	// it takes longer, it steps down so that another VM can lead.
 	restoreTimeout = 12 * time.Second
-	// handOverToFitterDelay is how long a leader leads before it hands over to a much
+	// handOverToFitterVMDelay is how long a leader leads before it hands over to a much
 	// fitter VM. handOverWithoutStoreDelay is how long a leader must have led without a
 	// direct connection to the store before it hands over: if it relays every record
 	// through another VM, jobs of several steps are delayed.
-	handOverToFitterDelay     = 3 * time.Second
+	handOverToFitterVMDelay   = 3 * time.Second
 	handOverWithoutStoreDelay = 700 * time.Millisecond
 	// adviceReplyMargin is added to the adviser's timeout to get the time for which the
 	// leader waits until another VM returns the advice. It covers the round trip and
 	// delays on a busy VM.
 	adviceReplyMargin = 250 * time.Millisecond
-	// cancelSuffix follows the job ID in the key of a cancellation record.
-	cancelSuffix = "/cancel"
+	// cancelKeySuffix follows the job ID in the key of a cancellation record.
+	cancelKeySuffix = "/cancel"
 )
 
 // leader schedules the jobs of the cell while this VM holds the claim with the highest
@@ -80,10 +80,10 @@
 	mutex     sync.Mutex
 	scheduler *scheduler.Scheduler
 	sessions  map[backend.Life]*workerSession
-	// commitDone is closed and replaced by a new channel after each commit.
-	commitDone chan struct{}
-	// lastJobsRead is when the last successful read of each job partition began.
-	lastJobsRead []time.Time
+	// nextCommitDone is closed and replaced by a new channel after each commit.
+	nextCommitDone chan struct{}
+	// jobsReadStartTimes holds when the last successful read of each job partition began.
+	jobsReadStartTimes []time.Time
 	// jobPartitions maps a job ID to a bit mask of the job partitions that contain
 	// records of the job.
 	jobPartitions map[string]uint64
@@ -114,8 +114,8 @@
 		node: n, epoch: epoch, ctx: ctx, stop: stop,
 		commitSignal: make(chan struct{}, 1), schedulingSignal: make(chan struct{}, 1), renewClaimSignal: make(chan struct{}, 1),
 		scheduler: scheduler.New(n.settings.Timing, epoch, now(), time.Now(), n.log),
-		sessions:  map[backend.Life]*workerSession{}, commitDone: make(chan struct{}),
-		lastJobsRead: make([]time.Time, n.settings.Partitions), jobPartitions: map[string]uint64{},
+		sessions:  map[backend.Life]*workerSession{}, nextCommitDone: make(chan struct{}),
+		jobsReadStartTimes: make([]time.Time, n.settings.Partitions), jobPartitions: map[string]uint64{},
 		registrations: map[string]backend.Registration{}, lastHeartbeatAnswer: map[string]time.Time{}, vmReachesStore: map[string]bool{}, outdatedVMs: newOutdatedVMs(), handOverTimerStart: now(),
 	}
 }
@@ -262,9 +262,9 @@
 			s.Tick(at)
 			s.SetAdviceVMs(l.reachableVMs(at))
 		})
-		if successors := l.successors(now()); len(successors) > 0 {
+		if successors := l.handOverCandidates(now()); len(successors) > 0 {
 			l.handOverTimerStart = now() // The next attempt to hand over follows only after a delay.
-			l.node.election.handOver(l.ctx, successors)
+			l.node.election.handOverLeadership(l.ctx, successors)
 		}
 	}
 }
--- a/internal/node/entryvm/members.go
+++ b/internal/node/entryvm/members.go
@@ -55,13 +55,13 @@
 // run registers this VM and applies the records of the others as they are stored, until
 // ctx is done.
 func (m *memberList) run(ctx context.Context) {
-	go m.register(ctx)
+	go m.registerThisVM(ctx)
 	followTopic(ctx, m.node, store.VMs, fixedWait(longPollWait), m.applyRecords)
 }
 
-// register stores the record of this VM, so that the other VMs can call it. It retries
+// registerThisVM stores the record of this VM, so that the other VMs can call it. It retries
 // until that succeeds.
-func (m *memberList) register(ctx context.Context) {
+func (m *memberList) registerThisVM(ctx context.Context) {
 	self, _ := m.findByName(m.node.settings.Name)
 	value, _ := json.Marshal(self)
 	for {
--- a/internal/node/entryvm/node.go
+++ b/internal/node/entryvm/node.go
@@ -45,8 +45,8 @@
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// defaultPartitions is the number of job partitions if Settings.Partitions is 0.
-const defaultPartitions = 4
+// defaultPartitionCount is the number of job partitions if Settings.Partitions is 0.
+const defaultPartitionCount = 4
 
 // Settings configures a Node.
 type Settings struct {
@@ -62,7 +62,7 @@
 	ListenAddress netip.AddrPort
 	// Partitions is the number of job partitions: the partitions of the topic
 	// store.Jobs that jobs are written to. It must be the same on every VM; 0 means
-	// defaultPartitions. A partition handles one append at a time.
+	// defaultPartitionCount. A partition handles one append at a time.
 	Partitions int
 	// Timing holds the durations that the scheduler uses, such as those of leases.
 	Timing scheduler.Timing
@@ -120,7 +120,7 @@
 	}
 	s.ListenAddress = l.Addr().(*net.TCPAddr).AddrPort()
 	if s.Partitions == 0 {
-		s.Partitions = defaultPartitions
+		s.Partitions = defaultPartitionCount
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{log: log, measures: measures, settings: s, dependencies: p, peerClient: link.NewClient(rpcServiceName), listener: l, ctx: ctx, cancel: cancel}
@@ -165,7 +165,7 @@
 	n.mutex.Unlock()
 	n.log.Info("drain_started", "leading", l != nil)
 	if l != nil {
-		n.election.handOver(ctx, n.members.otherMembers())
+		n.election.handOverLeadership(ctx, n.members.otherMembers())
 	}
 }
 
--- a/internal/node/entryvm/protocol.go
+++ b/internal/node/entryvm/protocol.go
@@ -141,7 +141,7 @@
 
 // Heartbeat records a heartbeat of the leader.
 func (h *rpcHandler) Heartbeat(a HeartbeatArgs, r *HeartbeatReply) error {
-	*r = HeartbeatReply{Epoch: h.node.election.recordHeartbeat(a), Version: h.node.configuration.version(), ReachesStore: h.node.store.reachableFor(now()) > 0}
+	*r = HeartbeatReply{Epoch: h.node.election.recordHeartbeat(a), Version: h.node.configuration.currentVersion(), ReachesStore: h.node.store.reachableFor(now()) > 0}
 	return nil
 }
 
@@ -197,7 +197,7 @@
 
 // Table applies a configuration that the leader sends.
 func (h *rpcHandler) Table(a ConfigurationArgs, _ *Nothing) error {
-	if a.Version <= h.node.configuration.version() {
+	if a.Version <= h.node.configuration.currentVersion() {
 		return nil
 	}
 	text, err := decompress(a.Text)
--- a/internal/node/entryvm/relay.go
+++ b/internal/node/entryvm/relay.go
@@ -36,10 +36,10 @@
 	// partitionCheckTimeout limits the check whether any of several partitions answers
 	// after failed appends.
 	partitionCheckTimeout = 300 * time.Millisecond
-	// appendFailuresUntilCheck is the number of consecutive direct appends without an
+	// appendFailuresUntilPartitionCheck is the number of consecutive direct appends without an
 	// answer after which the VM checks whether it still reaches the store. A single one
 	// may be due to one lost message.
-	appendFailuresUntilCheck = 2
+	appendFailuresUntilPartitionCheck = 2
 	// relayedEmptyReadPause is the longest pause after a relayed read that returned no
 	// records. The pause replaces the long poll of a direct read.
 	relayedEmptyReadPause = 300 * time.Millisecond
@@ -112,7 +112,7 @@
 }
 
 // recordAppendResult updates the metrics, the average latency and the failure count
-// with the result of a direct append. After appendFailuresUntilCheck consecutive
+// with the result of a direct append. After appendFailuresUntilPartitionCheck consecutive
 // failures, or one refusal, it starts to check whether the store is unreachable.
 func (s *relayedStore) recordAppendResult(ctx context.Context, err error, took time.Duration) {
 	if ctx.Err() == context.Canceled {
@@ -128,7 +128,7 @@
 	if storeErrorKind(err) == store.KindUnknown && took >= minAppendTimeout {
 		s.appendLatency.Store(min(2*max(s.appendLatency.Load(), int64(minAppendTimeout/appendTimeoutFactor)), int64(maxAppendTimeout/appendTimeoutFactor)))
 	}
-	if s.consecutiveFailures.Add(1) < appendFailuresUntilCheck && storeErrorKind(err) == store.KindUnknown {
+	if s.consecutiveFailures.Add(1) < appendFailuresUntilPartitionCheck && storeErrorKind(err) == store.KindUnknown {
 		return
 	}
 	if !s.unreachable.Load() && s.checkingPartitions.CompareAndSwap(false, true) {
--- a/internal/node/entryvm/session.go
+++ b/internal/node/entryvm/session.go
@@ -23,10 +23,10 @@
 	holdReplyMargin = 250*time.Millisecond + keeper.ForwardingMargin
 	// holdRetryPause is the pause after a failed hold.
 	holdRetryPause = 100 * time.Millisecond
-	// fencedHoldPause is the pause after a worker has refused a hold because of its
+	// fencedHoldRetryPause is the pause after a worker has refused a hold because of its
 	// fencing token. Meanwhile the leader renews its claim to find out whether it was
 	// superseded.
-	fencedHoldPause = 300 * time.Millisecond
+	fencedHoldRetryPause = 300 * time.Millisecond
 	// maxEndsStoredWait limits how long the next hold is delayed until the run ends that
 	// the worker has reported are stored. After that the hold is sent without
 	// acknowledging them, so that it extends the lease in time.
@@ -111,8 +111,8 @@
 		}
 		s.leader.updateScheduler(func(c *scheduler.Scheduler, at time.Time) { c.HoldFailed(s.life, kind, at) })
 		if kind == backend.KindFenced {
-			s.leader.renewClaim()
-			sleep(s.ctx, fencedHoldPause)
+			s.leader.signalClaimRenewal()
+			sleep(s.ctx, fencedHoldRetryPause)
 		} else if !s.wasHoldInterrupted() {
 			sleep(s.ctx, holdRetryPause)
 		}
--- a/internal/node/entryvm/tail.go
+++ b/internal/node/entryvm/tail.go
@@ -20,7 +20,7 @@
 		if len(r.Value) == 0 {
 			continue // An empty value marks a record that a leader has deleted.
 		}
-		if id, ok := strings.CutSuffix(r.Key, cancelSuffix); ok {
+		if id, ok := strings.CutSuffix(r.Key, cancelKeySuffix); ok {
 			cancelled = append(cancelled, id)
 			continue
 		}
@@ -56,7 +56,7 @@
 		l.updateScheduler(func(s *scheduler.Scheduler, at time.Time) {
 			l.recordJobPartitions(part, records)
 			l.applyJobRecords(s, records, nil, at)
-			l.lastJobsRead[part] = begun
+			l.jobsReadStartTimes[part] = begun
 		})
 	}
 }
@@ -65,7 +65,7 @@
 // records, so that they can be deleted there later. The caller must hold the mutex.
 func (l *leader) recordJobPartitions(part int, records []store.Record) {
 	for i := range records {
-		if id := strings.TrimSuffix(records[i].Key, cancelSuffix); len(records[i].Value) > 0 {
+		if id := strings.TrimSuffix(records[i].Key, cancelKeySuffix); len(records[i].Value) > 0 {
 			l.jobPartitions[id] |= 1 << part
 		}
 	}
@@ -153,7 +153,7 @@
 // jobsUpToDate reports whether every job partition was read within maxJobsReadAge. The
 // caller must hold the mutex.
 func (l *leader) jobsUpToDate() bool {
-	for _, t := range l.lastJobsRead {
+	for _, t := range l.jobsReadStartTimes {
 		if now().Sub(t) >= maxJobsReadAge {
 			return false
 		}
--- a/internal/node/entryvm/takeover.go
+++ b/internal/node/entryvm/takeover.go
@@ -62,8 +62,8 @@
 		for id, p := range progress {
 			s.RestoreEnded(id, p, at)
 		}
-		for part := range l.lastJobsRead {
-			l.lastJobsRead[part] = begun
+		for part := range l.jobsReadStartTimes {
+			l.jobsReadStartTimes[part] = begun
 		}
 		l.restored = true
 	})
--- a/internal/node/entryvm/writer.go
+++ b/internal/node/entryvm/writer.go
@@ -81,24 +81,24 @@
 	case <-p.stored:
 		return nil
 	case <-p.failed:
-		return w.withdraw(p)
+		return w.withdrawWrite(p)
 	case <-ctx.Done():
-		return w.withdraw(p)
+		return w.withdrawWrite(p)
 	}
 }
 
-// timeForAppend returns how much time must be left until a caller's deadline for an
+// requiredTimeForAppend returns how much time must be left until a caller's deadline for an
 // append to be retried.
-func (w *jobWriter) timeForAppend() time.Duration {
+func (w *jobWriter) requiredTimeForAppend() time.Duration {
 	if w.node.store.unreachable.Load() {
 		return relayedTimeForAppend
 	}
 	return max(2*time.Duration(w.node.store.appendLatency.Load()), minTimeForAppend)
 }
 
-// withdraw stops trying to store a record. It returns nil if the record is already
+// withdrawWrite stops trying to store a record. It returns nil if the record is already
 // stored, and otherwise the error for the caller.
-func (w *jobWriter) withdraw(p *pendingWrite) error {
+func (w *jobWriter) withdrawWrite(p *pendingWrite) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	select {
@@ -118,9 +118,9 @@
 	return fault.Newf("store_job", KindNotStored, "the store has not accepted the record in time")
 }
 
-// failAll makes write return an error for all pending records, so that their callers
+// failPendingWrites makes write return an error for all pending records, so that their callers
 // can use another VM.
-func (w *jobWriter) failAll() {
+func (w *jobWriter) failPendingWrites() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for _, p := range w.pendingWrites {
@@ -155,7 +155,7 @@
 func (w *jobWriter) nextBatch() []*pendingWrite {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	margin := w.timeForAppend()
+	margin := w.requiredTimeForAppend()
 	w.pendingWrites = slices.DeleteFunc(w.pendingWrites, func(p *pendingWrite) bool {
 		late := p.attempted && time.Until(p.deadline) < margin
 		if late {
--- a/internal/node/keeper/assignment.go
+++ b/internal/node/keeper/assignment.go
@@ -68,7 +68,7 @@
 }
 
 // selectKeepers sorts the entry VMs of a failure domain by descending fitness and
-// returns the first ones, at most limit, that reach minKeeperFitnessShare.
+// returns the first ones, at most limit, that reach minFitnessRelativeToBest.
 func selectKeepers(list []hashedMember, limit int) []hashedMember {
 	slices.SortFunc(list, func(a, b hashedMember) int {
 		return cmp.Or(cmp.Compare(b.member.Fitness, a.member.Fitness), cmp.Compare(a.hash, b.hash))
--- a/internal/node/keeper/dispatcher.go
+++ b/internal/node/keeper/dispatcher.go
@@ -20,9 +20,9 @@
 	ForwardingMargin = 300 * time.Millisecond
 	// batchConfirmTimeout is how long the leader waits until a keeper confirms a batch.
 	// A keeper that does not confirm one in time is sent no calls for
-	// failedKeeperPause.
-	batchConfirmTimeout = 400 * time.Millisecond
-	failedKeeperPause   = 2 * time.Second
+	// failedKeeperRetryDelay.
+	batchConfirmTimeout    = 400 * time.Millisecond
+	failedKeeperRetryDelay = 2 * time.Second
 )
 
 // Dispatcher runs on the leader: it sends calls to keepers and passes each answer to the
@@ -88,7 +88,7 @@
 
 // usableKeeper returns the address of the keeper through which to call a worker. ok is
 // false if the leader must call the worker directly, because the worker has no keeper
-// or its keeper failed to confirm a batch less than failedKeeperPause ago.
+// or its keeper failed to confirm a batch less than failedKeeperRetryDelay ago.
 func (d *Dispatcher) usableKeeper(r *backend.Registration) (address netip.AddrPort, ok bool) {
 	m, ok := d.assignment.Load().KeeperFor(r.Zone, r.Life.ID)
 	if !ok {
@@ -97,7 +97,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	at, failed := d.batchFailedAt[m.Address]
-	return m.Address, !failed || time.Since(at) > failedKeeperPause
+	return m.Address, !failed || time.Since(at) > failedKeeperRetryDelay
 }
 
 // call makes a call through a keeper and waits for the worker's answer. The error kind
