--- a/internal/node/entryvm/election.go
+++ b/internal/node/entryvm/election.go
@@ -67,8 +67,8 @@
 	// claimsEndOffset is the end offset of the topic store.Claims, or -1 until it is
 	// known.
 	claimsEndOffset int64
-	// lastHeartbeat is when the last heartbeat of the leader arrived.
-	lastHeartbeat time.Time
+	// lastHeartbeatAt is when the last heartbeat of the leader arrived.
+	lastHeartbeatAt time.Time
 	// leaderWaitStart is the time from which the silence of the leader is counted. It
 	// is reset when a heartbeat arrives or a new claim is read, and by postponeClaim.
 	leaderWaitStart time.Time
@@ -136,8 +136,8 @@
 		if m, known := e.node.members.findByName(a.Leader); known && m.Domain != e.node.settings.Domain {
 			e.node.isolation.recordContact()
 		}
-		e.lastHeartbeat = now()
-		e.leaderWaitStart = e.lastHeartbeat
+		e.lastHeartbeatAt = now()
+		e.leaderWaitStart = e.lastHeartbeatAt
 	}
 	return e.highestClaim.Epoch
 }
@@ -147,7 +147,7 @@
 func (e *election) heartbeatStatus() LastHeartbeatReply {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return LastHeartbeatReply{Epoch: e.highestClaim.Epoch, Ago: now().Sub(e.lastHeartbeat)}
+	return LastHeartbeatReply{Epoch: e.highestClaim.Epoch, Ago: now().Sub(e.lastHeartbeatAt)}
 }
 
 // knownLeader returns the claim of the current leader, and false if no leader is
--- a/internal/node/entryvm/heartbeats.go
+++ b/internal/node/entryvm/heartbeats.go
@@ -101,8 +101,8 @@
 	maxConcurrentConfigurationSends = 6
 )
 
-// outdatedVMs tracks the entry VMs whose configuration is older than the leader's.
-type outdatedVMs struct {
+// outdatedVMTracker tracks the entry VMs whose configuration is older than the leader's.
+type outdatedVMTracker struct {
 	// outdatedSince maps the name of each outdated VM to the time at which the leader
 	// first noticed that its configuration is outdated.
 	outdatedSince map[string]time.Time
@@ -110,7 +110,9 @@
 	sendingTo map[string]bool
 }
 
-func newOutdatedVMs() *outdatedVMs { return &outdatedVMs{map[string]time.Time{}, map[string]bool{}} }
+func newOutdatedVMTracker() *outdatedVMTracker {
+	return &outdatedVMTracker{map[string]time.Time{}, map[string]bool{}}
+}
 
 // shouldSend records whether a VM is outdated and reports whether the configuration
 // must be sent to it now. If so, it adds the VM to sendingTo.
@@ -120,7 +122,7 @@
 // text would cross its link again and again. The leader therefore does not send it to a
 // VM that may still be reading it or is already receiving it, and sends it to at most
 // maxConcurrentConfigurationSends VMs at a time.
-func (o *outdatedVMs) shouldSend(name string, outdated bool, at time.Time) bool {
+func (o *outdatedVMTracker) shouldSend(name string, outdated bool, at time.Time) bool {
 	if !outdated {
 		delete(o.outdatedSince, name)
 		return false
--- a/internal/node/entryvm/heartbeats_test.go
+++ b/internal/node/entryvm/heartbeats_test.go
@@ -26,7 +26,7 @@
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			is := is.New(t)
-			o := newOutdatedVMs()
+			o := newOutdatedVMTracker()
 			at := time.Unix(1_700_000_000, 0)
 			sends := 0
 			for _, outdated := range sc.outdated {
@@ -45,7 +45,7 @@
 // the leader's network link.
 func TestFewLaggardsAreToldAtATime(t *testing.T) {
 	is := is.New(t)
-	o := newOutdatedVMs()
+	o := newOutdatedVMTracker()
 	sends := 0
 	for beat := range 8 {
 		for i := range 100 {
--- a/internal/node/entryvm/isolation.go
+++ b/internal/node/entryvm/isolation.go
@@ -29,21 +29,21 @@
 type isolationDetector struct {
 	node     *Node
 	isolated atomic.Bool
-	// lastContact is when this VM last received a message from the store or from a VM
+	// lastContactAt is when this VM last received a message from the store or from a VM
 	// of another domain, in Unix nanoseconds.
-	lastContact atomic.Int64
+	lastContactAt atomic.Int64
 }
 
 // recordContact records that a message from the store or from a VM of another domain
 // has arrived.
-func (i *isolationDetector) recordContact() { i.lastContact.Store(now().UnixNano()) }
+func (i *isolationDetector) recordContact() { i.lastContactAt.Store(now().UnixNano()) }
 
 // run checks for isolation until ctx is done. When the VM becomes isolated, all
 // pending job records fail at once, so that their callers can use another VM.
 func (i *isolationDetector) run(ctx context.Context) {
 	i.recordContact()
 	for sleep(ctx, isolationCheckInterval) {
-		silent := now().Sub(time.Unix(0, i.lastContact.Load())) > maxContactAge
+		silent := now().Sub(time.Unix(0, i.lastContactAt.Load())) > maxContactAge
 		isolated := silent && !i.reachesOtherVMs(ctx) && !i.reachesStore()
 		if i.isolated.Swap(isolated) == isolated {
 			continue
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -105,7 +105,7 @@
 	lastHeartbeatAnswer map[string]time.Time
 	vmReachesStore      map[string]bool
 	// outdatedVMs tracks the entry VMs whose configuration is older than the leader's.
-	outdatedVMs *outdatedVMs
+	outdatedVMs *outdatedVMTracker
 }
 
 func newLeader(ctx context.Context, n *Node, epoch int64) *leader {
@@ -116,7 +116,7 @@
 		scheduler: scheduler.New(n.settings.Timing, epoch, now(), time.Now(), n.log),
 		sessions:  map[backend.Life]*workerSession{}, nextCommitDone: make(chan struct{}),
 		jobsReadStartTimes: make([]time.Time, n.settings.Partitions), jobPartitions: map[string]uint64{},
-		registrations: map[string]backend.Registration{}, lastHeartbeatAnswer: map[string]time.Time{}, vmReachesStore: map[string]bool{}, outdatedVMs: newOutdatedVMs(), handOverTimerStart: now(),
+		registrations: map[string]backend.Registration{}, lastHeartbeatAnswer: map[string]time.Time{}, vmReachesStore: map[string]bool{}, outdatedVMs: newOutdatedVMTracker(), handOverTimerStart: now(),
 	}
 }
 
--- a/internal/node/entryvm/writer.go
+++ b/internal/node/entryvm/writer.go
@@ -35,9 +35,9 @@
 // all of them and ignores a record that it already knows.
 type jobWriter struct {
 	node *Node
-	// recordAdded wakes run after a record was added to pendingWrites.
-	recordAdded chan struct{}
-	mutex       sync.Mutex
+	// recordAddedSignal wakes run after a record was added to pendingWrites.
+	recordAddedSignal chan struct{}
+	mutex             sync.Mutex
 	// pendingWrites holds the records that are not stored yet, oldest first.
 	pendingWrites []*pendingWrite
 	// currentPartition is the partition that the next append goes to.
@@ -63,7 +63,7 @@
 }
 
 func newJobWriter(n *Node) *jobWriter {
-	return &jobWriter{node: n, recordAdded: make(chan struct{}, 1), currentPartition: int(xxhash.Sum64String(n.settings.Name) % uint64(n.settings.Partitions))}
+	return &jobWriter{node: n, recordAddedSignal: make(chan struct{}, 1), currentPartition: int(xxhash.Sum64String(n.settings.Name) % uint64(n.settings.Partitions))}
 }
 
 // write stores a record. The error has KindNotStored if the record is not stored and
@@ -76,7 +76,7 @@
 	w.mutex.Lock()
 	w.pendingWrites = append(w.pendingWrites, p)
 	w.mutex.Unlock()
-	trySignal(w.recordAdded)
+	trySignal(w.recordAddedSignal)
 	select {
 	case <-p.stored:
 		return nil
@@ -135,7 +135,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.recordAdded:
+		case <-w.recordAddedSignal:
 		}
 		for ctx.Err() == nil {
 			batch := w.nextBatch()
--- a/internal/node/keeper/assignment.go
+++ b/internal/node/keeper/assignment.go
@@ -96,8 +96,8 @@
 	return m, ok
 }
 
-// hasKeeper reports whether the VM at the given address is a keeper.
-func (a *Assignment) hasKeeper(address netip.AddrPort) bool {
+// hasKeeperAt reports whether the VM at the given address is a keeper.
+func (a *Assignment) hasKeeperAt(address netip.AddrPort) bool {
 	for _, list := range a.keepersByDomain {
 		if slices.ContainsFunc(list, func(k hashedMember) bool { return k.member.Address == address }) {
 			return true
--- a/internal/node/keeper/dispatcher.go
+++ b/internal/node/keeper/dispatcher.go
@@ -74,7 +74,7 @@
 	d.mutex.Lock()
 	var removed []netip.AddrPort
 	for k := range d.batchers {
-		if !a.hasKeeper(k) {
+		if !a.hasKeeperAt(k) {
 			delete(d.batchers, k)
 			delete(d.batchFailedAt, k)
 			removed = append(removed, k)
