--- a/internal/node/entryvm/heartbeats.go
+++ b/internal/node/entryvm/heartbeats.go
@@ -12,21 +12,21 @@
 	"github.com/almondpost/almondpost/internal/peer/link"
 )
 
-// successors returns the VMs that should lead instead of this one, if any. It considers
+// handOverCandidates returns the VMs that should lead instead of this one, if any. It considers
 // only VMs that answer heartbeats and reach the store directly. If this VM has not
 // reached the store directly for handOverWithoutStoreDelay, it returns all of them.
 // Otherwise it returns those that are much fitter than this VM, but only after
-// handOverToFitterDelay. Both delays are also counted from handOverTimerStart.
-func (l *leader) successors(at time.Time) []member {
+// handOverToFitterVMDelay. Both delays are also counted from handOverTimerStart.
+func (l *leader) handOverCandidates(at time.Time) []member {
 	l.mutex.Lock()
 	names := l.reachableVMs(at)
 	vmReachesStore := maps.Clone(l.vmReachesStore)
 	l.mutex.Unlock()
-	others := slices.DeleteFunc(l.node.members.others(), func(m member) bool { return !slices.Contains(names, m.Name) || !vmReachesStore[m.Name] })
+	others := slices.DeleteFunc(l.node.members.otherMembers(), func(m member) bool { return !slices.Contains(names, m.Name) || !vmReachesStore[m.Name] })
 	switch sinceTimerStart := at.Sub(l.handOverTimerStart); {
 	case l.node.store.reachableFor(at) < -handOverWithoutStoreDelay && sinceTimerStart > handOverWithoutStoreDelay:
 		return others
-	case sinceTimerStart > handOverToFitterDelay:
+	case sinceTimerStart > handOverToFitterVMDelay:
 		return slices.DeleteFunc(others, func(m member) bool { return m.Fitness <= muchFitterRatio*l.node.settings.Fitness })
 	}
 	return nil
@@ -53,14 +53,14 @@
 // Without one, another VM may have become leader, and this one reports only stored
 // states.
 func (l *leader) hasQuorum(at time.Time) bool {
-	others := len(l.node.members.others())
+	others := len(l.node.members.otherMembers())
 	return 2*(len(l.reachableVMs(at))-1) > others || others == 0
 }
 
 // sendHeartbeats sends heartbeats to the other entry VMs until the leader is stopped.
 func (l *leader) sendHeartbeats() {
 	for {
-		for _, m := range l.node.members.others() {
+		for _, m := range l.node.members.otherMembers() {
 			go l.sendHeartbeat(m)
 		}
 		l.node.election.recordHeartbeat(HeartbeatArgs{Epoch: l.epoch, Leader: l.node.settings.Name, Address: l.node.settings.ListenAddress})
@@ -75,7 +75,7 @@
 func (l *leader) sendHeartbeat(m member) {
 	ctx, cancel := context.WithTimeout(l.ctx, leaderTimeout)
 	defer cancel()
-	args := HeartbeatArgs{Epoch: l.epoch, Leader: l.node.settings.Name, Address: l.node.settings.ListenAddress, Version: l.node.configuration.version()}
+	args := HeartbeatArgs{Epoch: l.epoch, Leader: l.node.settings.Name, Address: l.node.settings.ListenAddress, Version: l.node.configuration.currentVersion()}
 	r, err := link.Call[HeartbeatArgs, HeartbeatReply](ctx, l.node.peerClient, m.Address, "Heartbeat", args)
 	if err != nil {
 		return
@@ -101,8 +101,8 @@
 	maxConcurrentConfigurationSends = 6
 )
 
-// outdatedVMs tracks the entry VMs whose configuration is older than the leader's.
-type outdatedVMs struct {
+// outdatedVMTracker tracks the entry VMs whose configuration is older than the leader's.
+type outdatedVMTracker struct {
 	// outdatedSince maps the name of each outdated VM to the time at which the leader
 	// first noticed that its configuration is outdated.
 	outdatedSince map[string]time.Time
@@ -110,7 +110,9 @@
 	sendingTo map[string]bool
 }
 
-func newOutdatedVMs() *outdatedVMs { return &outdatedVMs{map[string]time.Time{}, map[string]bool{}} }
+func newOutdatedVMTracker() *outdatedVMTracker {
+	return &outdatedVMTracker{map[string]time.Time{}, map[string]bool{}}
+}
 
 // shouldSend records whether a VM is outdated and reports whether the configuration
 // must be sent to it now. If so, it adds the VM to sendingTo.
@@ -120,7 +122,7 @@
 // text would cross its link again and again. The leader therefore does not send it to a
 // VM that may still be reading it or is already receiving it, and sends it to at most
 // maxConcurrentConfigurationSends VMs at a time.
-func (o *outdatedVMs) shouldSend(name string, outdated bool, at time.Time) bool {
+func (o *outdatedVMTracker) shouldSend(name string, outdated bool, at time.Time) bool {
 	if !outdated {
 		delete(o.outdatedSince, name)
 		return false
@@ -141,7 +143,7 @@
 func (l *leader) sendConfiguration(m member) {
 	ctx, cancel := context.WithTimeout(l.ctx, configurationSendTimeout)
 	defer cancel()
-	table := l.node.configuration.current()
+	table := l.node.configuration.currentTable()
 	_, err := link.Call[ConfigurationArgs, Nothing](ctx, l.node.peerClient, m.Address, "Table", ConfigurationArgs{Version: table.Version, Text: compress(table.Text)})
 	l.node.log.Info("configuration_told", "vm", m.Name, "version", table.Version, "told", err == nil)
 	l.mutex.Lock()
--- a/internal/node/entryvm/node.go
+++ b/internal/node/entryvm/node.go
@@ -45,8 +45,8 @@
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// defaultPartitions is the number of job partitions if Settings.Partitions is 0.
-const defaultPartitions = 4
+// defaultPartitionCount is the number of job partitions if Settings.Partitions is 0.
+const defaultPartitionCount = 4
 
 // Settings configures a Node.
 type Settings struct {
@@ -62,7 +62,7 @@
 	ListenAddress netip.AddrPort
 	// Partitions is the number of job partitions: the partitions of the topic
 	// store.Jobs that jobs are written to. It must be the same on every VM; 0 means
-	// defaultPartitions. A partition handles one append at a time.
+	// defaultPartitionCount. A partition handles one append at a time.
 	Partitions int
 	// Timing holds the durations that the scheduler uses, such as those of leases.
 	Timing scheduler.Timing
@@ -120,11 +120,11 @@
 	}
 	s.ListenAddress = l.Addr().(*net.TCPAddr).AddrPort()
 	if s.Partitions == 0 {
-		s.Partitions = defaultPartitions
+		s.Partitions = defaultPartitionCount
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{log: log, measures: measures, settings: s, dependencies: p, peerClient: link.NewClient(rpcServiceName), listener: l, ctx: ctx, cancel: cancel}
-	n.members = newMembers(n)
+	n.members = newMemberList(n)
 	n.store = newRelayedStore(p.Store, n)
 	n.configuration = newConfigurationWatcher(n)
 	n.writer = newJobWriter(n)
@@ -146,14 +146,14 @@
 }
 
 // Table returns the current configuration, or nil before the first one is received.
-func (n *Node) Table() *queue.Table { return n.configuration.current() }
+func (n *Node) Table() *queue.Table { return n.configuration.currentTable() }
 
 // Ready reports whether callers should be sent to this VM: it has a configuration, is
 // not isolated and is not about to stop.
 func (n *Node) Ready() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return !n.stopping && !n.isolation.isolated.Load() && n.configuration.current() != nil
+	return !n.stopping && !n.isolation.isolated.Load() && n.configuration.currentTable() != nil
 }
 
 // Drain begins a planned stop. The VM is no longer ready and, if it leads, hands the
@@ -165,7 +165,7 @@
 	n.mutex.Unlock()
 	n.log.Info("drain_started", "leading", l != nil)
 	if l != nil {
-		n.election.handOver(ctx, n.members.others())
+		n.election.handOverLeadership(ctx, n.members.otherMembers())
 	}
 }
 
--- a/internal/node/entryvm/writer.go
+++ b/internal/node/entryvm/writer.go
@@ -35,9 +35,9 @@
 // all of them and ignores a record that it already knows.
 type jobWriter struct {
 	node *Node
-	// recordAdded wakes run after a record was added to pendingWrites.
-	recordAdded chan struct{}
-	mutex       sync.Mutex
+	// recordAddedSignal wakes run after a record was added to pendingWrites.
+	recordAddedSignal chan struct{}
+	mutex             sync.Mutex
 	// pendingWrites holds the records that are not stored yet, oldest first.
 	pendingWrites []*pendingWrite
 	// currentPartition is the partition that the next append goes to.
@@ -63,7 +63,7 @@
 }
 
 func newJobWriter(n *Node) *jobWriter {
-	return &jobWriter{node: n, recordAdded: make(chan struct{}, 1), currentPartition: int(xxhash.Sum64String(n.settings.Name) % uint64(n.settings.Partitions))}
+	return &jobWriter{node: n, recordAddedSignal: make(chan struct{}, 1), currentPartition: int(xxhash.Sum64String(n.settings.Name) % uint64(n.settings.Partitions))}
 }
 
 // write stores a record. The error has KindNotStored if the record is not stored and
@@ -76,29 +76,29 @@
 	w.mutex.Lock()
 	w.pendingWrites = append(w.pendingWrites, p)
 	w.mutex.Unlock()
-	trySignal(w.recordAdded)
+	trySignal(w.recordAddedSignal)
 	select {
 	case <-p.stored:
 		return nil
 	case <-p.failed:
-		return w.withdraw(p)
+		return w.withdrawWrite(p)
 	case <-ctx.Done():
-		return w.withdraw(p)
+		return w.withdrawWrite(p)
 	}
 }
 
-// timeForAppend returns how much time must be left until a caller's deadline for an
+// requiredTimeForAppend returns how much time must be left until a caller's deadline for an
 // append to be retried.
-func (w *jobWriter) timeForAppend() time.Duration {
+func (w *jobWriter) requiredTimeForAppend() time.Duration {
 	if w.node.store.unreachable.Load() {
 		return relayedTimeForAppend
 	}
 	return max(2*time.Duration(w.node.store.appendLatency.Load()), minTimeForAppend)
 }
 
-// withdraw stops trying to store a record. It returns nil if the record is already
+// withdrawWrite stops trying to store a record. It returns nil if the record is already
 // stored, and otherwise the error for the caller.
-func (w *jobWriter) withdraw(p *pendingWrite) error {
+func (w *jobWriter) withdrawWrite(p *pendingWrite) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	select {
@@ -118,9 +118,9 @@
 	return fault.Newf("store_job", KindNotStored, "the store has not accepted the record in time")
 }
 
-// failAll makes write return an error for all pending records, so that their callers
+// failPendingWrites makes write return an error for all pending records, so that their callers
 // can use another VM.
-func (w *jobWriter) failAll() {
+func (w *jobWriter) failPendingWrites() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for _, p := range w.pendingWrites {
@@ -135,7 +135,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.recordAdded:
+		case <-w.recordAddedSignal:
 		}
 		for ctx.Err() == nil {
 			batch := w.nextBatch()
@@ -155,7 +155,7 @@
 func (w *jobWriter) nextBatch() []*pendingWrite {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	margin := w.timeForAppend()
+	margin := w.requiredTimeForAppend()
 	w.pendingWrites = slices.DeleteFunc(w.pendingWrites, func(p *pendingWrite) bool {
 		late := p.attempted && time.Until(p.deadline) < margin
 		if late {
@@ -184,7 +184,7 @@
 	defer w.mutex.Unlock()
 	for _, p := range batch {
 		p.inFlight = false
-		p.maybeStored = p.maybeStored || (err != nil && storeKind(err) != store.KindRefused)
+		p.maybeStored = p.maybeStored || (err != nil && storeErrorKind(err) != store.KindRefused)
 	}
 	if err != nil {
 		w.node.log.Info("jobs_not_stored", "records", len(batch), "partition", w.currentPartition, "error", err.Error())
--- a/internal/node/keeper/assignment.go
+++ b/internal/node/keeper/assignment.go
@@ -18,9 +18,9 @@
 	// each batch contains more calls, but the loss of a keeper interrupts calls to more
 	// workers.
 	workersPerKeeper = 40
-	// minKeeperFitnessShare is the lowest fitness that a keeper may have, as a fraction
+	// minFitnessRelativeToBest is the lowest fitness that a keeper may have, as a fraction
 	// of the highest fitness in its failure domain.
-	minKeeperFitnessShare = 0.5
+	minFitnessRelativeToBest = 0.5
 )
 
 // Member is an entry VM that can become a keeper.
@@ -68,12 +68,12 @@
 }
 
 // selectKeepers sorts the entry VMs of a failure domain by descending fitness and
-// returns the first ones, at most limit, that reach minKeeperFitnessShare.
+// returns the first ones, at most limit, that reach minFitnessRelativeToBest.
 func selectKeepers(list []hashedMember, limit int) []hashedMember {
 	slices.SortFunc(list, func(a, b hashedMember) int {
 		return cmp.Or(cmp.Compare(b.member.Fitness, a.member.Fitness), cmp.Compare(a.hash, b.hash))
 	})
-	count := slices.IndexFunc(list, func(k hashedMember) bool { return k.member.Fitness < minKeeperFitnessShare*list[0].member.Fitness })
+	count := slices.IndexFunc(list, func(k hashedMember) bool { return k.member.Fitness < minFitnessRelativeToBest*list[0].member.Fitness })
 	if count < 0 {
 		count = len(list)
 	}
@@ -96,8 +96,8 @@
 	return m, ok
 }
 
-// hasKeeper reports whether the VM at the given address is a keeper.
-func (a *Assignment) hasKeeper(address netip.AddrPort) bool {
+// hasKeeperAt reports whether the VM at the given address is a keeper.
+func (a *Assignment) hasKeeperAt(address netip.AddrPort) bool {
 	for _, list := range a.keepersByDomain {
 		if slices.ContainsFunc(list, func(k hashedMember) bool { return k.member.Address == address }) {
 			return true
