--- a/internal/decide/allocator/allocator.go
+++ b/internal/decide/allocator/allocator.go
@@ -220,7 +220,7 @@
 		return err
 	}
 	for _, r := range running {
-		a.dropWaiting(r.Attempt)
+		a.dropWaitingTask(r.Attempt)
 		err := a.ledger.Restore(name, ledger.Reservation{
 			Attempt: r.Attempt, Size: r.Size, Plan: r.Plan, ClassRank: r.Class.Rank(), Preemptible: r.Repeatable,
 		})
@@ -258,7 +258,7 @@
 		}
 	}
 	for _, r := range out {
-		a.dropWaiting(r.Task.Attempt)
+		a.dropWaitingTask(r.Task.Attempt)
 	}
 	return out
 }
@@ -277,7 +277,7 @@
 		out = append(out, DroppedTask{Task: i.Value, Reason: KindDraining})
 	}
 	for _, r := range out {
-		a.dropWaiting(r.Task.Attempt)
+		a.dropWaitingTask(r.Task.Attempt)
 	}
 	return out
 }
@@ -292,7 +292,7 @@
 		return nil, err
 	}
 	if len(a.waitingByAttempt) >= a.limits.Waiting {
-		if shed = a.shedLessUrgent(t.Class.Rank()); shed == nil {
+		if shed = a.dropLessUrgentTask(t.Class.Rank()); shed == nil {
 			return nil, fault.Newf("enqueue", KindQueueFull, "%d tasks are waiting", len(a.waitingByAttempt))
 		}
 	}
@@ -348,11 +348,11 @@
 	return q, nil
 }
 
-// shedLessUrgent drops and returns a waiting task of a less urgent class than
+// dropLessUrgentTask drops and returns a waiting task of a less urgent class than
 // the one with this rank, or returns nil when there is none. It takes the
 // newest task of the least urgent class, from the plan with the most waiting
 // tasks of that class.
-func (a *Allocator) shedLessUrgent(rank int) *DroppedTask {
+func (a *Allocator) dropLessUrgentTask(rank int) *DroppedTask {
 	for c := len(plan.Classes) - 1; c > rank; c-- {
 		var longest *planQueues
 		for _, q := range a.activeQueues {
@@ -362,16 +362,16 @@
 		}
 		if longest != nil {
 			t := longest.queueByClass[c].Tail().Value
-			a.dropWaiting(t.Attempt)
+			a.dropWaitingTask(t.Attempt)
 			return &DroppedTask{Task: t, Reason: KindShed}
 		}
 	}
 	return nil
 }
 
-// dropWaiting removes an attempt from its queue and returns its task, or nil
+// dropWaitingTask removes an attempt from its queue and returns its task, or nil
 // when the attempt is not waiting.
-func (a *Allocator) dropWaiting(attempt string) *Task {
+func (a *Allocator) dropWaitingTask(attempt string) *Task {
 	i := a.waitingByAttempt[attempt]
 	if i == nil {
 		return nil
@@ -383,7 +383,7 @@
 
 // Cancel drops a waiting task in constant time and returns it, or nil when the
 // attempt is not waiting.
-func (a *Allocator) Cancel(attempt string) *Task { return a.dropWaiting(attempt) }
+func (a *Allocator) Cancel(attempt string) *Task { return a.dropWaitingTask(attempt) }
 
 // IsWaiting reports whether an attempt is in a waiting queue.
 func (a *Allocator) IsWaiting(attempt string) bool { return a.waitingByAttempt[attempt] != nil }
--- a/internal/decide/allocator/reclaim.go
+++ b/internal/decide/allocator/reclaim.go
@@ -27,17 +27,17 @@
 			if head == nil || q.blockedHeadByClass[c] != head {
 				continue
 			}
-			out = append(out, a.preemptForHead(q, c, head)...)
+			out = append(out, a.preemptForQueueHead(q, c, head)...)
 		}
 	}
 	return out
 }
 
-// preemptForHead returns the preemptions that free capacity for the head of a
+// preemptForQueueHead returns the preemptions that free capacity for the head of a
 // class's queue, and marks the attempts as preempted. It returns nil when
 // maxPreemptionsPerPlan is reached, or when the plan has as many pending
 // preemptions as tasks in this queue.
-func (a *Allocator) preemptForHead(q *planQueues, rank int, head *admission.Item[*Task]) []Preemption {
+func (a *Allocator) preemptForQueueHead(q *planQueues, rank int, head *admission.Item[*Task]) []Preemption {
 	if a.pendingPreemptionsByPlan[q.planName] >= min(maxPreemptionsPerPlan, q.queueByClass[rank].Len()) {
 		return nil
 	}
--- a/internal/decide/ejection/ejection.go
+++ b/internal/decide/ejection/ejection.go
@@ -109,7 +109,7 @@
 		}
 		return
 	}
-	if !t.succeedsElsewhere(name, kind) {
+	if !t.kindSucceedsOnOtherWorkers(name, kind) {
 		return
 	}
 	w.consecutiveFailures++
@@ -117,15 +117,15 @@
 	case w.state == HalfOpen:
 		w.backoff = min(2*w.backoff, maxBackoff)
 		w.state, w.openUntil = Open, now.Add(w.backoff)
-	case w.state == Closed && w.consecutiveFailures >= failuresToEject && t.mayEject():
+	case w.state == Closed && w.consecutiveFailures >= failuresToEject && t.canEjectAnotherWorker():
 		w.state, w.openUntil = Open, now.Add(w.backoff)
 	}
 }
 
-// succeedsElsewhere reports whether a kind of task usually succeeds on the
+// kindSucceedsOnOtherWorkers reports whether a kind of task usually succeeds on the
 // other workers. If it fails there too, the task is at fault and not the
 // worker.
-func (t *Tracker) succeedsElsewhere(name, kind string) bool {
+func (t *Tracker) kindSucceedsOnOtherWorkers(name, kind string) bool {
 	sum, n := 0.0, 0
 	for other, w := range t.workers {
 		if k := w.successRateByKind[kind]; other != name && k != nil {
@@ -136,10 +136,10 @@
 	return n > 0 && sum/float64(n) > healthySuccessRate
 }
 
-// mayEject reports whether one more worker may be ejected. The first worker may
+// canEjectAnotherWorker reports whether one more worker may be ejected. The first worker may
 // be ejected even if it is more than maxEjectedFraction of the workers, but
 // never if it is the only worker.
-func (t *Tracker) mayEject() bool {
+func (t *Tracker) canEjectAnotherWorker() bool {
 	ejected := 1
 	for _, w := range t.workers {
 		if w.state != Closed {
--- a/internal/decide/placement/policy.go
+++ b/internal/decide/placement/policy.go
@@ -21,10 +21,10 @@
 	ChooseFreed(l *ledger.Ledger, since uint64, size resource.Vector, spreadGroup string) (w *ledger.Worker, complete bool)
 }
 
-// spreadPenalty is added to the score of a worker for each attempt of the
+// sameRackPenalty is added to the score of a worker for each attempt of the
 // spread group on its rack. It outweighs the rest of the score, which is at
 // most 1.
-const spreadPenalty = 4.0
+const sameRackPenalty = 4.0
 
 // Balanced chooses the worker whose largest free fraction, over processors,
 // memory, slots and accelerators, is smallest once the task is placed. This fills
@@ -51,7 +51,7 @@
 
 // Score implements ledger.Scorer.
 func (b balancedScorer) Score(w *ledger.Worker) float64 {
-	return largestFreeFraction(w.Free().Sub(b.size), w.Capacity) + spreadPenalty*float64(b.ledger.SpreadCount(b.spreadGroup, w.Rack))
+	return largestFreeFraction(w.Free().Sub(b.size), w.Capacity) + sameRackPenalty*float64(b.ledger.SpreadCount(b.spreadGroup, w.Rack))
 }
 
 // largestFreeFraction returns the largest free fraction of processors, memory,
--- a/internal/state/claim/claim.go
+++ b/internal/state/claim/claim.go
@@ -27,12 +27,12 @@
 	KindUnavailable Kind = "log_unavailable"
 	// KindMalformed means that the key is not a ULID.
 	KindMalformed Kind = "key_malformed"
-	// KindExpired means that the key is older than MaxKeyAge, so that earlier
+	// KindKeyExpired means that the key is older than MaxKeyAge, so that earlier
 	// claims of it may no longer be known.
-	KindExpired Kind = "key_expired"
-	// KindFuture means that the key's timestamp is ahead of the clock by more than
+	KindKeyExpired Kind = "key_expired"
+	// KindKeyInFuture means that the key's timestamp is ahead of the clock by more than
 	// MaxClockSkew.
-	KindFuture Kind = "key_in_future"
+	KindKeyInFuture Kind = "key_in_future"
 )
 
 // Error is the error type of this package.
@@ -140,10 +140,10 @@
 	}
 	age := b.now().Sub(ulid.Time(id.Time()))
 	if age > MaxKeyAge {
-		return fault.Newf("claim", KindExpired, "key is %s old, the maximum age is %s", age.Round(time.Second), MaxKeyAge)
+		return fault.Newf("claim", KindKeyExpired, "key is %s old, the maximum age is %s", age.Round(time.Second), MaxKeyAge)
 	}
 	if age < -MaxClockSkew {
-		return fault.Newf("claim", KindFuture, "key is %s ahead of the clock", (-age).Round(time.Second))
+		return fault.Newf("claim", KindKeyInFuture, "key is %s ahead of the clock", (-age).Round(time.Second))
 	}
 	return nil
 }
@@ -263,7 +263,7 @@
 	s.recordsSincePrune = 0
 	for scoped := range s.claimByScopedKey {
 		key := scoped[len(scoped)-ulid.EncodedSize:]
-		if fault.KindOf[Kind](b.CheckKey(key)) == KindExpired {
+		if fault.KindOf[Kind](b.CheckKey(key)) == KindKeyExpired {
 			delete(s.claimByScopedKey, scoped)
 		}
 	}
--- a/internal/state/claim/claim_test.go
+++ b/internal/state/claim/claim_test.go
@@ -72,8 +72,8 @@
 		expected claim.Kind
 	}{
 		{"not a ULID", "letter-1", claim.KindMalformed},
-		{"older than the window", newKeyAt(baseTime.Add(-claim.MaxKeyAge - time.Second)), claim.KindExpired},
-		{"ahead of the clock", newKeyAt(baseTime.Add(claim.MaxClockSkew + time.Second)), claim.KindFuture},
+		{"older than the window", newKeyAt(baseTime.Add(-claim.MaxKeyAge - time.Second)), claim.KindKeyExpired},
+		{"ahead of the clock", newKeyAt(baseTime.Add(claim.MaxClockSkew + time.Second)), claim.KindKeyInFuture},
 		{"within the window", newKeyAt(baseTime.Add(-time.Hour)), ""},
 	}
 	for _, s := range scenarios {
--- a/internal/state/configuration/follow.go
+++ b/internal/state/configuration/follow.go
@@ -15,7 +15,7 @@
 	maxRecordsPerRead = 64
 	// longPollWait is how long a read waits for new records.
 	longPollWait = 10 * time.Second
-	retryPause   = 500 * time.Millisecond
+	retryDelay   = 500 * time.Millisecond
 )
 
 // Follow applies the records of the log to the store as they are appended, until
@@ -25,7 +25,7 @@
 		if err := CatchUp(ctx, log, s, longPollWait); err != nil {
 			select {
 			case <-ctx.Done():
-			case <-time.After(retryPause):
+			case <-time.After(retryDelay):
 			}
 		}
 	}
@@ -87,12 +87,12 @@
 		if _, appendErr = log.Append(ctx, Stream, [][]byte{data}); appendErr == nil {
 			break
 		}
-		if v, found := findPublished(ctx, log, id); found {
+		if v, found := findPublishedVersion(ctx, log, id); found {
 			return v, nil
 		}
-		time.Sleep(retryPause)
+		time.Sleep(retryDelay)
 	}
-	if v, found := findPublished(ctx, log, id); found {
+	if v, found := findPublishedVersion(ctx, log, id); found {
 		return v, nil
 	}
 	if appendErr != nil {
@@ -106,9 +106,9 @@
 	return v, fault.Newf("publish", KindConflict, "based on offset %d, but %s published offset %d first", baseOffset, v.Operator, v.Offset)
 }
 
-// findPublished reads the whole log. It returns the accepted version whose record
+// findPublishedVersion reads the whole log. It returns the accepted version whose record
 // has this ID, and whether there is one.
-func findPublished(ctx context.Context, log logservice.Log, id string) (Version, bool) {
+func findPublishedVersion(ctx context.Context, log logservice.Log, id string) (Version, bool) {
 	var found Version
 	s := New(func(v Version) {
 		if v.RecordID == id {
--- a/internal/state/recorder/recorder.go
+++ b/internal/state/recorder/recorder.go
@@ -18,8 +18,8 @@
 
 // The kinds of Error.
 const (
-	// KindFull means that the queue is full; the record was not appended.
-	KindFull Kind = "full"
+	// KindQueueFull means that the queue is full; the record was not appended.
+	KindQueueFull Kind = "full"
 	// KindUnknown means that the record may or may not be in the log.
 	KindUnknown Kind = "unknown_outcome"
 	// KindAbandoned means that the caller's context ended before the append was
@@ -87,7 +87,7 @@
 	r.mutex.Lock()
 	if len(r.queue) >= MaxQueuedRecords {
 		r.mutex.Unlock()
-		return 0, fault.Newf("append", KindFull, "%d records are queued already", MaxQueuedRecords)
+		return 0, fault.Newf("append", KindQueueFull, "%d records are queued already", MaxQueuedRecords)
 	}
 	r.queue = append(r.queue, p)
 	r.mutex.Unlock()
