--- a/internal/decide/allocator/allocator.go
+++ b/internal/decide/allocator/allocator.go
@@ -125,9 +125,9 @@
 	queuesByPlan map[string]*planQueues
 	// activeQueues lists the queues of all plans with waiting tasks. Queues
 	// that have become empty stay in the list until the next call of
-	// candidateHeap.
+	// buildCandidateHeap.
 	activeQueues []*planQueues
-	// candidateBuffer is reused by candidateHeap to avoid allocations.
+	// candidateBuffer is reused by buildCandidateHeap to avoid allocations.
 	candidateBuffer []candidate
 	// waitingByAttempt holds the queue items of all waiting tasks, keyed by
 	// attempt.
@@ -151,10 +151,10 @@
 	queueByClass [len(plan.Classes)]admission.Queue[*Task]
 	// blockedHeadByClass holds the last head of each queue that could not
 	// start, because it fitted no worker or the plan was at its limit.
-	// blockedAtFreedCount holds the value of Ledger.FreedCount at the latest
+	// freedCountWhenBlockedByClass holds the value of Ledger.FreedCount at the latest
 	// check that the head fits no worker.
-	blockedHeadByClass  [len(plan.Classes)]*admission.Item[*Task]
-	blockedAtFreedCount [len(plan.Classes)]uint64
+	blockedHeadByClass           [len(plan.Classes)]*admission.Item[*Task]
+	freedCountWhenBlockedByClass [len(plan.Classes)]uint64
 	// atLimitByClass is true for a class while the plan's limit keeps the head
 	// of its queue from starting.
 	atLimitByClass [len(plan.Classes)]bool
--- a/internal/decide/allocator/allocator_test.go
+++ b/internal/decide/allocator/allocator_test.go
@@ -71,9 +71,9 @@
 	}
 }
 
-// startAll calls Next until no waiting task can start, and returns the
+// startAllPlaceableTasks calls Next until no waiting task can start, and returns the
 // assignments.
-func startAll(a *allocator.Allocator, now time.Time) []allocator.Assignment {
+func startAllPlaceableTasks(a *allocator.Allocator, now time.Time) []allocator.Assignment {
 	var out []allocator.Assignment
 	for {
 		d, ok := a.Next(now)
@@ -127,12 +127,12 @@
 	for i := range 40 {
 		enqueue(t, a, startTime, newTask(fmt.Sprintf("b%d", i), "borrower", plan.Overnight))
 	}
-	is.Equal(len(startAll(a, startTime)), 16)
+	is.Equal(len(startAllPlaceableTasks(a, startTime)), 16)
 	for i := range 12 {
 		enqueue(t, a, startTime, newTask(fmt.Sprintf("l%d", i), "lender", plan.Normal))
 	}
 	for range 20 {
-		startAll(a, startTime)
+		startAllPlaceableTasks(a, startTime)
 		for _, p := range a.Reclaim() {
 			is.Equal(p.ForPlan, "lender")
 			a.Release(p.Attempt)
@@ -148,12 +148,12 @@
 	for i := range 500 {
 		enqueue(t, a, startTime, newTask(fmt.Sprintf("f%d", i), "flood", plan.Urgent))
 	}
-	startAll(a, startTime)
+	startAllPlaceableTasks(a, startTime)
 	for i := range 8 {
 		enqueue(t, a, startTime, newTask(fmt.Sprintf("c%d", i), "calm", plan.Overnight))
 	}
 	for range 20 {
-		startAll(a, startTime)
+		startAllPlaceableTasks(a, startTime)
 		for _, p := range a.Reclaim() {
 			a.Release(p.Attempt)
 		}
@@ -167,14 +167,14 @@
 	for i := range 20 {
 		enqueue(t, a, startTime, newTask(fmt.Sprintf("o%d", i), "only", plan.Overnight))
 	}
-	is.Equal(len(startAll(a, startTime)), 8)
+	is.Equal(len(startAllPlaceableTasks(a, startTime)), 8)
 	enqueue(t, a, startTime, newTask("u", "only", plan.Urgent))
-	is.Equal(len(startAll(a, startTime)), 0)
+	is.Equal(len(startAllPlaceableTasks(a, startTime)), 0)
 	victims := a.Reclaim()
 	is.Equal(len(victims), 1)
 	is.Equal(len(a.Reclaim()), 0)
 	a.Release(victims[0].Attempt)
-	started := startAll(a, startTime)
+	started := startAllPlaceableTasks(a, startTime)
 	is.Equal(len(started), 1)
 	is.Equal(started[0].Task.Attempt, "u")
 }
@@ -197,9 +197,9 @@
 	a := newAllocator(t, 1, newEntitlement("p", 1))
 	a.SetAccepting("w0", false)
 	enqueue(t, a, startTime, newTask("a", "p", plan.Urgent))
-	is.Equal(len(startAll(a, startTime)), 0)
+	is.Equal(len(startAllPlaceableTasks(a, startTime)), 0)
 	a.SetAccepting("w0", true)
-	is.Equal(len(startAll(a, startTime)), 1)
+	is.Equal(len(startAllPlaceableTasks(a, startTime)), 1)
 }
 
 // TestRandomHistory runs random operations and compares the allocator with a
@@ -231,7 +231,7 @@
 					waiting[k.Attempt] = true
 				}
 			case 3:
-				for _, d := range startAll(a, now) {
+				for _, d := range startAllPlaceableTasks(a, now) {
 					if !waiting[d.Task.Attempt] || running[d.Task.Attempt] != "" {
 						rt.Fatalf("attempt %s started twice or was not waiting", d.Task.Attempt)
 					}
@@ -303,7 +303,7 @@
 		k.Size.Accelerators = 1
 		enqueue(t, a, startTime, k)
 	}
-	is.Equal(len(startAll(a, startTime)), 1)
+	is.Equal(len(startAllPlaceableTasks(a, startTime)), 1)
 	is.Equal(len(a.RemoveWorker("gpu")), 1)
 	is.Equal(len(a.DropUnplaceable()), 2)
 	is.Equal(a.WaitingCount(), 0)
@@ -319,13 +319,13 @@
 	filler := newTask("filler", "other", plan.Normal)
 	filler.Size = resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 8190, Slots: 7}
 	enqueue(t, a, startTime, small)
-	first := startAll(a, startTime)
+	first := startAllPlaceableTasks(a, startTime)
 	enqueue(t, a, startTime, filler)
-	is.Equal(startAll(a, startTime)[0].Worker, first[0].Worker)
+	is.Equal(startAllPlaceableTasks(a, startTime)[0].Worker, first[0].Worker)
 	large := newTask("large", "limited", plan.Normal)
 	large.Size = resource.Vector{Milliprocessors: 4000, MemoryMebibytes: 100, Slots: 1}
 	enqueue(t, a, startTime, large)
-	is.Equal(len(startAll(a, startTime)), 0)
+	is.Equal(len(startAllPlaceableTasks(a, startTime)), 0)
 	a.Release("small")
-	is.Equal(len(startAll(a, startTime)), 1)
+	is.Equal(len(startAllPlaceableTasks(a, startTime)), 1)
 }
--- a/internal/decide/allocator/next.go
+++ b/internal/decide/allocator/next.go
@@ -72,7 +72,7 @@
 // Next chooses the waiting task that starts next, reserves capacity for it and
 // removes it from its queue. It returns false when no waiting task can start.
 func (a *Allocator) Next(now time.Time) (Assignment, bool) {
-	heap := a.candidateHeap()
+	heap := a.buildCandidateHeap()
 	for len(heap) > 0 {
 		c := heap[0]
 		if d, ok := a.placeQueueHead(now, c.queues, c.priority.classRank); ok {
@@ -89,9 +89,9 @@
 	return Assignment{}, false
 }
 
-// candidateHeap returns a heap of the plans with a queue head that may fit a
+// buildCandidateHeap returns a heap of the plans with a queue head that may fit a
 // worker. It also removes plans without waiting tasks from activeQueues.
-func (a *Allocator) candidateHeap() candidates {
+func (a *Allocator) buildCandidateHeap() candidates {
 	heap := candidates(a.candidateBuffer[:0])
 	for i := 0; i < len(a.activeQueues); i++ {
 		q := a.activeQueues[i]
@@ -136,16 +136,16 @@
 		if head == nil {
 			continue
 		}
-		if q.blockedHeadByClass[c] != head || q.atLimitByClass[c] && q.account.Permits(head.Value.Size) {
+		if q.blockedHeadByClass[c] != head || q.atLimitByClass[c] && q.account.StaysWithinLimitWith(head.Value.Size) {
 			return c
 		}
-		if q.blockedAtFreedCount[c] == a.ledger.FreedCount() {
+		if q.freedCountWhenBlockedByClass[c] == a.ledger.FreedCount() {
 			continue
 		}
-		if a.ledger.FitsFreedWorker(q.blockedAtFreedCount[c], head.Value.Size) {
+		if a.ledger.FitsAnyFreedWorker(q.freedCountWhenBlockedByClass[c], head.Value.Size) {
 			return c
 		}
-		q.blockedAtFreedCount[c] = a.ledger.FreedCount()
+		q.freedCountWhenBlockedByClass[c] = a.ledger.FreedCount()
 	}
 	return -1
 }
@@ -158,7 +158,7 @@
 	t := head.Value
 	w := a.chooseWorker(q, rank, head)
 	if w == nil {
-		q.blockedHeadByClass[rank], q.blockedAtFreedCount[rank] = head, a.ledger.FreedCount()
+		q.blockedHeadByClass[rank], q.freedCountWhenBlockedByClass[rank] = head, a.ledger.FreedCount()
 		return Assignment{}, false
 	}
 	err := a.ledger.Reserve(w.Name, ledger.Reservation{
@@ -166,7 +166,7 @@
 	})
 	invariant.Check(err == nil, "reservation_refused", "reserve capacity for attempt %s: %v", t.Attempt, err)
 	if err != nil {
-		q.blockedHeadByClass[rank], q.blockedAtFreedCount[rank] = head, a.ledger.FreedCount()
+		q.blockedHeadByClass[rank], q.freedCountWhenBlockedByClass[rank] = head, a.ledger.FreedCount()
 		return Assignment{}, false
 	}
 	a.shares.Charge(t.Plan, t.Size)
@@ -182,11 +182,11 @@
 func (a *Allocator) chooseWorker(q *planQueues, rank int, head *admission.Item[*Task]) *ledger.Worker {
 	t := head.Value
 	wasAtLimit := q.atLimitByClass[rank]
-	if q.atLimitByClass[rank] = !q.account.Permits(t.Size); q.atLimitByClass[rank] {
+	if q.atLimitByClass[rank] = !q.account.StaysWithinLimitWith(t.Size); q.atLimitByClass[rank] {
 		return nil
 	}
 	if q.blockedHeadByClass[rank] == head && !wasAtLimit {
-		w, complete := a.policy.ChooseFreed(a.ledger, q.blockedAtFreedCount[rank], t.Size, t.SpreadGroup)
+		w, complete := a.policy.ChooseAmongFreedWorkers(a.ledger, q.freedCountWhenBlockedByClass[rank], t.Size, t.SpreadGroup)
 		if complete {
 			return w
 		}
@@ -235,7 +235,7 @@
 // limit, the attempt already has a reservation, or the allocator is draining.
 func (a *Allocator) ReserveNow(t *Task) (worker string, ok bool) {
 	account := a.shares.Account(t.Plan)
-	if a.draining || !account.Permits(t.Size) || a.ledger.Reservation(t.Attempt) != nil {
+	if a.draining || !account.StaysWithinLimitWith(t.Size) || a.ledger.Reservation(t.Attempt) != nil {
 		return "", false
 	}
 	w := a.policy.Choose(a.ledger, t.Size, t.SpreadGroup)
--- a/internal/decide/allocator/reclaim.go
+++ b/internal/decide/allocator/reclaim.go
@@ -43,7 +43,7 @@
 	}
 	var out []Preemption
 	for _, r := range a.chooseVictims(q, rank, head.Value.Size) {
-		r.Preempting = true
+		r.ChosenForPreemption = true
 		a.pendingPreemptionsByPlan[q.planName]++
 		a.preemptorPlanByAttempt[r.Attempt] = q.planName
 		out = append(out, Preemption{Attempt: r.Attempt, Worker: r.Worker.Name, ForPlan: q.planName})
@@ -57,7 +57,7 @@
 // preemption is cheapest according to isCheaperToPreempt.
 func (a *Allocator) chooseVictims(q *planQueues, rank int, size resource.Vector) []*ledger.Reservation {
 	var best []*ledger.Reservation
-	withinLimit := q.account.Permits(size)
+	withinLimit := q.account.StaysWithinLimitWith(size)
 	if !withinLimit && rank != plan.Urgent.Rank() {
 		return nil
 	}
@@ -91,7 +91,7 @@
 	var preemptible []*ledger.Reservation
 	free := w.Free()
 	for _, r := range w.Reservations {
-		if r.Preempting {
+		if r.ChosenForPreemption {
 			continue
 		}
 		if (withinLimit || r.Plan == q.planName) && a.mayPreempt(q, rank, r) {
--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/ledger/ledger.go
@@ -62,8 +62,9 @@
 	// Preemptible is true if the attempt may be stopped to free capacity for
 	// another task.
 	Preemptible bool
-	// Preempting is true once the attempt has been chosen for preemption.
-	Preempting bool
+	// ChosenForPreemption is true once the attempt has been selected as a victim of a
+	// preemption.
+	ChosenForPreemption bool
 	// Sequence is set by the ledger and is higher for newer reservations.
 	Sequence uint64
 }
--- a/internal/decide/ledger/search.go
+++ b/internal/decide/ledger/search.go
@@ -44,7 +44,7 @@
 // noCapacity is a free capacity that no size fits.
 var noCapacity = resource.Vector{Milliprocessors: -1, MemoryMebibytes: -1, Accelerators: -1, Slots: -1, Connections: -1}
 
-func indexEntryOf(w *Worker) indexEntry {
+func newIndexEntry(w *Worker) indexEntry {
 	if !w.Accepting {
 		return indexEntry{noCapacity, w}
 	}
@@ -54,7 +54,7 @@
 func (l *Ledger) insertIntoIndex(w *Worker) {
 	list := &l.index[w.indexGroup][w.indexBucket]
 	w.indexPosition = len(*list)
-	*list = append(*list, indexEntryOf(w))
+	*list = append(*list, newIndexEntry(w))
 }
 
 func (l *Ledger) removeFromIndex(w *Worker) {
@@ -71,7 +71,7 @@
 func (l *Ledger) updateIndex(w *Worker) {
 	b := indexBucketOf(w)
 	if b == w.indexBucket {
-		l.index[w.indexGroup][b][w.indexPosition] = indexEntryOf(w)
+		l.index[w.indexGroup][b][w.indexPosition] = newIndexEntry(w)
 		return
 	}
 	l.removeFromIndex(w)
@@ -120,7 +120,7 @@
 func (l *Ledger) isKnownNotToFit(size resource.Vector) bool {
 	for i := range min(failedSearchRingSize, l.failedSearchCount) {
 		m := &l.failedSearchRing[i]
-		if m.size.Fits(size) && !l.FitsFreedWorker(m.freedCount, size) {
+		if m.size.Fits(size) && !l.FitsAnyFreedWorker(m.freedCount, size) {
 			return true
 		}
 	}
@@ -151,11 +151,11 @@
 	return best
 }
 
-// FindFreed searches like Find, but only workers whose free capacity has
+// FindAmongFreedWorkers searches like Find, but only workers whose free capacity has
 // increased since FreedCount returned the value since. If the ledger does not
 // remember all of these increases, it returns complete = false, and the caller
 // must use Find.
-func FindFreed[S Scorer](l *Ledger, since uint64, size resource.Vector, scorer S) (best *Worker, complete bool) {
+func FindAmongFreedWorkers[S Scorer](l *Ledger, since uint64, size resource.Vector, scorer S) (best *Worker, complete bool) {
 	if l.freedCount-since > freedWorkerRingSize {
 		return nil, false
 	}
@@ -172,10 +172,10 @@
 	return best, true
 }
 
-// FitsFreedWorker reports whether a size fits a worker whose free capacity has
+// FitsAnyFreedWorker reports whether a size fits a worker whose free capacity has
 // increased since FreedCount returned the value since. It returns true if the
 // ledger does not remember all of these increases.
-func (l *Ledger) FitsFreedWorker(since uint64, size resource.Vector) bool {
+func (l *Ledger) FitsAnyFreedWorker(since uint64, size resource.Vector) bool {
 	if l.freedCount-since > freedWorkerRingSize {
 		return true
 	}
--- a/internal/decide/placement/packing_test.go
+++ b/internal/decide/placement/packing_test.go
@@ -59,9 +59,9 @@
 	return l, names
 }
 
-// fractionalBound returns the number of tasks of a mix that would fit if tasks
+// maxTasksIfDivisible returns the number of tasks of a mix that would fit if tasks
 // could be split over workers. The scarcest resource limits it.
-func fractionalBound(total resource.Vector, m taskMix) float64 {
+func maxTasksIfDivisible(total resource.Vector, m taskMix) float64 {
 	var sum resource.Vector
 	for _, s := range m.sizes {
 		sum = sum.Add(s)
@@ -100,7 +100,7 @@
 }
 
 // BenchmarkPacking reports the mean number of tasks that each policy keeps
-// running, as a fraction of fractionalBound.
+// running, as a fraction of maxTasksIfDivisible.
 func BenchmarkPacking(b *testing.B) {
 	for _, m := range taskMixes {
 		for _, name := range []string{"balanced", "first_fit", "best_fit", "random_two"} {
@@ -111,9 +111,9 @@
 					policies := map[string]placement.Policy{
 						"balanced": placement.Balanced{}, "first_fit": placement.FirstFit{WorkerNames: names},
 						"best_fit":   placement.BestFit{WorkerNames: names},
-						"random_two": placement.RandomTwo{WorkerNames: names, Random: rand.New(rand.NewPCG(uint64(n), 7))},
+						"random_two": placement.LessUsedOfTwoRandom{WorkerNames: names, Random: rand.New(rand.NewPCG(uint64(n), 7))},
 					}
-					sum += meanRunningWhenFull(policies[name], l, m, uint64(n+1), 4000) / fractionalBound(l.TotalCapacity(), m)
+					sum += meanRunningWhenFull(policies[name], l, m, uint64(n+1), 4000) / maxTasksIfDivisible(l.TotalCapacity(), m)
 					n++
 				}
 				b.ReportMetric(sum/float64(n), "of-bound")
--- a/internal/decide/placement/policy.go
+++ b/internal/decide/placement/policy.go
@@ -14,11 +14,11 @@
 // may be empty.
 type Policy interface {
 	Choose(l *ledger.Ledger, size resource.Vector, spreadGroup string) *ledger.Worker
-	// ChooseFreed chooses like Choose, but only among workers whose free
+	// ChooseAmongFreedWorkers chooses like Choose, but only among workers whose free
 	// capacity has increased since Ledger.FreedCount returned the value since.
 	// If the policy cannot do this, it returns complete = false, and the caller
 	// must use Choose.
-	ChooseFreed(l *ledger.Ledger, since uint64, size resource.Vector, spreadGroup string) (w *ledger.Worker, complete bool)
+	ChooseAmongFreedWorkers(l *ledger.Ledger, since uint64, size resource.Vector, spreadGroup string) (w *ledger.Worker, complete bool)
 }
 
 // sameRackPenalty is added to the score of a worker for each attempt of the
@@ -38,9 +38,9 @@
 	return ledger.Find(l, size, balancedScorer{l, size, spreadGroup})
 }
 
-// ChooseFreed implements Policy.
-func (Balanced) ChooseFreed(l *ledger.Ledger, since uint64, size resource.Vector, spreadGroup string) (*ledger.Worker, bool) {
-	return ledger.FindFreed(l, since, size, balancedScorer{l, size, spreadGroup})
+// ChooseAmongFreedWorkers implements Policy.
+func (Balanced) ChooseAmongFreedWorkers(l *ledger.Ledger, since uint64, size resource.Vector, spreadGroup string) (*ledger.Worker, bool) {
+	return ledger.FindAmongFreedWorkers(l, since, size, balancedScorer{l, size, spreadGroup})
 }
 
 type balancedScorer struct {
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// ChooseFreed implements Policy.
-func (FirstFit) ChooseFreed(*ledger.Ledger, uint64, resource.Vector, string) (*ledger.Worker, bool) {
+// ChooseAmongFreedWorkers implements Policy.
+func (FirstFit) ChooseAmongFreedWorkers(*ledger.Ledger, uint64, resource.Vector, string) (*ledger.Worker, bool) {
 	return nil, false
 }
 
@@ -117,21 +117,21 @@
 	return best
 }
 
-// ChooseFreed implements Policy.
-func (BestFit) ChooseFreed(*ledger.Ledger, uint64, resource.Vector, string) (*ledger.Worker, bool) {
+// ChooseAmongFreedWorkers implements Policy.
+func (BestFit) ChooseAmongFreedWorkers(*ledger.Ledger, uint64, resource.Vector, string) (*ledger.Worker, bool) {
 	return nil, false
 }
 
-// RandomTwo draws two workers at random and chooses the less used of those with
+// LessUsedOfTwoRandom draws two workers at random and chooses the less used of those with
 // enough free capacity. It is a baseline for benchmarks.
-type RandomTwo struct {
+type LessUsedOfTwoRandom struct {
 	// WorkerNames lists the names of the workers that may be drawn.
 	WorkerNames []string
 	Random      *rand.Rand
 }
 
 // Choose implements Policy.
-func (r RandomTwo) Choose(l *ledger.Ledger, size resource.Vector, _ string) *ledger.Worker {
+func (r LessUsedOfTwoRandom) Choose(l *ledger.Ledger, size resource.Vector, _ string) *ledger.Worker {
 	var best *ledger.Worker
 	for range 2 {
 		w := l.Worker(r.WorkerNames[r.Random.IntN(len(r.WorkerNames))])
@@ -145,7 +145,7 @@
 	return best
 }
 
-// ChooseFreed implements Policy.
-func (RandomTwo) ChooseFreed(*ledger.Ledger, uint64, resource.Vector, string) (*ledger.Worker, bool) {
+// ChooseAmongFreedWorkers implements Policy.
+func (LessUsedOfTwoRandom) ChooseAmongFreedWorkers(*ledger.Ledger, uint64, resource.Vector, string) (*ledger.Worker, bool) {
 	return nil, false
 }
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -40,8 +40,8 @@
 	weightedShare float64
 }
 
-// updateShares recomputes the weighted shares of the plan and its customer.
-func (a *Account) updateShares() {
+// updateWeightedShares recomputes the weighted shares of the plan and its customer.
+func (a *Account) updateWeightedShares() {
 	a.weightedShare = a.Used.DominantFraction(*a.poolCapacity) / a.PromisedShare
 	a.customerTotals.weightedShare = a.customerTotals.used.DominantFraction(*a.poolCapacity) / a.customerTotals.promisedShare
 }
@@ -56,9 +56,9 @@
 // promised shares.
 func (a *Account) CustomerWeightedShare() float64 { return a.customerTotals.weightedShare }
 
-// Permits reports whether the plan stays within its limit when it starts one
+// StaysWithinLimitWith reports whether the plan stays within its limit when it starts one
 // more task of this size. A plan that uses nothing may always start one.
-func (a *Account) Permits(size resource.Vector) bool {
+func (a *Account) StaysWithinLimitWith(size resource.Vector) bool {
 	return a.Used.IsZero() || a.Used.Add(size).DominantFraction(*a.poolCapacity) <= a.LimitShare+limitTolerance
 }
 
@@ -99,19 +99,19 @@
 		a.Customer, a.PromisedShare, a.LimitShare = customerName, e.PromisedShare, e.LimitShare
 	})
 	for _, a := range s.plans {
-		s.addToCustomer(a)
+		s.addToCustomerTotals(a)
 	}
 	s.updateAllShares()
 }
 
 func (s *Accounts) updateAllShares() {
 	for _, a := range s.plans {
-		a.updateShares()
+		a.updateWeightedShares()
 	}
 }
 
-// addToCustomer adds a plan to the totals of its customer.
-func (s *Accounts) addToCustomer(a *Account) {
+// addToCustomerTotals adds a plan to the totals of its customer.
+func (s *Accounts) addToCustomerTotals(a *Account) {
 	totals := s.customers[a.Customer]
 	if totals == nil {
 		totals = &customerTotals{}
@@ -135,7 +135,7 @@
 	if a == nil {
 		a = &Account{Plan: name, PromisedShare: unlistedPlanShare, LimitShare: unlistedPlanShare, poolCapacity: &s.poolCapacity}
 		s.plans[name] = a
-		s.addToCustomer(a)
+		s.addToCustomerTotals(a)
 	}
 	return a
 }
@@ -145,7 +145,7 @@
 	a := s.Account(name)
 	a.Used = a.Used.Add(size)
 	a.customerTotals.used = a.customerTotals.used.Add(size)
-	a.updateShares()
+	a.updateWeightedShares()
 }
 
 // Refund subtracts the size of a task, which Charge added before, from the use
@@ -154,7 +154,7 @@
 	a := s.Account(name)
 	a.Used = a.Used.Sub(size)
 	a.customerTotals.used = a.customerTotals.used.Sub(size)
-	a.updateShares()
+	a.updateWeightedShares()
 	invariant.Check(!a.Used.IsNegative(), "negative_share", "plan %s: used %v", name, a.Used)
 }
 
