--- a/internal/state/claim/claim.go
+++ b/internal/state/claim/claim.go
@@ -131,7 +131,7 @@
 	return b
 }
 
-// CheckKey returns an error of KindMalformed, KindExpired or KindFuture if the key
+// CheckKey returns an error of KindMalformed, KindKeyExpired or KindKeyInFuture if the key
 // is not a ULID or its timestamp is too old or too far ahead of the clock.
 func (b *Registry) CheckKey(key string) error {
 	id, err := ulid.ParseStrict(key)
@@ -173,7 +173,7 @@
 	if err := b.CheckKey(key); err != nil {
 		return Result{}, err
 	}
-	if err := b.catchUp(ctx, s, offset); err != nil {
+	if err := b.applyRecordsUpTo(ctx, s, offset); err != nil {
 		return Result{}, err
 	}
 	s.mutex.Lock()
@@ -213,8 +213,8 @@
 	return offset, nil
 }
 
-// catchUp reads a stream until it has applied the record at an offset.
-func (b *Registry) catchUp(ctx context.Context, s *claimStream, until uint64) error {
+// applyRecordsUpTo reads a stream until it has applied the record at an offset.
+func (b *Registry) applyRecordsUpTo(ctx context.Context, s *claimStream, until uint64) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for s.readOffset < until {
--- a/internal/state/configuration/follow.go
+++ b/internal/state/configuration/follow.go
@@ -47,11 +47,11 @@
 // Load returns a new store to which all records in the log have been applied.
 func Load(ctx context.Context, log logservice.Log) (*Store, error) {
 	s := New(func(Version) {})
-	return s, readAll(ctx, log, s)
+	return s, applyAllRecords(ctx, log, s)
 }
 
-// readAll applies records to the store until the log has no newer ones.
-func readAll(ctx context.Context, log logservice.Log, s *Store) error {
+// applyAllRecords applies records to the store until the log has no newer ones.
+func applyAllRecords(ctx context.Context, log logservice.Log, s *Store) error {
 	for {
 		before := s.ReadOffset()
 		if err := CatchUp(ctx, log, s, 0); err != nil {
@@ -115,6 +115,6 @@
 			found = v
 		}
 	})
-	err := readAll(ctx, log, s)
+	err := applyAllRecords(ctx, log, s)
 	return found, err == nil && found.Offset > 0
 }
--- a/internal/state/configuration/store.go
+++ b/internal/state/configuration/store.go
@@ -97,18 +97,18 @@
 	// currentVersionSeen is true if a record with the current version was read
 	// since the last call of SnapshotDue.
 	currentVersionSeen bool
-	onAccept           func(Version)
+	onVersionAccepted  func(Version)
 }
 
 // maxPendingRecords is the maximum number of pending records. When it is exceeded,
 // the oldest are dropped.
 const maxPendingRecords = 4096
 
-// New returns a store with empty lists. It calls onAccept with each newly accepted
-// version, in the order of their offsets. onAccept must not call the store.
-func New(onAccept func(Version)) *Store {
+// New returns a store with empty lists. It calls onVersionAccepted with each newly accepted
+// version, in the order of their offsets. onVersionAccepted must not call the store.
+func New(onVersionAccepted func(Version)) *Store {
 	empty, _ := plan.NewIndex(plan.Lists{})
-	return &Store{currentVersion: Version{Index: empty}, onAccept: onAccept}
+	return &Store{currentVersion: Version{Index: empty}, onVersionAccepted: onVersionAccepted}
 }
 
 // Current returns the newest accepted version.
@@ -188,7 +188,7 @@
 	record, index, decision := Evaluate(s.currentVersion, r.Data)
 	if decision.Accepted {
 		s.currentVersionSeen = true
-		s.accept(Version{Offset: r.Offset, RecordID: record.ID, Operator: record.Operator, Lists: record.Lists, Index: index})
+		s.setCurrentVersion(Version{Offset: r.Offset, RecordID: record.ID, Operator: record.Operator, Lists: record.Lists, Index: index})
 	}
 	return decision
 }
@@ -215,7 +215,7 @@
 		return
 	}
 	if r.SnapshotOfOffset > s.currentVersion.Offset {
-		s.accept(Version{Offset: r.SnapshotOfOffset, Operator: r.Operator, Lists: r.Lists, Index: index})
+		s.setCurrentVersion(Version{Offset: r.SnapshotOfOffset, Operator: r.Operator, Lists: r.Lists, Index: index})
 	}
 	s.applyPending()
 }
@@ -257,16 +257,16 @@
 	if offset <= s.currentVersion.Offset {
 		return nil
 	}
-	s.accept(Version{Offset: offset, Lists: lists, Index: index})
+	s.setCurrentVersion(Version{Offset: offset, Lists: lists, Index: index})
 	if !s.baseVersionKnown && s.hasReadAllAfter(offset) {
 		s.applyPending()
 	}
 	return nil
 }
 
-// accept makes v the current version and calls onAccept.
-func (s *Store) accept(v Version) {
+// setCurrentVersion makes v the current version and calls onVersionAccepted.
+func (s *Store) setCurrentVersion(v Version) {
 	invariant.Check(v.Offset > s.currentVersion.Offset, "configuration_reverted", "the new offset is %d, the current one %d", v.Offset, s.currentVersion.Offset)
 	s.currentVersion = v
-	s.onAccept(v)
+	s.onVersionAccepted(v)
 }
--- a/internal/state/configuration/store_test.go
+++ b/internal/state/configuration/store_test.go
@@ -22,10 +22,10 @@
 // fakeLog is an in-memory log that can drop old records, fail all calls and lose the
 // reply of an append.
 type fakeLog struct {
-	records       []logservice.Record
-	droppedCount  int
-	loseNextReply bool
-	outage        bool
+	records            []logservice.Record
+	droppedRecordCount int
+	loseNextReply      bool
+	outage             bool
 }
 
 var errOutage = errors.New("outage")
@@ -49,12 +49,12 @@
 	if l.outage {
 		return logservice.ReadReply{}, errOutage
 	}
-	begin := max(int(after), l.droppedCount)
+	begin := max(int(after), l.droppedRecordCount)
 	end := min(len(l.records), begin+limit)
 	if begin > end {
 		begin = end
 	}
-	return logservice.ReadReply{Records: l.records[begin:end], Oldest: uint64(l.droppedCount + 1)}, nil
+	return logservice.ReadReply{Records: l.records[begin:end], Oldest: uint64(l.droppedRecordCount + 1)}, nil
 }
 
 // newLists returns valid lists that contain one plan with this price.
@@ -107,13 +107,13 @@
 // reader is an entry VM that follows the log, with the offsets of all versions that
 // it has accepted.
 type reader struct {
-	store    *configuration.Store
-	versions []uint64
+	store           *configuration.Store
+	acceptedOffsets []uint64
 }
 
 func newReader() *reader {
 	r := &reader{}
-	r.store = configuration.New(func(v configuration.Version) { r.versions = append(r.versions, v.Offset) })
+	r.store = configuration.New(func(v configuration.Version) { r.acceptedOffsets = append(r.acceptedOffsets, v.Offset) })
 	return r
 }
 
@@ -167,7 +167,7 @@
 				if data, due := reference.store.SnapshotDue("t"); due {
 					_, _ = l.Append(ctx, configuration.Stream, [][]byte{data})
 					catchUp(rt, l, reference)
-					l.droppedCount = rapid.IntRange(l.droppedCount, len(l.records)-1).Draw(rt, "dropped")
+					l.droppedRecordCount = rapid.IntRange(l.droppedRecordCount, len(l.records)-1).Draw(rt, "dropped")
 				}
 			}
 		}
@@ -176,9 +176,9 @@
 			if got, want := r.store.Current(), reference.store.Current(); got.Offset != want.Offset {
 				rt.Fatalf("a reader has the version at offset %d, the reference reader %d", got.Offset, want.Offset)
 			}
-			for i := 1; i < len(r.versions); i++ {
-				if r.versions[i] <= r.versions[i-1] {
-					rt.Fatalf("a reader accepted an older version after a newer one: %v", r.versions)
+			for i := 1; i < len(r.acceptedOffsets); i++ {
+				if r.acceptedOffsets[i] <= r.acceptedOffsets[i-1] {
+					rt.Fatalf("a reader accepted an older version after a newer one: %v", r.acceptedOffsets)
 				}
 			}
 		}
--- a/internal/state/job/table.go
+++ b/internal/state/job/table.go
@@ -114,9 +114,9 @@
 	// PendingTasks is the number of tasks that have not ended.
 	PendingTasks int
 	Cancelled    bool
-	// EndedOffset is the offset of the record that ended the last task, or 0 while
+	// LastTaskEndOffset is the offset of the record that ended the last task, or 0 while
 	// the job is unfinished.
-	EndedOffset uint64
+	LastTaskEndOffset uint64
 }
 
 // TaskID returns the ID of the task at an index of the job.
@@ -171,13 +171,13 @@
 	}
 	switch record.Action {
 	case Accepted:
-		t.acceptJob(record)
+		t.addAcceptedJob(record)
 	case TaskStarted:
 		if j := t.jobs[record.Job]; j != nil && record.TaskIndex >= 0 && record.TaskIndex < len(j.StartTimes) && j.Holder == record.By && j.StartTimes[record.TaskIndex].IsZero() {
 			j.StartTimes[record.TaskIndex] = record.StartedAt
 		}
 	case TaskEnded:
-		t.endTask(record, r.Offset)
+		t.storeTaskOutcome(record, r.Offset)
 	case Cancelled:
 		if j := t.jobs[record.Job]; j != nil {
 			j.Cancelled = true
@@ -191,8 +191,8 @@
 	return nil
 }
 
-// acceptJob adds a job, unless its ID is known or it has no tasks.
-func (t *Table) acceptJob(r Record) {
+// addAcceptedJob adds a job, unless its ID is known or it has no tasks.
+func (t *Table) addAcceptedJob(r Record) {
 	if t.jobs[r.Job] != nil || r.Spec == nil || len(r.Spec.Tasks) == 0 {
 		return
 	}
@@ -202,9 +202,9 @@
 	}
 }
 
-// endTask stores the outcome of a task if the record comes from the job's holder
+// storeTaskOutcome stores the outcome of a task if the record comes from the job's holder
 // and the task has none yet. It drops the payload, which is no longer needed.
-func (t *Table) endTask(r Record, offset uint64) {
+func (t *Table) storeTaskOutcome(r Record, offset uint64) {
 	j := t.jobs[r.Job]
 	if j == nil || r.Outcome == nil || r.TaskIndex < 0 || r.TaskIndex >= len(j.Outcomes) || j.Outcomes[r.TaskIndex] != nil || j.Holder != r.By {
 		return
@@ -213,7 +213,7 @@
 	j.Spec.Tasks[r.TaskIndex].Payload = nil
 	j.PendingTasks--
 	if j.PendingTasks == 0 {
-		j.EndedOffset = offset
+		j.LastTaskEndOffset = offset
 		t.endedJobIDs = append(t.endedJobIDs, j.ID)
 		t.pruneEndedJobs()
 	}
--- a/internal/state/recorder/recorder.go
+++ b/internal/state/recorder/recorder.go
@@ -69,7 +69,7 @@
 // ends; records that are queued then are not appended.
 func New(ctx context.Context, log logservice.Log, appendsPerSecond float64) *Recorder {
 	r := &Recorder{log: log, limiter: rate.NewLimiter(rate.Limit(appendsPerSecond), maxAppendBurst), wake: make(chan struct{}, 1)}
-	go r.run(ctx)
+	go r.appendQueuedRecords(ctx)
 	return r
 }
 
@@ -79,7 +79,7 @@
 }
 
 // Append appends one record to a stream and waits for its offset. It returns an
-// error of KindFull when the queue is full, and of KindUnknown when the append
+// error of KindQueueFull when the queue is full, and of KindUnknown when the append
 // fails or ctx ends, since the record may be in the log then. If ctx ends before
 // the append is sent, the error may also be of KindAbandoned.
 func (r *Recorder) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
@@ -103,8 +103,8 @@
 	}
 }
 
-// run appends batches until ctx ends.
-func (r *Recorder) run(ctx context.Context) {
+// appendQueuedRecords appends batches until ctx ends.
+func (r *Recorder) appendQueuedRecords(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
