--- a/internal/decide/allocator/allocator.go
+++ b/internal/decide/allocator/allocator.go
@@ -158,9 +158,9 @@
 	// atLimitByClass is true for a class while the plan's limit keeps the head
 	// of its queue from starting.
 	atLimitByClass [len(plan.Classes)]bool
-	// active is true while Allocator.activeQueues contains the queues of this
+	// listedInActiveQueues is true while Allocator.activeQueues contains the queues of this
 	// plan.
-	active bool
+	listedInActiveQueues bool
 }
 
 func (p *planQueues) waitingCount() int {
@@ -305,8 +305,8 @@
 	}
 	a.waitingByAttempt[t.Attempt] = i
 	q.queueByClass[t.Class.Rank()].Push(i)
-	if !q.active {
-		q.active = true
+	if !q.listedInActiveQueues {
+		q.listedInActiveQueues = true
 		a.activeQueues = append(a.activeQueues, q)
 	}
 	return shed, nil
--- a/internal/decide/allocator/next.go
+++ b/internal/decide/allocator/next.go
@@ -102,7 +102,7 @@
 		if q.waitingCount() > 0 {
 			continue
 		}
-		q.active = false
+		q.listedInActiveQueues = false
 		last := len(a.activeQueues) - 1
 		a.activeQueues[i] = a.activeQueues[last]
 		a.activeQueues = a.activeQueues[:last]
--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/ledger/ledger.go
@@ -92,8 +92,8 @@
 	index [indexGroupCount][indexBucketCount][]indexEntry
 	// workersByCapacity counts the workers of each capacity.
 	workersByCapacity map[resource.Vector]int
-	// spreadCounts counts the attempts of each spread group on each rack.
-	spreadCounts map[spreadKey]int
+	// reservationCountBySpreadKey counts the attempts of each spread group on each rack.
+	reservationCountBySpreadKey map[spreadKey]int
 	// totalCapacity and totalUsed are sums over all workers. maxCapacity is,
 	// for each resource, the largest capacity of any worker.
 	totalCapacity, totalUsed resource.Vector
@@ -117,7 +117,7 @@
 
 // New returns an empty ledger.
 func New() *Ledger {
-	return &Ledger{workers: map[string]*Worker{}, reservations: map[string]*Reservation{}, spreadCounts: map[spreadKey]int{}, workersByCapacity: map[resource.Vector]int{}}
+	return &Ledger{workers: map[string]*Worker{}, reservations: map[string]*Reservation{}, reservationCountBySpreadKey: map[spreadKey]int{}, workersByCapacity: map[resource.Vector]int{}}
 }
 
 // TotalCapacity returns the sum of the capacities of all workers.
@@ -265,7 +265,7 @@
 	w.Used = w.Used.Add(r.Size)
 	l.totalUsed = l.totalUsed.Add(r.Size)
 	if r.SpreadGroup != "" {
-		l.spreadCounts[spreadKey{r.SpreadGroup, w.Rack}]++
+		l.reservationCountBySpreadKey[spreadKey{r.SpreadGroup, w.Rack}]++
 	}
 	l.updateIndex(w)
 }
@@ -295,8 +295,8 @@
 	l.totalUsed = l.totalUsed.Sub(r.Size)
 	if r.SpreadGroup != "" {
 		key := spreadKey{r.SpreadGroup, w.Rack}
-		if l.spreadCounts[key]--; l.spreadCounts[key] <= 0 {
-			delete(l.spreadCounts, key)
+		if l.reservationCountBySpreadKey[key]--; l.reservationCountBySpreadKey[key] <= 0 {
+			delete(l.reservationCountBySpreadKey, key)
 		}
 	}
 	invariant.Check(!w.Used.IsNegative(), "negative_use", "worker %s: used %v", w.Name, w.Used)
@@ -324,5 +324,5 @@
 	if group == "" {
 		return 0
 	}
-	return l.spreadCounts[spreadKey{group, rack}]
+	return l.reservationCountBySpreadKey[spreadKey{group, rack}]
 }
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -67,14 +67,14 @@
 
 // Accounts holds the accounts of all plans that use one pool.
 type Accounts struct {
-	poolCapacity resource.Vector
-	plans        map[string]*Account
-	customers    map[string]*customerTotals
+	poolCapacity     resource.Vector
+	accountByPlan    map[string]*Account
+	totalsByCustomer map[string]*customerTotals
 }
 
 // New returns an empty set of accounts for a pool without capacity.
 func New() *Accounts {
-	return &Accounts{plans: map[string]*Account{}, customers: map[string]*customerTotals{}}
+	return &Accounts{accountByPlan: map[string]*Account{}, totalsByCustomer: map[string]*customerTotals{}}
 }
 
 // unlistedPlanShare is the promised share and limit of plans that are not in
@@ -86,36 +86,36 @@
 // SetPlans replaces the promised shares and limits of all plans. It does not
 // change what the plans use.
 func (s *Accounts) SetPlans(plans *plan.Index) {
-	s.customers = map[string]*customerTotals{}
-	for _, a := range s.plans {
+	s.totalsByCustomer = map[string]*customerTotals{}
+	for _, a := range s.accountByPlan {
 		a.PromisedShare, a.LimitShare = unlistedPlanShare, unlistedPlanShare
 	}
 	plans.EachEntitlement(func(customerName string, e plan.Entitlement) {
-		a := s.plans[e.Plan]
+		a := s.accountByPlan[e.Plan]
 		if a == nil {
 			a = &Account{Plan: e.Plan, poolCapacity: &s.poolCapacity}
-			s.plans[e.Plan] = a
+			s.accountByPlan[e.Plan] = a
 		}
 		a.Customer, a.PromisedShare, a.LimitShare = customerName, e.PromisedShare, e.LimitShare
 	})
-	for _, a := range s.plans {
+	for _, a := range s.accountByPlan {
 		s.addToCustomerTotals(a)
 	}
 	s.updateAllShares()
 }
 
 func (s *Accounts) updateAllShares() {
-	for _, a := range s.plans {
+	for _, a := range s.accountByPlan {
 		a.updateWeightedShares()
 	}
 }
 
 // addToCustomerTotals adds a plan to the totals of its customer.
 func (s *Accounts) addToCustomerTotals(a *Account) {
-	totals := s.customers[a.Customer]
+	totals := s.totalsByCustomer[a.Customer]
 	if totals == nil {
 		totals = &customerTotals{}
-		s.customers[a.Customer] = totals
+		s.totalsByCustomer[a.Customer] = totals
 	}
 	totals.promisedShare += a.PromisedShare
 	totals.used = totals.used.Add(a.Used)
@@ -131,10 +131,10 @@
 // Account returns the account of a plan. It creates one with unlistedPlanShare
 // when the plan is not in the configuration.
 func (s *Accounts) Account(name string) *Account {
-	a := s.plans[name]
+	a := s.accountByPlan[name]
 	if a == nil {
 		a = &Account{Plan: name, PromisedShare: unlistedPlanShare, LimitShare: unlistedPlanShare, poolCapacity: &s.poolCapacity}
-		s.plans[name] = a
+		s.accountByPlan[name] = a
 		s.addToCustomerTotals(a)
 	}
 	return a
@@ -160,7 +160,7 @@
 
 // Each calls f for every account in no fixed order.
 func (s *Accounts) Each(f func(a *Account)) {
-	for _, a := range s.plans {
+	for _, a := range s.accountByPlan {
 		f(a)
 	}
 }
--- a/internal/state/claim/claim.go
+++ b/internal/state/claim/claim.go
@@ -226,16 +226,16 @@
 			return fault.Newf("read", KindUnavailable, "the log returned no records before offset %d was reached", until)
 		}
 		for _, r := range reply.Records {
-			s.apply(r)
+			s.applyRecord(r)
 		}
 		b.pruneExpiredKeys(s)
 	}
 	return nil
 }
 
-// apply updates the claims with a record. The first claim of a key holds it until
+// applyRecord updates the claims with a record. The first claim of a key holds it until
 // the same request releases it. Records that cannot be decoded are skipped.
-func (s *claimStream) apply(r logservice.Record) {
+func (s *claimStream) applyRecord(r logservice.Record) {
 	s.readOffset = r.Offset
 	s.recordsSincePrune++
 	var decoded claimRecord
--- a/internal/state/configuration/store_test.go
+++ b/internal/state/configuration/store_test.go
@@ -143,9 +143,9 @@
 				if rapid.Bool().Draw(rt, "repeated") {
 					_, _ = l.Append(ctx, configuration.Stream, [][]byte{data})
 				}
-				catchUp(rt, l, reference)
+				applyAllRecords(rt, l, reference)
 			case 2, 3:
-				catchUp(rt, l, r)
+				applyAllRecords(rt, l, r)
 			case 4:
 				readers[i] = newReader()
 			case 5:
@@ -156,7 +156,7 @@
 			case 6:
 				if data, due := r.store.SnapshotDue("r"); due {
 					_, _ = l.Append(ctx, configuration.Stream, [][]byte{data})
-					catchUp(rt, l, reference)
+					applyAllRecords(rt, l, reference)
 				}
 			case 7:
 				// The log drops records only after a snapshot of the current
@@ -166,13 +166,13 @@
 				reference.store.SnapshotDue("t")
 				if data, due := reference.store.SnapshotDue("t"); due {
 					_, _ = l.Append(ctx, configuration.Stream, [][]byte{data})
-					catchUp(rt, l, reference)
+					applyAllRecords(rt, l, reference)
 					l.droppedRecordCount = rapid.IntRange(l.droppedRecordCount, len(l.records)-1).Draw(rt, "dropped")
 				}
 			}
 		}
 		for _, r := range readers {
-			catchUp(rt, l, r)
+			applyAllRecords(rt, l, r)
 			if got, want := r.store.Current(), reference.store.Current(); got.Offset != want.Offset {
 				rt.Fatalf("a reader has the version at offset %d, the reference reader %d", got.Offset, want.Offset)
 			}
@@ -185,8 +185,8 @@
 	})
 }
 
-// catchUp applies records until the log has no newer ones.
-func catchUp(rt *rapid.T, l *fakeLog, r *reader) {
+// applyAllRecords applies records until the log has no newer ones.
+func applyAllRecords(rt *rapid.T, l *fakeLog, r *reader) {
 	for {
 		before := r.store.ReadOffset()
 		if err := configuration.CatchUp(context.Background(), l, r.store, 0); err != nil {
--- a/internal/state/job/table.go
+++ b/internal/state/job/table.go
@@ -184,7 +184,7 @@
 		}
 	case TakenOver:
 		t.takeoverOffset = r.Offset
-		t.takeOver(record)
+		t.applyTakeover(record)
 	case Snapshot:
 		t.applySnapshot(record)
 	}
@@ -259,8 +259,8 @@
 	return out
 }
 
-// takeOver assigns the unfinished jobs of the record's FormerHolder to By.
-func (t *Table) takeOver(r Record) {
+// applyTakeover assigns the unfinished jobs of the record's FormerHolder to By.
+func (t *Table) applyTakeover(r Record) {
 	if r.FormerHolder == nil {
 		return
 	}
--- a/internal/state/job/table_test.go
+++ b/internal/state/job/table_test.go
@@ -76,11 +76,11 @@
 				log = append(log, logservice.Record{Offset: uint64(len(log) + 1), Data: log[len(log)-1].Data})
 			}
 			if rapid.Bool().Draw(rt, "read") {
-				applyUnread(rt, incremental, log)
+				applyUnreadRecords(rt, incremental, log)
 			}
 		}
-		applyUnread(rt, incremental, log)
-		applyUnread(rt, atOnce, log)
+		applyUnreadRecords(rt, incremental, log)
+		applyUnreadRecords(rt, atOnce, log)
 		for id, h := range holders {
 			first, second := incremental.Job(id), atOnce.Job(id)
 			if first.Holder != second.Holder || first.Generation != second.Generation || first.PendingTasks != second.PendingTasks {
@@ -108,8 +108,8 @@
 	return true
 }
 
-// applyUnread applies the records of the log that the table has not read yet.
-func applyUnread(rt *rapid.T, t *job.Table, log []logservice.Record) {
+// applyUnreadRecords applies the records of the log that the table has not read yet.
+func applyUnreadRecords(rt *rapid.T, t *job.Table, log []logservice.Record) {
 	for _, r := range log[t.AppliedOffset():] {
 		if err := t.Apply(r); err != nil {
 			rt.Fatal(err)
