--- a/internal/state/claim/claim.go
+++ b/internal/state/claim/claim.go
@@ -27,12 +27,12 @@
 	KindUnavailable Kind = "log_unavailable"
 	// KindMalformed means that the key is not a ULID.
 	KindMalformed Kind = "key_malformed"
-	// KindExpired means that the key is older than MaxKeyAge, so that earlier
+	// KindKeyExpired means that the key is older than MaxKeyAge, so that earlier
 	// claims of it may no longer be known.
-	KindExpired Kind = "key_expired"
-	// KindFuture means that the key's timestamp is ahead of the clock by more than
+	KindKeyExpired Kind = "key_expired"
+	// KindKeyInFuture means that the key's timestamp is ahead of the clock by more than
 	// MaxClockSkew.
-	KindFuture Kind = "key_in_future"
+	KindKeyInFuture Kind = "key_in_future"
 )
 
 // Error is the error type of this package.
@@ -131,7 +131,7 @@
 	return b
 }
 
-// CheckKey returns an error of KindMalformed, KindExpired or KindFuture if the key
+// CheckKey returns an error of KindMalformed, KindKeyExpired or KindKeyInFuture if the key
 // is not a ULID or its timestamp is too old or too far ahead of the clock.
 func (b *Registry) CheckKey(key string) error {
 	id, err := ulid.ParseStrict(key)
@@ -140,10 +140,10 @@
 	}
 	age := b.now().Sub(ulid.Time(id.Time()))
 	if age > MaxKeyAge {
-		return fault.Newf("claim", KindExpired, "key is %s old, the maximum age is %s", age.Round(time.Second), MaxKeyAge)
+		return fault.Newf("claim", KindKeyExpired, "key is %s old, the maximum age is %s", age.Round(time.Second), MaxKeyAge)
 	}
 	if age < -MaxClockSkew {
-		return fault.Newf("claim", KindFuture, "key is %s ahead of the clock", (-age).Round(time.Second))
+		return fault.Newf("claim", KindKeyInFuture, "key is %s ahead of the clock", (-age).Round(time.Second))
 	}
 	return nil
 }
@@ -173,7 +173,7 @@
 	if err := b.CheckKey(key); err != nil {
 		return Result{}, err
 	}
-	if err := b.catchUp(ctx, s, offset); err != nil {
+	if err := b.applyRecordsUpTo(ctx, s, offset); err != nil {
 		return Result{}, err
 	}
 	s.mutex.Lock()
@@ -213,8 +213,8 @@
 	return offset, nil
 }
 
-// catchUp reads a stream until it has applied the record at an offset.
-func (b *Registry) catchUp(ctx context.Context, s *claimStream, until uint64) error {
+// applyRecordsUpTo reads a stream until it has applied the record at an offset.
+func (b *Registry) applyRecordsUpTo(ctx context.Context, s *claimStream, until uint64) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for s.readOffset < until {
@@ -226,16 +226,16 @@
 			return fault.Newf("read", KindUnavailable, "the log returned no records before offset %d was reached", until)
 		}
 		for _, r := range reply.Records {
-			s.apply(r)
+			s.applyRecord(r)
 		}
 		b.pruneExpiredKeys(s)
 	}
 	return nil
 }
 
-// apply updates the claims with a record. The first claim of a key holds it until
+// applyRecord updates the claims with a record. The first claim of a key holds it until
 // the same request releases it. Records that cannot be decoded are skipped.
-func (s *claimStream) apply(r logservice.Record) {
+func (s *claimStream) applyRecord(r logservice.Record) {
 	s.readOffset = r.Offset
 	s.recordsSincePrune++
 	var decoded claimRecord
@@ -263,7 +263,7 @@
 	s.recordsSincePrune = 0
 	for scoped := range s.claimByScopedKey {
 		key := scoped[len(scoped)-ulid.EncodedSize:]
-		if fault.KindOf[Kind](b.CheckKey(key)) == KindExpired {
+		if fault.KindOf[Kind](b.CheckKey(key)) == KindKeyExpired {
 			delete(s.claimByScopedKey, scoped)
 		}
 	}
