--- a/internal/node/app/app.go
+++ b/internal/node/app/app.go
@@ -51,13 +51,13 @@
 
 func commands() map[string]command {
 	return map[string]command{
-		"entry":      {"run an entry VM", runEntry},
-		"check":      {"check the settings and the customer and entitlement lists", runCheck},
-		"settings":   {"print the effective settings", runSettings},
-		"publish":    {"publish the customer and entitlement lists", runPublish},
+		"entry":      {"run an entry VM", runEntryVM},
+		"check":      {"check the settings and the customer and entitlement lists", checkSettingsAndLists},
+		"settings":   {"print the effective settings", printSettings},
+		"publish":    {"publish the customer and entitlement lists", publishLists},
 		"report":     {"compare the VM-hours and cost of the shared pool with a pool per plan", runReport},
-		"jobs":       {"show or cancel a job", runJobs},
-		"explain":    {"print the events of a job from log files", runExplain},
+		"jobs":       {"show or cancel a job", showOrCancelJob},
+		"explain":    {"print the events of a job from log files", explainJob},
 		"quickstart": {"run example requests and jobs on an embedded cluster", runQuickstart},
 	}
 }
--- a/internal/node/app/entry.go
+++ b/internal/node/app/entry.go
@@ -45,10 +45,10 @@
 	PeerAddress   netip.AddrPort `json:"peer"`
 }
 
-// settingsFlags adds the flag that names the settings file and the flags that
+// addSettingsFlags adds the flag that names the settings file and the flags that
 // override single settings. The returned function reads and validates the
 // settings; it must be called after the flags were parsed.
-func settingsFlags(c *invocation) func() (settings.Settings, error) {
+func addSettingsFlags(c *invocation) func() (settings.Settings, error) {
 	file := c.flags.String("settings", "", "JSON file with the settings")
 	name := c.flags.String("name", "", "overrides the setting name")
 	domain := c.flags.String("domain", "", "overrides the setting domain")
@@ -88,8 +88,8 @@
 	}
 }
 
-func runSettings(c *invocation) error {
-	load := settingsFlags(c)
+func printSettings(c *invocation) error {
+	load := addSettingsFlags(c)
 	if err := c.parse(); err != nil {
 		return err
 	}
@@ -101,8 +101,8 @@
 	return err
 }
 
-func runEntry(c *invocation) error {
-	load := settingsFlags(c)
+func runEntryVM(c *invocation) error {
+	load := addSettingsFlags(c)
 	if err := c.parse(); err != nil {
 		return err
 	}
@@ -171,9 +171,9 @@
 	}))
 }
 
-// loadBalancerGrace is how long the load balancer may still send requests after
+// loadBalancerGracePeriod is how long the load balancer may still send requests after
 // the readiness check begins to fail.
-const loadBalancerGrace = time.Second
+const loadBalancerGracePeriod = time.Second
 
 // shutdown stops the entry VM gracefully: the readiness check fails, other
 // entry VMs take over its workers and jobs, and open requests run to their end.
@@ -186,7 +186,7 @@
 		defer close(drained)
 		e.node.Drain(ctx)
 	}()
-	time.Sleep(loadBalancerGrace)
+	time.Sleep(loadBalancerGracePeriod)
 	if err := e.server.Shutdown(ctx); err != nil {
 		e.common.Log.Error(err, "shutdown_cut_callers")
 	}
--- a/internal/node/app/explain.go
+++ b/internal/node/app/explain.go
@@ -8,9 +8,9 @@
 	"github.com/almondpost/almondpost/internal/operate/explain"
 )
 
-// runExplain prints the events of one job from the log files of several
+// explainJob prints the events of one job from the log files of several
 // processes.
-func runExplain(c *invocation) error {
+func explainJob(c *invocation) error {
 	if err := c.flags.Parse(c.args); err != nil {
 		return err
 	}
--- a/internal/node/app/lists.go
+++ b/internal/node/app/lists.go
@@ -16,10 +16,10 @@
 	"github.com/almondpost/almondpost/internal/state/plan"
 )
 
-// listFlags adds the flags that name the files of the customer list and the
+// addListFlags adds the flags that name the files of the customer list and the
 // entitlement list. The returned function reads and validates both lists; it
 // must be called after the flags were parsed.
-func listFlags(c *invocation) func() (plan.Lists, error) {
+func addListFlags(c *invocation) func() (plan.Lists, error) {
 	customers := c.flags.String("customers", "", "JSON file with each customer's plans")
 	entitlements := c.flags.String("entitlements", "", "JSON file with the shares and limits of each plan")
 	return func() (plan.Lists, error) {
@@ -27,10 +27,10 @@
 		if *customers == "" || *entitlements == "" {
 			return l, fault.Newf("lists", KindUsage, "flags -customers and -entitlements must both be given")
 		}
-		if err := readList(*customers, &l.Customers); err != nil {
+		if err := readListFile(*customers, &l.Customers); err != nil {
 			return l, err
 		}
-		if err := readList(*entitlements, &l.Entitlements); err != nil {
+		if err := readListFile(*entitlements, &l.Entitlements); err != nil {
 			return l, err
 		}
 		if err := l.Validate(); err != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-func readList(file string, target any) error {
+func readListFile(file string, target any) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return fault.New("lists", KindUsage, err)
@@ -51,9 +51,9 @@
 	return nil
 }
 
-func runCheck(c *invocation) error {
+func checkSettingsAndLists(c *invocation) error {
 	file := c.flags.String("settings", "", "JSON file with the settings")
-	lists := listFlags(c)
+	lists := addListFlags(c)
 	if err := c.parse(); err != nil {
 		return err
 	}
@@ -85,8 +85,8 @@
 // makes.
 const publishTimeout = 30 * time.Second
 
-func runPublish(c *invocation) error {
-	lists := listFlags(c)
+func publishLists(c *invocation) error {
+	lists := addListFlags(c)
 	address := c.flags.String("log", "", "address of the log service")
 	basedOn := c.flags.Int64("based-on", -1, "log offset of the configuration that the lists are based on; -1 stands for the newest one")
 	operator := c.flags.String("operator", os.Getenv("USER"), "name of the publisher, shown to an operator whose publication conflicts with this one")
--- a/internal/node/app/operator.go
+++ b/internal/node/app/operator.go
@@ -72,7 +72,7 @@
 	return f.Close()
 }
 
-func runJobs(c *invocation) error {
+func showOrCancelJob(c *invocation) error {
 	entry := entryAddressFlag(c)
 	id := c.flags.String("id", "", "ID of the job")
 	cancelJob := c.flags.Bool("cancel", false, "cancel the job")
