--- a/internal/node/daemon/job_calls.go
+++ b/internal/node/daemon/job_calls.go
@@ -53,12 +53,12 @@
 // most the shorter of wait and maxFetchWait. FetchJob returns false if none of the
 // entry VMs that answer knows the job.
 func (n *Node) FetchJob(ctx context.Context, id string, wait time.Duration) (job.Status, bool) {
-	domain, _, ok := splitID(id)
+	domain, _, ok := splitRequestID(id)
 	if !ok {
 		return job.Status{}, false
 	}
 	if domain == n.Settings.Domain {
-		return n.jobs.awaitEnd(ctx, id, wait)
+		return n.jobs.awaitJobEnd(ctx, id, wait)
 	}
 	for _, t := range n.Targets() {
 		if t.Domain != domain || !t.Reachable {
@@ -75,15 +75,15 @@
 	return job.Status{}, false
 }
 
-// awaitEnd returns the status of a job of this failure domain once the job has
+// awaitJobEnd returns the status of a job of this failure domain once the job has
 // ended, wait or maxFetchWait has elapsed, or ctx ends. It returns false if the job
 // is unknown.
-func (j *Jobs) awaitEnd(ctx context.Context, id string, wait time.Duration) (job.Status, bool) {
+func (j *Jobs) awaitJobEnd(ctx context.Context, id string, wait time.Duration) (job.Status, bool) {
 	timer := time.NewTimer(min(wait, maxFetchWait))
 	defer timer.Stop()
 	for {
 		j.mutex.Lock()
-		k, changed := j.table.Job(id), j.changed
+		k, changed := j.table.Job(id), j.tableChanged
 		var s job.Status
 		if k != nil {
 			s = k.Status()
@@ -105,7 +105,7 @@
 // CancelJob implements caller.Service. It writes the cancellation to the log,
 // where the holder of the job reads it.
 func (n *Node) CancelJob(ctx context.Context, id string) error {
-	domain, _, _ := splitID(id)
+	domain, _, _ := splitRequestID(id)
 	record := job.Record{Action: job.Cancelled, By: n.jobs.self, Job: id}
 	_, err := n.recorder.Append(ctx, job.Stream(domain), record.Encode())
 	return err
--- a/internal/node/daemon/job_takeover.go
+++ b/internal/node/daemon/job_takeover.go
@@ -20,7 +20,7 @@
 	if time.Since(j.leaseConfirmedAt) < jobLease {
 		return true
 	}
-	wasFrozen := time.Since(j.lastTickAt) > maxTickGap || j.leaseConfirmedAt.Before(j.frozenUntil)
+	wasFrozen := time.Since(j.lastTickAt) > maxTickGap || j.leaseConfirmedAt.Before(j.lastFreezeNoticedAt)
 	return !wasFrozen && !j.node.isIsolated()
 }
 
@@ -30,7 +30,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	known, alive := 0, 0
-	for _, m := range n.view.Members() {
+	for _, m := range n.memberView.Members() {
 		if m.Domain != n.Settings.Domain {
 			continue
 		}
@@ -51,22 +51,22 @@
 	}
 	var departed []job.Holder
 	for h := range j.table.Holders() {
-		if h != j.self && !j.takingOver[h] && j.node.isGone(h) && j.node.isSuccessor(h) {
-			j.takingOver[h] = true
+		if h != j.self && !j.holdersBeingTakenOver[h] && j.node.hasHolderLeft(h) && j.node.isSuccessor(h) {
+			j.holdersBeingTakenOver[h] = true
 			departed = append(departed, h)
 		}
 	}
 	return departed
 }
 
-// isGone reports whether the process of a holder was removed from the membership
+// hasHolderLeft reports whether the process of a holder was removed from the membership
 // or replaced by a newer one. An earlier process of this entry VM is always
 // gone. A process from which no heartbeat was ever received counts as gone once
 // this node has run for RemoveAfter.
-func (n *Node) isGone(h job.Holder) bool {
+func (n *Node) hasHolderLeft(h job.Holder) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	m, ok := n.view.Member(h.Name)
+	m, ok := n.memberView.Member(h.Name)
 	if h.Name == n.Settings.Name {
 		return true
 	}
@@ -81,16 +81,16 @@
 func (n *Node) isSuccessor(h job.Holder) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return membership.Rendezvous(h.Name, n.view.Owners()) == n.Settings.Name
+	return membership.Rendezvous(h.Name, n.memberView.Owners()) == n.Settings.Name
 }
 
-// takeOver writes to the log that this process takes over the jobs of a holder
+// takeOverJobs writes to the log that this process takes over the jobs of a holder
 // that is gone. If several processes do so, the first record in the log decides
 // which of them gets the jobs.
-func (j *Jobs) takeOver(h job.Holder) {
+func (j *Jobs) takeOverJobs(h job.Holder) {
 	defer func() {
 		j.mutex.Lock()
-		delete(j.takingOver, h)
+		delete(j.holdersBeingTakenOver, h)
 		j.mutex.Unlock()
 	}()
 	ctx, cancel := context.WithTimeout(j.node.context, appendTimeout)
@@ -103,9 +103,9 @@
 	}
 }
 
-// handOver moves the jobs of this process to its successor before a planned
+// handOverJobs moves the jobs of this process to its successor before a planned
 // stop. It reports whether this process holds no jobs any more.
-func (j *Jobs) handOver(ctx context.Context) bool {
+func (j *Jobs) handOverJobs(ctx context.Context) bool {
 	j.mutex.Lock()
 	held := len(j.table.HeldBy(j.self))
 	j.mutex.Unlock()
@@ -128,6 +128,6 @@
 func (n *Node) successor(h job.Holder) (job.Holder, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	m, ok := n.view.Member(membership.Rendezvous(h.Name, n.view.Owners()))
+	m, ok := n.memberView.Member(membership.Rendezvous(h.Name, n.memberView.Owners()))
 	return job.Holder{Name: m.Name, Incarnation: m.Incarnation}, ok
 }
--- a/internal/node/daemon/jobs.go
+++ b/internal/node/daemon/jobs.go
@@ -49,20 +49,20 @@
 	// mutex guards the fields below.
 	mutex sync.Mutex
 	table *job.Table
-	// running maps the ID of each job that this process holds to its run.
-	running map[string]*jobRun
+	// runsByJobID maps the ID of each job that this process holds to its run.
+	runsByJobID map[string]*jobRun
 	// leaseConfirmedAt is when the last read that reached the end of the job
 	// stream was sent. The lease on the jobs of this process begins at that time.
 	leaseConfirmedAt time.Time
 	// lastTickAt is when takeoverLoop last ran.
 	lastTickAt time.Time
-	// frozenUntil is when this process last noticed that it had been frozen. Only
+	// lastFreezeNoticedAt is when this process last noticed that it had been frozen. Only
 	// reads that were sent later confirm that it still holds its jobs.
-	frozenUntil time.Time
-	// changed is closed and replaced whenever table changes.
-	changed chan struct{}
-	// takingOver is the set of former holders whose takeover is under way.
-	takingOver map[job.Holder]bool
+	lastFreezeNoticedAt time.Time
+	// tableChanged is closed and replaced whenever table changes.
+	tableChanged chan struct{}
+	// holdersBeingTakenOver is the set of former holders whose takeover is under way.
+	holdersBeingTakenOver map[job.Holder]bool
 }
 
 // jobRun is the execution of one job by this process.
@@ -81,7 +81,7 @@
 func NewJobs(n *Node) *Jobs {
 	j := &Jobs{
 		node: n, self: job.Holder{Name: n.Settings.Name, Incarnation: n.incarnation}, table: job.New(),
-		running: map[string]*jobRun{}, changed: make(chan struct{}), takingOver: map[job.Holder]bool{},
+		runsByJobID: map[string]*jobRun{}, tableChanged: make(chan struct{}), holdersBeingTakenOver: map[job.Holder]bool{},
 	}
 	go j.followJobStream()
 	go j.takeoverLoop()
@@ -110,14 +110,14 @@
 		}
 		if len(reply.Records) < maxJobRecordsPerRead {
 			wait = jobReadWait
-			if sentAt.After(j.frozenUntil) {
+			if sentAt.After(j.lastFreezeNoticedAt) {
 				j.leaseConfirmedAt = sentAt
 			}
 		}
 		j.reconcile()
 		if len(reply.Records) > 0 {
-			close(j.changed)
-			j.changed = make(chan struct{})
+			close(j.tableChanged)
+			j.tableChanged = make(chan struct{})
 		}
 		j.mutex.Unlock()
 	}
@@ -135,21 +135,21 @@
 // reconcile starts a run for each job that this process holds and abandons the
 // runs of jobs that ended or have another holder. The caller holds the mutex.
 func (j *Jobs) reconcile() {
-	for id, r := range j.running {
+	for id, r := range j.runsByJobID {
 		if k := j.table.Job(id); k == nil || k.Holder != j.self || k.PendingTasks == 0 {
 			close(r.abandoned)
-			delete(j.running, id)
+			delete(j.runsByJobID, id)
 		}
 	}
 	for _, k := range j.table.HeldBy(j.self) {
-		r := j.running[k.ID]
+		r := j.runsByJobID[k.ID]
 		if r == nil {
 			// The context ends only when the job is cancelled. A process that
 			// stops does not cancel its jobs, because the next holder continues
 			// them.
 			ctx, cancel := context.WithCancel(context.Background())
 			r = &jobRun{generation: k.Generation, cancel: cancel, abandoned: make(chan struct{})}
-			j.running[k.ID] = r
+			j.runsByJobID[k.ID] = r
 			go j.runJob(ctx, r, k.ID)
 		}
 		if k.Cancelled {
@@ -174,14 +174,14 @@
 		}
 		j.mutex.Lock()
 		if gap := time.Since(j.lastTickAt); gap > maxTickGap {
-			j.frozenUntil = time.Now()
+			j.lastFreezeNoticedAt = time.Now()
 			j.node.Log.Info("frozen", "gap", gap.String())
 		}
 		j.lastTickAt = time.Now()
 		departed := j.holdersToTakeOver()
 		j.mutex.Unlock()
 		for _, h := range departed {
-			go j.takeOver(h)
+			go j.takeOverJobs(h)
 		}
 	}
 }
@@ -191,7 +191,7 @@
 func (j *Jobs) awaitOffset(ctx context.Context, offset uint64) bool {
 	for {
 		j.mutex.Lock()
-		read, changed := j.table.AppliedOffset(), j.changed
+		read, changed := j.table.AppliedOffset(), j.tableChanged
 		j.mutex.Unlock()
 		if read >= offset {
 			return true
--- a/internal/node/daemon/keyed_requests.go
+++ b/internal/node/daemon/keyed_requests.go
@@ -19,7 +19,7 @@
 	result, err := r.node.claims.Claim(claimContext, w.Spec.Plan, w.Spec.Key, w.ID)
 	cancel()
 	if err != nil {
-		return r.refuseUnclaimed(w, err)
+		return r.refuseRequestWithoutClaim(w, err)
 	}
 	if !result.Won {
 		outcome := r.awaitHolderOutcome(ctx, result)
@@ -35,14 +35,14 @@
 	w.Domain = r.node.Settings.Domain
 	w.Permit = func() bool { return r.node.owner.Epoch() == epoch }
 	outcome := r.node.runner.Run(ctx, w)
-	go r.settleKey(w, outcome)
+	go r.recordKeyOutcome(w, outcome)
 	return outcome
 }
 
-// refuseUnclaimed returns the outcome of a request whose key could not be
+// refuseRequestWithoutClaim returns the outcome of a request whose key could not be
 // claimed. If the log was unavailable, the claim may be in the log all the
 // same, so the key is released in the background.
-func (r *Requests) refuseUnclaimed(w request.Work, err error) request.Outcome {
+func (r *Requests) refuseRequestWithoutClaim(w request.Work, err error) request.Outcome {
 	kind := fault.KindOf[claim.Kind](err)
 	if kind != claim.KindUnavailable {
 		return refusedOutcome(w.ID, string(kind), 0)
@@ -59,10 +59,10 @@
 	})
 }
 
-// settleKey writes the outcome of a request with a key to the log, or releases
+// recordKeyOutcome writes the outcome of a request with a key to the log, or releases
 // the key if the request was not run. Outcomes with large answers are not
 // written.
-func (r *Requests) settleKey(w request.Work, outcome request.Outcome) {
+func (r *Requests) recordKeyOutcome(w request.Work, outcome request.Outcome) {
 	if outcome.State == request.NotRun || outcome.State == request.Cancelled && outcome.Attempts == 0 {
 		r.releaseKey(w)
 		return
@@ -132,7 +132,7 @@
 // never will, it releases the key and claims it for w.
 func (r *Requests) recoverOrphanedKey(ctx context.Context, w request.Work, result claim.Result) request.Outcome {
 	unknownOutcome := request.Outcome{ID: result.Holder, State: request.MayHaveRun, Reason: reasonHolderUnreachable}
-	domain, _, ok := splitID(result.Holder)
+	domain, _, ok := splitRequestID(result.Holder)
 	if !ok {
 		return unknownOutcome
 	}
@@ -146,7 +146,7 @@
 	if f, ok := found[result.Holder]; ok {
 		former := request.Work{ID: result.Holder, Customer: w.Customer, Spec: w.Spec, Submitted: w.Submitted, ExistingAttempt: f.Attempt, ExistingAttemptOwner: f.Owner}
 		outcome := r.node.runner.Run(ctx, former)
-		go r.settleKey(former, outcome)
+		go r.recordKeyOutcome(former, outcome)
 		return outcome
 	}
 	if err := r.node.claims.Release(searchContext, w.Spec.Plan, w.Spec.Key, result.Holder); err != nil {
--- a/internal/node/daemon/members.go
+++ b/internal/node/daemon/members.go
@@ -29,10 +29,10 @@
 	for {
 		n.sendHeartbeats()
 		n.mutex.Lock()
-		changed := n.view.UpdateStates(time.Now())
+		changed := n.memberView.UpdateStates(time.Now())
 		n.mutex.Unlock()
 		if changed {
-			n.handleMembersChange()
+			n.handleMembershipChange()
 		}
 		n.assignWorkers()
 		select {
@@ -50,8 +50,8 @@
 func (n *Node) sendHeartbeats() {
 	load, epoch := n.owner.Advertise(), n.owner.Epoch()
 	n.mutex.Lock()
-	n.view.SetSelf(membership.Advert{FreeFraction: load.FreeFraction, Waiting: load.TotalWaiting(), Workers: load.Workers}, epoch, n.configuration.Current().Offset, n.leaving)
-	self := n.view.Self()
+	n.memberView.SetSelf(membership.Advert{FreeFraction: load.FreeFraction, Waiting: load.TotalWaiting(), Workers: load.Workers}, epoch, n.configuration.Current().Offset, n.leaving)
+	self := n.memberView.Self()
 	targets := n.heartbeatTargets()
 	n.heartbeatRounds++
 	full := n.heartbeatRounds%roundsPerFullHeartbeat == 1
@@ -74,7 +74,7 @@
 	targets := map[netip.AddrPort]bool{}
 	knownAddresses := map[netip.AddrPort]bool{n.Settings.PeerAdvertise: true}
 	var otherDomains []netip.AddrPort
-	for _, m := range n.view.Members() {
+	for _, m := range n.memberView.Members() {
 		knownAddresses[m.Address] = true
 		if m.Domain == n.Settings.Domain {
 			targets[m.Address] = true
@@ -111,7 +111,7 @@
 		}
 		h := received.Heartbeat
 		n.mutex.Lock()
-		m, _ := n.view.Member(h.Name)
+		m, _ := n.memberView.Member(h.Name)
 		n.mutex.Unlock()
 		if n.cut.Blocks(h.Domain) || n.cut.Blocks(m.Domain) {
 			continue
@@ -122,14 +122,14 @@
 		}
 		n.mutex.Lock()
 		knownIncarnation := m.Incarnation >= h.Incarnation
-		changed := n.view.Observe(time.Now(), received.Heartbeat)
-		self := n.view.Self()
+		changed := n.memberView.Observe(time.Now(), received.Heartbeat)
+		self := n.memberView.Self()
 		n.mutex.Unlock()
 		if !knownIncarnation {
 			_, _ = n.heartbeats.Send(received.From, self)
 		}
 		if changed {
-			n.handleMembersChange()
+			n.handleMembershipChange()
 			n.assignWorkers()
 		}
 		if h.ConfigurationOffset > n.configuration.Current().Offset {
@@ -138,11 +138,11 @@
 	}
 }
 
-// handleMembersChange logs the members and sets the append rate of this node,
+// handleMembershipChange logs the members and sets the append rate of this node,
 // which is an equal part of totalAppendsPerSecond.
-func (n *Node) handleMembersChange() {
+func (n *Node) handleMembershipChange() {
 	n.mutex.Lock()
-	members := n.view.Members()
+	members := n.memberView.Members()
 	n.mutex.Unlock()
 	for _, m := range members {
 		n.Log.V(1).Info("member", "name", m.Name, "state", string(m.State), "incarnation", m.Incarnation)
@@ -193,7 +193,7 @@
 // selects this node.
 func (n *Node) assignWorkers() {
 	n.mutex.Lock()
-	owners := n.view.Owners()
+	owners := n.memberView.Owners()
 	var assigned []vmlist.VM
 	for _, v := range n.vmList.VMs {
 		if v.Role != vmlist.Worker || v.Domain != n.Settings.Domain {
--- a/internal/node/daemon/node.go
+++ b/internal/node/daemon/node.go
@@ -99,8 +99,8 @@
 
 	// mutex guards the fields below.
 	mutex sync.Mutex
-	// view is what this node knows about the other entry VMs.
-	view *membership.View
+	// memberView is what this node knows about the other entry VMs.
+	memberView *membership.View
 	// vmList is the last VM list that was read from the platform.
 	vmList vmlist.List
 	// leaving is set when a drain begins.
@@ -162,7 +162,7 @@
 	if !n.Settings.PeerAdvertise.IsValid() {
 		n.Settings.PeerAdvertise = address
 	}
-	n.view = membership.New(membership.Heartbeat{
+	n.memberView = membership.New(membership.Heartbeat{
 		Name: n.Settings.Name, Incarnation: n.incarnation, Domain: n.Settings.Domain, Address: n.Settings.PeerAdvertise,
 	}, membership.Timing{
 		SuspectAfter: time.Duration(n.Settings.SuspectAfter),
@@ -197,7 +197,7 @@
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	for _, m := range n.view.Members() {
+	for _, m := range n.memberView.Members() {
 		if m.Address == a {
 			return n.cut.Blocks(m.Domain)
 		}
@@ -248,7 +248,7 @@
 	n.owner.Drain()
 	n.sendHeartbeats()
 	for ctx.Err() == nil {
-		if n.jobs.handOver(ctx) && n.requests.OpenCount() == 0 && (n.owner.AdoptedWorkers() == 0 || !n.hasSuccessor()) {
+		if n.jobs.handOverJobs(ctx) && n.requests.OpenCount() == 0 && (n.owner.AdoptedWorkers() == 0 || !n.hasSuccessor()) {
 			break
 		}
 		time.Sleep(drainPollInterval)
@@ -263,7 +263,7 @@
 func (n *Node) hasSuccessor() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return len(n.view.Owners()) > 0
+	return len(n.memberView.Owners()) > 0
 }
 
 // Close stops all loops and closes all connections without draining.
--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -21,7 +21,7 @@
 		FreeFraction: load.FreeFraction, Waiting: load.TotalWaiting(),
 		Usable: !n.leaving && load.Workers > 0, Reachable: true,
 	}}
-	for _, m := range n.view.Members() {
+	for _, m := range n.memberView.Members() {
 		targets = append(targets, request.Target{
 			Name: m.Name, Epoch: m.Epoch, Domain: m.Domain,
 			FreeFraction: m.Advert.FreeFraction, Waiting: m.Advert.Waiting,
@@ -50,7 +50,7 @@
 func (n *Node) addressOf(name string) (netip.AddrPort, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if m, ok := n.view.Member(name); ok {
+	if m, ok := n.memberView.Member(name); ok {
 		return m.Address, true
 	}
 	for _, v := range n.vmList.VMs {
--- a/internal/node/daemon/request_fetch.go
+++ b/internal/node/daemon/request_fetch.go
@@ -14,7 +14,7 @@
 // of a request or the status of a job, or cancels a request.
 func (r *Requests) HandleFetch(a entry.FetchArgs) entry.FetchReply {
 	if a.Job {
-		status, ok := r.node.jobs.awaitEnd(context.Background(), a.ID, a.Wait)
+		status, ok := r.node.jobs.awaitJobEnd(context.Background(), a.ID, a.Wait)
 		data, err := json.Marshal(status)
 		return entry.FetchReply{Known: ok && err == nil, Outcome: data}
 	}
@@ -29,9 +29,9 @@
 	return entry.FetchReply{Known: err == nil, Outcome: data}
 }
 
-// splitID returns the failure domain and the entry VM in an ID that NewID
+// splitRequestID returns the failure domain and the entry VM in an ID that NewID
 // built. It returns false if the ID is malformed.
-func splitID(id string) (domain, vm string, ok bool) {
+func splitRequestID(id string) (domain, vm string, ok bool) {
 	parts := strings.Split(id, ".")
 	if len(parts) != 3 {
 		return "", "", false
@@ -44,7 +44,7 @@
 // maxFetchWait; if the request has not ended by then, the state is pending. It
 // returns false if the request is unknown.
 func (r *Requests) Fetch(ctx context.Context, id string, wait time.Duration) (request.Outcome, bool) {
-	domain, vm, ok := splitID(id)
+	domain, vm, ok := splitRequestID(id)
 	if !ok {
 		return request.Outcome{}, false
 	}
@@ -106,7 +106,7 @@
 
 // CancelRequest implements caller.Service.
 func (n *Node) CancelRequest(ctx context.Context, id string) bool {
-	_, vm, ok := splitID(id)
+	_, vm, ok := splitRequestID(id)
 	if !ok {
 		return false
 	}
--- a/internal/node/daemon/requests.go
+++ b/internal/node/daemon/requests.go
@@ -78,7 +78,7 @@
 		// If the answers exceed their limit, the retention is halved until they
 		// fit or it is below one second.
 		for retention := outcomeRetention; ; retention /= 2 {
-			r.prune(retention)
+			r.pruneEndedRequests(retention)
 			if r.answerBytes.Load() <= maxRetainedAnswerBytes || retention < time.Second {
 				break
 			}
@@ -86,8 +86,8 @@
 	}
 }
 
-// prune deletes the requests that ended longer ago than retention.
-func (r *Requests) prune(retention time.Duration) {
+// pruneEndedRequests deletes the requests that ended longer ago than retention.
+func (r *Requests) pruneEndedRequests(retention time.Duration) {
 	r.table.DeleteIf(func(_ string, o *trackedRequest) bool {
 		select {
 		case <-o.done:
--- a/internal/node/daemon/usage.go
+++ b/internal/node/daemon/usage.go
@@ -78,7 +78,7 @@
 		}
 		periods = append(periods, reply.Periods...)
 	}
-	logged, err := n.loggedUsage(ctx)
+	logged, err := n.readLoggedUsage(ctx)
 	periods = append(periods, logged...)
 	return report.New(periods, n.configuration.Current().Index, missing, err == nil)
 }
@@ -97,9 +97,9 @@
 	return names
 }
 
-// loggedUsage returns all usage periods in the log. After an error it returns
+// readLoggedUsage returns all usage periods in the log. After an error it returns
 // those that were read before.
-func (n *Node) loggedUsage(ctx context.Context) ([]usage.Period, error) {
+func (n *Node) readLoggedUsage(ctx context.Context) ([]usage.Period, error) {
 	var periods []usage.Period
 	for offset := uint64(0); ; {
 		reply, err := n.logService.Read(ctx, usageStream, offset, maxUsageRecordsPerRead, 0)
