--- a/internal/emulate/load/call.go
+++ b/internal/emulate/load/call.go
@@ -33,10 +33,10 @@
 
 // call is one request as its caller saw it, including its resubmissions.
 type call struct {
-	group  RequestGroup
-	sent   time.Time
-	ended  time.Time
-	result result
+	group   RequestGroup
+	sentAt  time.Time
+	endedAt time.Time
+	result  result
 	// reason explains a result other than answered.
 	reason string
 	// requestIDs are the IDs of the request and its resubmissions, in order.
@@ -75,7 +75,7 @@
 	if !g.Repeatable {
 		s.Key = nonce
 	}
-	c := call{group: g, sent: time.Now(), nonce: nonce, result: lost}
+	c := call{group: g, sentAt: time.Now(), nonce: nonce, result: lost}
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
 	for attempt := range maxSubmissions {
@@ -91,7 +91,7 @@
 		c.reason = err.Error()
 		time.Sleep(resubmitPause)
 	}
-	c.ended = time.Now()
+	c.endedAt = time.Now()
 	return c
 }
 
--- a/internal/emulate/load/figures.go
+++ b/internal/emulate/load/figures.go
@@ -23,10 +23,10 @@
 	return out
 }
 
-// lastRequestRan reports whether the last submission of a call ran on a worker.
+// lastSubmissionRan reports whether the last submission of a call ran on a worker.
 // If the result of the call is notRun, the caller was told that this submission
 // did not run.
-func lastRequestRan(c call, runs map[string][]standin.AttemptRun) bool {
+func lastSubmissionRan(c call, runs map[string][]standin.AttemptRun) bool {
 	return len(c.requestIDs) > 0 && len(runs[c.requestIDs[len(c.requestIDs)-1]]) > 0
 }
 
@@ -56,7 +56,7 @@
 // goodput counts the requests of a phase and those that were answered in time.
 // Reports use the ratio of the two counts, because a rate would vary with the
 // random number of arrivals.
-type goodput struct{ sent, inTime int }
+type goodput struct{ sentCount, inTimeCount int }
 
 // maxUsefulDelay returns how long an answer may take, in addition to the run time,
 // to count towards the goodput of a class.
@@ -75,14 +75,14 @@
 	if c.result == cancelled {
 		return
 	}
-	g.sent++
-	if c.result == answered && c.ended.Sub(c.sent)-c.group.RunTime <= maxUsefulDelay(c.group.Class) {
-		g.inTime++
+	g.sentCount++
+	if c.result == answered && c.endedAt.Sub(c.sentAt)-c.group.RunTime <= maxUsefulDelay(c.group.Class) {
+		g.inTimeCount++
 	}
 }
 
 // ratio returns the fraction of the requests that were answered in time.
-func (g *goodput) ratio() float64 { return float64(g.inTime) / float64(max(1, g.sent)) }
+func (g *goodput) ratio() float64 { return float64(g.inTimeCount) / float64(max(1, g.sentCount)) }
 
 // measurePacking returns the mean use of the fleet as a fraction of its
 // capacity, for the slots and for the resource that is used most. It covers the
@@ -90,7 +90,7 @@
 func (r *scenarioRun) measurePacking(histories []standin.History) Packing {
 	var capacity resource.Vector
 	var used [resource.KindCount]float64
-	from, to := r.startedAt.Add(calmPhase+rampTime), r.startedAt.Add(calmPhase+actingPhase)
+	from, to := r.startedAt.Add(calmPhase+phaseEdgeToIgnore), r.startedAt.Add(calmPhase+actingPhase)
 	for _, h := range histories {
 		capacity = capacity.Add(h.Capacity)
 		for _, s := range h.Runs {
@@ -135,13 +135,13 @@
 // returns 0 if the calm phase had no such answers.
 func (r *scenarioRun) lowestUrgentRate() float64 {
 	calm := 0.0
-	windows := make([]float64, int((actingPhase-rampTime)/urgentRateWindow))
+	windows := make([]float64, int((actingPhase-phaseEdgeToIgnore)/urgentRateWindow))
 	for _, c := range r.calls {
 		if c.group.Class != "urgent" || c.result != answered {
 			continue
 		}
-		at := c.ended.Sub(r.startedAt)
-		if at > rampTime && at <= calmPhase {
+		at := c.endedAt.Sub(r.startedAt)
+		if at > phaseEdgeToIgnore && at <= calmPhase {
 			calm++
 		}
 		if i := int((at - calmPhase) / urgentRateWindow); at > calmPhase && i < len(windows) {
@@ -157,5 +157,5 @@
 	if calm == 0 {
 		return 0
 	}
-	return lowest / urgentRateWindow.Seconds() / (calm / (calmPhase - rampTime).Seconds())
+	return lowest / urgentRateWindow.Seconds() / (calm / (calmPhase - phaseEdgeToIgnore).Seconds())
 }
--- a/internal/emulate/load/load.go
+++ b/internal/emulate/load/load.go
@@ -50,9 +50,9 @@
 	// FloodPlans maps the name of a deployment to the plan whose request rate is
 	// multiplied by floodFactor in the acting phase.
 	FloodPlans map[string]string
-	// Act is called at the start of the acting phase; nil means no action. A run
+	// RunAction is called at the start of the acting phase; nil means no action. A run
 	// fails with the error that it returns.
-	Act func(ctx context.Context, r *scenarioRun) error
+	RunAction func(ctx context.Context, r *scenarioRun) error
 }
 
 // floodFactor is the factor by which a flood multiplies the request rate of a
@@ -65,13 +65,13 @@
 	calmPhase = 8 * time.Second
 	// actingPhase is the length of the second phase, in which the scenario acts.
 	actingPhase = 16 * time.Second
-	// settleTime is the maximum time to wait for the last answers.
-	settleTime = 25 * time.Second
-	// rampTime is the part of a phase that some measurements ignore.
+	// maxAnswerWait is the maximum time to wait for the last answers.
+	maxAnswerWait = 25 * time.Second
+	// phaseEdgeToIgnore is the part of a phase that some measurements ignore.
 	// measurePacking ignores it at the start of the acting phase, and
 	// lowestUrgentRate at the start of the calm phase and the end of the acting
 	// phase.
-	rampTime = 2 * time.Second
+	phaseEdgeToIgnore = 2 * time.Second
 )
 
 // requestGroups returns the groups of requests to send to a deployment. Every
@@ -116,9 +116,9 @@
 
 // measurements holds the values that scenarios record while they act.
 type measurements struct {
-	// leavingSince maps the name of a worker to the time since which the VM list
+	// workersLeavingSince maps the name of a worker to the time since which the VM list
 	// has shown it as leaving.
-	leavingSince map[string]time.Time
+	workersLeavingSince map[string]time.Time
 	// raceRounds is the number of times that two operators published concurrently.
 	// raceWinners counts the publications that were accepted, and raceLosers those
 	// that were refused because of a conflict.
@@ -203,9 +203,9 @@
 		group.Go(func() { r.sendRequests(ctx, g, random) })
 	}
 	var failure error
-	if r.scenario.Act != nil {
+	if r.scenario.RunAction != nil {
 		time.Sleep(calmPhase)
-		failure = r.scenario.Act(ctx, r)
+		failure = r.scenario.RunAction(ctx, r)
 	}
 	group.Wait()
 	done := make(chan struct{})
@@ -215,7 +215,7 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(settleTime):
+	case <-time.After(maxAnswerWait):
 	}
 	return failure
 }
--- a/internal/emulate/load/main.go
+++ b/internal/emulate/load/main.go
@@ -99,7 +99,7 @@
 	_, _ = fmt.Fprintf(w, "%s on %s, seed %d, %.1f s\n", r.Scenario, r.Deployment, r.Seed, r.Seconds)
 	_, _ = fmt.Fprintf(w, "%-16s %-10s %9s %9s %8s %5s %8s %7s %9s %9s\n", "plan", "class", "submitted", "answered", "not_run", "lost", "doubled", "goodput", "p50_ms", "p99_ms")
 	for _, g := range r.Groups {
-		_, _ = fmt.Fprintf(w, "%-16s %-10s %9d %9d %8d %5d %8d %7.2f %9.0f %9.0f\n", g.Plan, g.Class, g.Submitted, g.Answered, g.NotRun, g.Lost, g.DoubleRuns, g.CalmGoodputRatio, g.Waiting.P50, g.Waiting.P99)
+		_, _ = fmt.Fprintf(w, "%-16s %-10s %9d %9d %8d %5d %8d %7.2f %9.0f %9.0f\n", g.Plan, g.Class, g.Submitted, g.Answered, g.NotRun, g.Lost, g.DoubleRuns, g.CalmGoodputRatio, g.WaitingTime.P50, g.WaitingTime.P99)
 	}
 	r.Groups = nil
 	data, _ := json.Marshal(r)
@@ -145,7 +145,7 @@
 func runScenario(ctx context.Context, c *cluster.Cluster, s Scenario, o Options) (Report, error) {
 	r := &scenarioRun{
 		cluster: c, scenario: s, random: rand.New(rand.NewPCG(o.Seed, o.Seed)), groups: requestGroups(o.Deployment),
-		outOfRotation: map[string]bool{}, measurements: measurements{leavingSince: map[string]time.Time{}},
+		outOfRotation: map[string]bool{}, measurements: measurements{workersLeavingSince: map[string]time.Time{}},
 	}
 	before, began := r.usageByEntryVM(ctx), time.Now()
 	appendsBefore, err := c.LogAppendCount(ctx)
--- a/internal/emulate/load/report.go
+++ b/internal/emulate/load/report.go
@@ -26,9 +26,9 @@
 	// OverfilledStarts counts starts that exceeded the capacity of their worker.
 	OverfilledStarts    int   `json:"over_filled"`
 	InvariantViolations int64 `json:"invariant_violations"`
-	// LateStarts counts the starts on a worker that happened more than
+	// StartsOnLeavingWorkers counts the starts on a worker that happened more than
 	// leavingGracePeriod after the VM list showed the worker as leaving.
-	LateStarts int `json:"late_starts_on_leaving"`
+	StartsOnLeavingWorkers int `json:"late_starts_on_leaving"`
 	// LowestUrgentRate is the lowest rate of answers to urgent requests in any
 	// two-second window of the acting phase, as a fraction of their rate in the calm
 	// phase; see lowestUrgentRate.
@@ -45,12 +45,12 @@
 	// TakeoverSeconds is the time from the kill of an entry VM until every worker was
 	// adopted again.
 	TakeoverSeconds float64 `json:"takeover_seconds,omitempty"`
-	// Reasons counts the calls with any result other than answered, including
+	// UnansweredCallsByReason counts the calls with any result other than answered, including
 	// cancelled and failed. Each key is the result and the reason of these calls, separated
 	// by a colon.
-	Reasons map[string]int `json:"reasons,omitempty"`
-	// LostIDs are the IDs of lost requests, to search for in the logs.
-	LostIDs []string `json:"lost_ids,omitempty"`
+	UnansweredCallsByReason map[string]int `json:"reasons,omitempty"`
+	// LostRequestIDs are the IDs of lost requests, to search for in the logs.
+	LostRequestIDs []string `json:"lost_ids,omitempty"`
 }
 
 // GroupReport is what the callers of one group observed.
@@ -77,7 +77,7 @@
 	// CalmGoodputRatio is the goodput of the acting phase divided by that of the calm
 	// phase.
 	CalmGoodputRatio float64          `json:"calm_goodput_ratio"`
-	Waiting          WaitingQuantiles `json:"waiting_ms"`
+	WaitingTime      WaitingQuantiles `json:"waiting_ms"`
 }
 
 // WaitingQuantiles holds quantiles of the waiting time, in milliseconds. The
@@ -118,7 +118,7 @@
 	out := Report{
 		Scenario: r.scenario.Name, Deployment: r.cluster.Deployment.Name, Seconds: time.Since(r.startedAt).Seconds(),
 		RaceRounds: r.measurements.raceRounds, RaceWinners: r.measurements.raceWinners, RaceLosers: r.measurements.raceLosers,
-		ConfigurationSeconds: r.measurements.configurationSeconds, TakeoverSeconds: r.measurements.takeoverSeconds, Reasons: map[string]int{},
+		ConfigurationSeconds: r.measurements.configurationSeconds, TakeoverSeconds: r.measurements.takeoverSeconds, UnansweredCallsByReason: map[string]int{},
 	}
 	runs := runsByRequest(histories)
 	for _, g := range r.groups {
@@ -126,21 +126,21 @@
 	}
 	for _, c := range r.calls {
 		if c.result != answered {
-			out.Reasons[string(c.result)+":"+shortReason(c.reason)]++
+			out.UnansweredCallsByReason[string(c.result)+":"+shortReason(c.reason)]++
 		}
 		if c.result == lost {
-			out.LostIDs = append(out.LostIDs, c.requestIDs...)
+			out.LostRequestIDs = append(out.LostRequestIDs, c.requestIDs...)
 		}
-		if c.result == notRun && lastRequestRan(c, runs) {
+		if c.result == notRun && lastSubmissionRan(c, runs) {
 			out.FalseNotRun++
 		}
 	}
 	for _, h := range histories {
 		out.OverfilledStarts += h.OverfilledStarts
-		shownAt, leaving := r.measurements.leavingSince[h.Worker]
+		shownAt, leaving := r.measurements.workersLeavingSince[h.Worker]
 		for _, s := range h.Runs {
 			if leaving && s.StartedAt.Sub(shownAt) > leavingGracePeriod {
-				out.LateStarts++
+				out.StartsOnLeavingWorkers++
 			}
 		}
 	}
@@ -171,7 +171,7 @@
 			continue
 		}
 		out.Submitted++
-		if at := c.sent.Sub(r.startedAt); at < calmPhase {
+		if at := c.sentAt.Sub(r.startedAt); at < calmPhase {
 			calm.add(c)
 		} else {
 			acting.add(c)
@@ -180,7 +180,7 @@
 		switch c.result {
 		case answered:
 			out.Answered++
-			_ = waited.RecordValue(max(0, c.ended.Sub(c.sent)-g.RunTime).Milliseconds())
+			_ = waited.RecordValue(max(0, c.endedAt.Sub(c.sentAt)-g.RunTime).Milliseconds())
 		case notRun:
 			out.NotRun++
 		case cancelled:
@@ -194,7 +194,7 @@
 		}
 	}
 	out.CalmGoodputRatio = acting.ratio() / calm.ratio()
-	out.Waiting = WaitingQuantiles{float64(waited.ValueAtQuantile(50)), float64(waited.ValueAtQuantile(95)), float64(waited.ValueAtQuantile(99))}
+	out.WaitingTime = WaitingQuantiles{float64(waited.ValueAtQuantile(50)), float64(waited.ValueAtQuantile(95)), float64(waited.ValueAtQuantile(99))}
 	return out
 }
 
--- a/internal/emulate/load/scenario.go
+++ b/internal/emulate/load/scenario.go
@@ -14,13 +14,13 @@
 
 // The durations and parameters of the scenarios.
 const (
-	outageTime            = 8 * time.Second
-	freezeTime            = 6 * time.Second
-	partitionTime         = 8 * time.Second
-	silenceTime           = 6 * time.Second
+	logOutageDuration     = 8 * time.Second
+	freezeDuration        = 6 * time.Second
+	isolationDuration     = 8 * time.Second
+	workerSilenceDuration = 6 * time.Second
 	raceRounds            = 5
 	cancelWaveProbability = 0.8
-	cancelWaveTime        = 4 * time.Second
+	cancelWaveDuration    = 4 * time.Second
 	// readinessDelay is how long a load balancer takes to notice that a VM is not
 	// ready.
 	readinessDelay = 300 * time.Millisecond
@@ -32,17 +32,17 @@
 		{Name: "calm"},
 		{Name: "flood_batch", FloodPlans: map[string]string{"hearthmark": "guest-batch", "lumiquote": "guest-batch"}},
 		{Name: "flood_urgent", FloodPlans: map[string]string{"hearthmark": "snag-sorting", "lumiquote": "fixture-counts"}},
-		{Name: "kill", Act: killEntryVM},
-		{Name: "freeze", Act: freezeEntryVM},
-		{Name: "log_outage", Act: runLogOutage},
-		{Name: "cut", Act: partitionDomain},
-		{Name: "drain", Act: drainWorkerAndEntryVM},
-		{Name: "operator_race", Act: runOperatorRace},
-		{Name: "bad_worker", Act: failAttemptsOnWorker},
-		{Name: "cancel_wave", Act: runCancelWave},
-		{Name: "silent_connection", Act: silenceWorker},
-		{Name: "kill_log_outage", Act: killEntryVMInOutage},
-		{Name: "configuration_by_peers", Act: spreadConfigurationByPeers},
+		{Name: "kill", RunAction: killEntryVM},
+		{Name: "freeze", RunAction: freezeEntryVM},
+		{Name: "log_outage", RunAction: runLogOutage},
+		{Name: "cut", RunAction: isolateFailureDomain},
+		{Name: "drain", RunAction: drainWorkerAndEntryVM},
+		{Name: "operator_race", RunAction: runOperatorRace},
+		{Name: "bad_worker", RunAction: failAttemptsOnWorker},
+		{Name: "cancel_wave", RunAction: runCancelWave},
+		{Name: "silent_connection", RunAction: silenceWorker},
+		{Name: "kill_log_outage", RunAction: killEntryVMInOutage},
+		{Name: "configuration_by_peers", RunAction: spreadConfigurationByPeers},
 	}
 	out := map[string]Scenario{}
 	for _, s := range all {
@@ -149,7 +149,7 @@
 	e.Freeze()
 	time.Sleep(readinessDelay)
 	r.setOutOfRotation(e.Name, true)
-	time.Sleep(freezeTime)
+	time.Sleep(freezeDuration)
 	e.Thaw()
 	time.Sleep(time.Second)
 	r.setOutOfRotation(e.Name, false)
@@ -161,13 +161,13 @@
 	if err := r.cluster.SetLogFault(ctx, standin.LogFault{Outage: true}); err != nil {
 		return err
 	}
-	time.Sleep(outageTime)
+	time.Sleep(logOutageDuration)
 	return r.cluster.SetLogFault(ctx, standin.LogFault{})
 }
 
-// partitionDomain separates one failure domain from the others and from the
+// isolateFailureDomain separates one failure domain from the others and from the
 // platform for partitionTime.
-func partitionDomain(ctx context.Context, r *scenarioRun) error {
+func isolateFailureDomain(ctx context.Context, r *scenarioRun) error {
 	domains := r.cluster.Deployment.Domains
 	isolated := domains[r.random.IntN(len(domains))]
 	var others []string
@@ -185,7 +185,7 @@
 			return err
 		}
 	}
-	time.Sleep(partitionTime)
+	time.Sleep(isolationDuration)
 	for _, e := range r.cluster.EntryVMs {
 		if err := r.cluster.SetCut(ctx, e, nil); err != nil {
 			return err
@@ -202,7 +202,7 @@
 	if err := r.cluster.MarkLeaving(ctx, leaving); err != nil {
 		return err
 	}
-	r.measurements.leavingSince[leaving] = time.Now()
+	r.measurements.workersLeavingSince[leaving] = time.Now()
 	e := r.randomEntryVM()
 	e.Terminate()
 	time.Sleep(readinessDelay)
@@ -299,7 +299,7 @@
 		r.cancelProbability = probability
 	}
 	setProbability(cancelWaveProbability)
-	time.Sleep(cancelWaveTime)
+	time.Sleep(cancelWaveDuration)
 	setProbability(0)
 	return nil
 }
@@ -312,6 +312,6 @@
 	if err := r.cluster.SetWorkerFault(ctx, name, standin.WorkerFault{Silent: true}); err != nil {
 		return err
 	}
-	time.Sleep(silenceTime)
+	time.Sleep(workerSilenceDuration)
 	return r.cluster.SetWorkerFault(ctx, name, standin.WorkerFault{})
 }
