--- a/internal/emulate/cluster/cluster.go
+++ b/internal/emulate/cluster/cluster.go
@@ -330,7 +330,7 @@
 func (c *Cluster) WaitReady(ctx context.Context) error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
-		if c.allReady(ctx) {
+		if c.allEntryVMsReady(ctx) {
 			return nil
 		}
 		time.Sleep(pollInterval)
@@ -363,9 +363,9 @@
 	}
 }
 
-// allReady reports whether every live entry VM is ready and they have adopted every
+// allEntryVMsReady reports whether every live entry VM is ready and they have adopted every
 // worker.
-func (c *Cluster) allReady(ctx context.Context) bool {
+func (c *Cluster) allEntryVMsReady(ctx context.Context) bool {
 	adopted := 0
 	for _, e := range c.EntryVMs {
 		select {
--- a/internal/emulate/fleet/worker.go
+++ b/internal/emulate/fleet/worker.go
@@ -71,10 +71,10 @@
 	// or ordered to stop. Starts with this or a lower number are refused.
 	highestRunNumbers map[work.TaskID]int64
 	// unacknowledgedEnds lists the ends that the worker still reports.
-	unacknowledgedEnds []backend.End
-	lastEndNumber      int64
-	profileOf          func(work.TaskID) TaskProfile
-	observer           Observer
+	unacknowledgedEnds  []backend.End
+	lastEndReportNumber int64
+	taskProfile         func(work.TaskID) TaskProfile
+	observer            Observer
 }
 
 // stopDelay is the time from a stop order until the run ends.
@@ -87,7 +87,7 @@
 // Worker.ClockRate, and profileOf returns how a task behaves. The observer must
 // not be nil.
 func New(r backend.Registration, rate float64, now time.Time, profileOf func(work.TaskID) TaskProfile, o Observer) *Worker {
-	return &Worker{Registration: r, ClockRate: rate, startedAt: now, running: map[work.TaskID]*taskRun{}, highestRunNumbers: map[work.TaskID]int64{}, profileOf: profileOf, observer: o}
+	return &Worker{Registration: r, ClockRate: rate, startedAt: now, running: map[work.TaskID]*taskRun{}, highestRunNumbers: map[work.TaskID]int64{}, taskProfile: profileOf, observer: o}
 }
 
 // Clock returns the time since the worker's start by its own clock, plus 1 ms,
@@ -119,13 +119,13 @@
 		finished := !r.profile.Lasting && !now.Before(endsAt) && (!leaseLapsed || w.Clock(endsAt) <= w.leaseDeadline)
 		switch {
 		case !r.stopOrderedAt.IsZero() && now.Sub(r.stopOrderedAt) >= stopDelay:
-			w.endRun(r, backend.Stopped, now)
+			w.recordRunEnd(r, backend.Stopped, now)
 		case finished && r.profile.Fails:
-			w.endRun(r, backend.Failed, now)
+			w.recordRunEnd(r, backend.Failed, now)
 		case finished:
-			w.endRun(r, backend.Done, now)
+			w.recordRunEnd(r, backend.Done, now)
 		case leaseLapsed:
-			w.endRun(r, backend.LeaseExpired, now)
+			w.recordRunEnd(r, backend.LeaseExpired, now)
 		}
 	}
 }
@@ -136,12 +136,12 @@
 	return slices.SortedFunc(maps.Values(w.running), func(a, b *taskRun) int { return cmp.Compare(a.task.String(), b.task.String()) })
 }
 
-// endRun removes a run and notifies the observer. Until the end of the run is
+// recordRunEnd removes a run and notifies the observer. Until the end of the run is
 // acknowledged, Hold reports it.
-func (w *Worker) endRun(r *taskRun, outcome backend.Outcome, now time.Time) {
+func (w *Worker) recordRunEnd(r *taskRun, outcome backend.Outcome, now time.Time) {
 	delete(w.running, r.task)
-	w.lastEndNumber++
-	e := backend.End{Number: w.lastEndNumber, Task: r.task, Run: r.number, Outcome: outcome}
+	w.lastEndReportNumber++
+	e := backend.End{Number: w.lastEndReportNumber, Task: r.task, Run: r.number, Outcome: outcome}
 	w.unacknowledgedEnds = append(w.unacknowledgedEnds, e)
 	w.observer.Ended(w, e, now)
 }
@@ -171,7 +171,7 @@
 		return backend.KindStaleRun
 	}
 	w.highestRunNumbers[s.Task] = s.Run
-	w.running[s.Task] = &taskRun{task: s.Task, number: s.Run, profile: w.profileOf(s.Task), startedAt: now}
+	w.running[s.Task] = &taskRun{task: s.Task, number: s.Run, profile: w.taskProfile(s.Task), startedAt: now}
 	w.observer.Started(w, s, now)
 	return ""
 }
--- a/internal/emulate/standin/main.go
+++ b/internal/emulate/standin/main.go
@@ -55,7 +55,7 @@
 	}
 	var s ServerGroup
 	defer s.Close()
-	started, err := startRole(&s, *role, *listen, *file, *retained)
+	started, err := startServersForRole(&s, *role, *listen, *file, *retained)
 	if err != nil {
 		_, _ = fmt.Fprintln(stderr, "standin:", err)
 		return exitUsage
@@ -68,8 +68,8 @@
 	return exitOK
 }
 
-// startRole starts the servers of a role and returns their addresses.
-func startRole(s *ServerGroup, role, listen, file string, retained int) (StartedMessage, error) {
+// startServersForRole starts the servers of a role and returns their addresses.
+func startServersForRole(s *ServerGroup, role, listen, file string, retained int) (StartedMessage, error) {
 	address, err := netip.ParseAddrPort(listen)
 	if err != nil {
 		return StartedMessage{}, err
