--- a/internal/emulate/load/figures.go
+++ b/internal/emulate/load/figures.go
@@ -86,7 +86,7 @@
 
 // measurePacking returns the mean use of the fleet as a fraction of its
 // capacity, for the slots and for the resource that is used most. It covers the
-// acting phase without the first rampTime.
+// acting phase without the first phaseEdgeToIgnore.
 func (r *scenarioRun) measurePacking(histories []standin.History) Packing {
 	var capacity resource.Vector
 	var used [resource.KindCount]float64
@@ -131,8 +131,8 @@
 // lowestUrgentRate divides the acting phase into consecutive windows of
 // urgentRateWindow. It returns the lowest rate of answers to urgent requests in any
 // of these windows, as a fraction of their rate in the calm phase. It ignores the
-// first rampTime of the calm phase and the last rampTime of the acting phase. It
-// returns 0 if the calm phase had no such answers.
+// first phaseEdgeToIgnore of the calm phase and the last phaseEdgeToIgnore of the
+// acting phase. It returns 0 if the calm phase had no such answers.
 func (r *scenarioRun) lowestUrgentRate() float64 {
 	calm := 0.0
 	windows := make([]float64, int((actingPhase-phaseEdgeToIgnore)/urgentRateWindow))
--- a/internal/emulate/load/load.go
+++ b/internal/emulate/load/load.go
@@ -193,8 +193,8 @@
 	return r.cancelProbability
 }
 
-// runPhases runs both phases and waits for open calls for at most settleTime. It
-// returns the error of the scenario's Act.
+// runPhases runs both phases and waits for open calls for at most maxAnswerWait. It
+// returns the error of the scenario's RunAction.
 func (r *scenarioRun) runPhases(ctx context.Context) error {
 	r.startedAt = time.Now()
 	var group sync.WaitGroup
--- a/internal/emulate/load/report.go
+++ b/internal/emulate/load/report.go
@@ -149,7 +149,7 @@
 	return out
 }
 
-// maxReasonBytes is the maximum length of a reason in Report.Reasons.
+// maxReasonBytes is the maximum length of a reason in Report.UnansweredCallsByReason.
 const maxReasonBytes = 60
 
 // shortReason returns the innermost error text of a reason, which is the part
--- a/internal/emulate/load/scenario.go
+++ b/internal/emulate/load/scenario.go
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// runLogOutage makes the log service unavailable for outageTime.
+// runLogOutage makes the log service unavailable for logOutageDuration.
 func runLogOutage(ctx context.Context, r *scenarioRun) error {
 	if err := r.cluster.SetLogFault(ctx, standin.LogFault{Outage: true}); err != nil {
 		return err
@@ -166,7 +166,7 @@
 }
 
 // isolateFailureDomain separates one failure domain from the others and from the
-// platform for partitionTime.
+// platform for isolationDuration.
 func isolateFailureDomain(ctx context.Context, r *scenarioRun) error {
 	domains := r.cluster.Deployment.Domains
 	isolated := domains[r.random.IntN(len(domains))]
@@ -291,7 +291,7 @@
 	return r.cluster.SetWorkerFault(ctx, workers[r.random.IntN(len(workers))].Name, standin.WorkerFault{FailAll: true})
 }
 
-// runCancelWave makes most callers cancel their requests for cancelWaveTime.
+// runCancelWave makes most callers cancel their requests for cancelWaveDuration.
 func runCancelWave(_ context.Context, r *scenarioRun) error {
 	setProbability := func(probability float64) {
 		r.mutex.Lock()
@@ -305,7 +305,7 @@
 }
 
 // silenceWorker makes a random worker accept connections but not respond for
-// silenceTime.
+// workerSilenceDuration.
 func silenceWorker(ctx context.Context, r *scenarioRun) error {
 	workers := r.cluster.Deployment.Workers()
 	name := workers[r.random.IntN(len(workers))].Name
--- a/internal/node/daemon/job_takeover.go
+++ b/internal/node/daemon/job_takeover.go
@@ -43,8 +43,9 @@
 }
 
 // holdersToTakeOver returns the holders that are gone and whose jobs this
-// process has to take over, and adds them to takingOver. It returns none if the
-// log was not read within the last jobLease. The caller holds the mutex.
+// process has to take over, and adds them to holdersBeingTakenOver. It returns
+// none if the log was not read within the last jobLease. The caller holds the
+// mutex.
 func (j *Jobs) holdersToTakeOver() []job.Holder {
 	if time.Since(j.leaseConfirmedAt) > jobLease {
 		return nil
