--- a/internal/emulate/memory/store.go
+++ b/internal/emulate/memory/store.go
@@ -24,8 +24,8 @@
 
 // partitionKey identifies one partition of a topic.
 type partitionKey struct {
-	topic store.Topic
-	part  int
+	topic     store.Topic
+	partition int
 }
 
 // partitionLog holds the records of one partition.
--- a/internal/node/daemon/jobs.go
+++ b/internal/node/daemon/jobs.go
@@ -114,7 +114,7 @@
 				j.leaseConfirmedAt = sentAt
 			}
 		}
-		j.reconcile()
+		j.reconcileJobRuns()
 		if len(reply.Records) > 0 {
 			close(j.tableChanged)
 			j.tableChanged = make(chan struct{})
@@ -132,9 +132,9 @@
 	return j.table.Snapshots(j.self)
 }
 
-// reconcile starts a run for each job that this process holds and abandons the
+// reconcileJobRuns starts a run for each job that this process holds and abandons the
 // runs of jobs that ended or have another holder. The caller holds the mutex.
-func (j *Jobs) reconcile() {
+func (j *Jobs) reconcileJobRuns() {
 	for id, r := range j.runsByJobID {
 		if k := j.table.Job(id); k == nil || k.Holder != j.self || k.PendingTasks == 0 {
 			close(r.abandoned)
--- a/internal/node/daemon/node.go
+++ b/internal/node/daemon/node.go
@@ -135,7 +135,7 @@
 		return nil, err
 	}
 	dial := func(v vmlist.VM) worker.Peer { return worker.New(v.Address, workers) }
-	n.owner = owner.New(ctx, c.Settings.Name, n.incarnation, owner.DefaultTiming, owner.Limits{MaxWaiting: c.Settings.WaitingLimit, PayloadBytes: c.Settings.PayloadLimitBytes}, dial, startObserver{registry}, c.Log)
+	n.owner = owner.New(ctx, c.Settings.Name, n.incarnation, owner.DefaultTiming, owner.Limits{MaxWaiting: c.Settings.WaitingLimit, PayloadBytes: c.Settings.PayloadLimitBytes}, dial, waitTimeRecorder{registry}, c.Log)
 	n.configuration = configuration.New(n.handleConfigurationChange)
 	n.recorder = recorder.New(ctx, n.logService, totalAppendsPerSecond)
 	n.claims = claim.New(n.recorder, n.logService, time.Now)
@@ -298,10 +298,10 @@
 	}))
 }
 
-// startObserver records the waiting time of started tasks in the metrics.
-type startObserver struct{ registry *metrics.Registry }
+// waitTimeRecorder records the waiting time of started tasks in the metrics.
+type waitTimeRecorder struct{ registry *metrics.Registry }
 
 // Started implements owner.Observer.
-func (o startObserver) Started(t entry.Task, waited time.Duration) {
+func (o waitTimeRecorder) Started(t entry.Task, waited time.Duration) {
 	o.registry.RecordWait(metrics.Key{Customer: t.Customer, Plan: t.Plan, Class: string(t.Class)}, waited)
 }
--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -45,9 +45,9 @@
 	return names
 }
 
-// addressOf returns the peer address of an entry VM, from its heartbeats or
+// peerAddressOf returns the peer address of an entry VM, from its heartbeats or
 // else from the VM list.
-func (n *Node) addressOf(name string) (netip.AddrPort, bool) {
+func (n *Node) peerAddressOf(name string) (netip.AddrPort, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if m, ok := n.memberView.Member(name); ok {
@@ -64,7 +64,7 @@
 // callPeer makes a call to another entry VM. It returns an error of
 // entry.KindNotSent if the address of that VM is unknown.
 func callPeer[R any](ctx context.Context, n *Node, name, method string, args any) (reply R, err error) {
-	a, ok := n.addressOf(name)
+	a, ok := n.peerAddressOf(name)
 	if !ok {
 		return reply, fault.Newf(method, entry.KindNotSent, "address of entry VM %s is unknown", name)
 	}
