--- a/internal/node/owner/calls.go
+++ b/internal/node/owner/calls.go
@@ -25,7 +25,7 @@
 // only error is entry.ErrEpochMismatch, for a call that carries another epoch.
 func (o *Owner) Run(r entry.RunArgs) (entry.Status, error) {
 	o.mutex.Lock()
-	o.detectPause(time.Now())
+	o.detectLoopPause(time.Now())
 	if r.Epoch != o.epoch {
 		o.mutex.Unlock()
 		return entry.Status{}, entry.ErrEpochMismatch
@@ -45,7 +45,7 @@
 	}
 	a.lastHolderCall = time.Now()
 	if !a.reservedUntil.IsZero() && a.status.State == entry.Waiting {
-		o.startReserved(a)
+		o.startReservedAttempt(a)
 	}
 	o.mutex.Unlock()
 	return o.waitForEnd(a, r.Wait), nil
@@ -66,7 +66,7 @@
 func (o *Owner) admitAttempt(t entry.Task) (*attempt, error) {
 	now := time.Now()
 	size := int64(len(t.Payload))
-	if o.payloadBytes+size > o.payloadLimit {
+	if o.payloadBytes+size > o.maxPayloadBytes {
 		return nil, fault.Newf("admit", allocator.KindQueueFull, "the payloads of attempts already take %d bytes, so this payload would exceed the limit", o.payloadBytes)
 	}
 	task := &allocator.Task{
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	if shed != nil {
-		o.applyRefusal(*shed)
+		o.endDroppedAttempt(*shed)
 	}
 	a := &attempt{task: t, status: entry.Status{State: entry.Waiting}, changed: make(chan struct{})}
 	o.attempts[t.Attempt] = a
@@ -129,7 +129,7 @@
 // epoch.
 func (o *Owner) Await(r entry.AwaitArgs) (entry.Status, error) {
 	o.mutex.Lock()
-	o.detectPause(time.Now())
+	o.detectLoopPause(time.Now())
 	if r.Epoch != o.epoch {
 		o.mutex.Unlock()
 		return entry.Status{}, entry.ErrEpochMismatch
@@ -166,7 +166,7 @@
 func (o *Owner) Resolve(r entry.ResolveArgs) (entry.ResolveReply, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.detectPause(time.Now())
+	o.detectLoopPause(time.Now())
 	reply := entry.ResolveReply{Found: map[string]entry.Status{}, Verified: map[string]time.Duration{}, Epoch: o.epoch}
 	for _, id := range r.Attempts {
 		a := o.attempts[id]
@@ -294,6 +294,6 @@
 	}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.endAttempt(id, statusOf(reply.Record))
+	o.endAttempt(id, statusFromRecord(reply.Record))
 	return true
 }
--- a/internal/node/owner/gang.go
+++ b/internal/node/owner/gang.go
@@ -32,16 +32,16 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	now := time.Now()
-	o.detectPause(now)
+	o.detectLoopPause(now)
 	if r.Epoch != o.epoch {
 		return entry.ReserveReply{}, entry.ErrEpochMismatch
 	}
 	until := now.Add(min(r.Lease, maxGangReservationLease))
 	if r.Collect {
-		if o.collecting.id != r.Gang && now.Before(o.collecting.expiresAt) {
+		if o.gangCollecting.id != r.Gang && now.Before(o.gangCollecting.expiresAt) {
 			return entry.ReserveReply{Busy: true}, nil
 		}
-		o.collecting = collectingGang{id: r.Gang, expiresAt: until}
+		o.gangCollecting = collectingGang{id: r.Gang, expiresAt: until}
 	}
 	var reply entry.ReserveReply
 	for _, t := range r.Tasks {
@@ -50,7 +50,7 @@
 			if o.reserveTask(t, until) {
 				reply.Held = append(reply.Held, t.Attempt)
 			} else if r.Collect {
-				o.collecting.unplaced = append(o.collecting.unplaced, t)
+				o.gangCollecting.unplaced = append(o.gangCollecting.unplaced, t)
 			}
 		case !a.reservedUntil.IsZero() && !a.status.State.Ended():
 			a.reservedUntil = until
@@ -78,25 +78,25 @@
 	return true
 }
 
-// collectForGang reserves free capacity for the tasks of the collecting gang.
+// reserveForCollectingGang reserves free capacity for the tasks of the collecting gang.
 // When the lease of the gang has expired, the gang stops collecting.
-func (o *Owner) collectForGang(now time.Time) {
-	if now.After(o.collecting.expiresAt) {
-		o.collecting = collectingGang{}
+func (o *Owner) reserveForCollectingGang(now time.Time) {
+	if now.After(o.gangCollecting.expiresAt) {
+		o.gangCollecting = collectingGang{}
 		return
 	}
 	var remaining []entry.Task
-	for _, t := range o.collecting.unplaced {
-		if !o.reserveTask(t, o.collecting.expiresAt) {
+	for _, t := range o.gangCollecting.unplaced {
+		if !o.reserveTask(t, o.gangCollecting.expiresAt) {
 			remaining = append(remaining, t)
 		}
 	}
-	o.collecting.unplaced = remaining
+	o.gangCollecting.unplaced = remaining
 }
 
-// startReserved starts an attempt on the worker that has capacity reserved for
+// startReservedAttempt starts an attempt on the worker that has capacity reserved for
 // it. If the worker was lost, the attempt ends as not run.
-func (o *Owner) startReserved(a *attempt) {
+func (o *Owner) startReservedAttempt(a *attempt) {
 	s := o.sessions[a.status.Worker]
 	if s == nil || !s.adopted {
 		o.endAttempt(a.task.Attempt, entry.Status{State: entry.NotRun, Reason: entry.ReasonFenced})
--- a/internal/node/owner/maintenance.go
+++ b/internal/node/owner/maintenance.go
@@ -30,11 +30,11 @@
 	return o.usageMeter.EndPeriod(time.Now())
 }
 
-// detectPause starts a new epoch when the loop has not run for longer than
+// detectLoopPause starts a new epoch when the loop has not run for longer than
 // maxLoopPause, for example because the process was frozen. Holders may have given up
 // attempts during the pause, and a call that was delayed by the pause must not
 // start these. Waiting attempts end as not run. The caller holds the lock.
-func (o *Owner) detectPause(now time.Time) {
+func (o *Owner) detectLoopPause(now time.Time) {
 	if now.Sub(o.lastTick) <= maxLoopPause {
 		return
 	}
@@ -58,25 +58,25 @@
 func (o *Owner) Epoch() uint64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.detectPause(time.Now())
+	o.detectLoopPause(time.Now())
 	return o.epoch
 }
 
-// removeExpired drops waiting attempts that can no longer meet their deadline,
+// removeExpiredAttempts drops waiting attempts that can no longer meet their deadline,
 // urgent attempts that have waited too long, reservations that were not renewed,
 // and ended attempts and fenced tasks whose retention time is over.
-func (o *Owner) removeExpired() {
+func (o *Owner) removeExpiredAttempts() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	now := time.Now()
-	o.detectPause(now)
+	o.detectLoopPause(now)
 	o.lastTick = now
 	for _, r := range o.alloc.Expire(now) {
-		o.applyRefusal(r)
+		o.endDroppedAttempt(r)
 	}
 	o.expireReservations(now)
 	for _, s := range o.sessions {
-		o.updateAccepting(s)
+		o.updateWorkerAccepting(s)
 	}
 	for id, a := range o.attempts {
 		if !a.endedAt.IsZero() && now.Sub(a.endedAt) > o.timing.EndedAttemptRetention {
--- a/internal/node/owner/owner.go
+++ b/internal/node/owner/owner.go
@@ -41,19 +41,19 @@
 	SyncWait time.Duration
 	// RetryPause is the pause before a failed call to a worker is repeated.
 	RetryPause time.Duration
-	// FencedPause is how long the owner waits, after another owner has adopted
+	// FencedRetryPause is how long the owner waits, after another owner has adopted
 	// its worker, before it tries to adopt the worker again.
-	FencedPause time.Duration
-	// TickInterval is the interval of the periodic work: expiry, dispatch and
+	FencedRetryPause time.Duration
+	// TickInterval is the interval of the periodic work: expiry, starts and
 	// preemption.
 	TickInterval time.Duration
 	// EndedAttemptRetention is how long an attempt is kept after its end.
 	EndedAttemptRetention time.Duration
-	// UrgentWait is the longest time that an urgent attempt waits to be started.
+	// MaxUrgentWait is the longest time that an urgent attempt waits to be started.
 	// An attempt that has waited longer is dropped as not run. The limit does not
 	// apply to an attempt whose task has run before and was
 	// stopped or failed.
-	UrgentWait time.Duration
+	MaxUrgentWait time.Duration
 }
 
 // DefaultTiming is for workers on the same site as the entry VM.
@@ -62,10 +62,10 @@
 	LeaseMargin:           time.Second,
 	SyncWait:              8 * time.Second,
 	RetryPause:            250 * time.Millisecond,
-	FencedPause:           2 * time.Second,
+	FencedRetryPause:      2 * time.Second,
 	TickInterval:          100 * time.Millisecond,
 	EndedAttemptRetention: 2 * time.Minute,
-	UrgentWait:            1800 * time.Millisecond,
+	MaxUrgentWait:         1800 * time.Millisecond,
 }
 
 // Limits bounds the memory that an owner uses for attempts.
@@ -113,15 +113,15 @@
 	// sessions holds the session of each worker by its name.
 	sessions map[string]*session
 	// payloadBytes is the total size of the payloads in attempts. Run refuses
-	// attempts that would raise it above payloadLimit; Reserve does not check
+	// attempts that would raise it above maxPayloadBytes; Reserve does not check
 	// the limit.
-	payloadBytes, payloadLimit int64
-	ejectionTracker            *ejection.Tracker
-	usageMeter                 *usage.Meter
+	payloadBytes, maxPayloadBytes int64
+	ejectionTracker               *ejection.Tracker
+	usageMeter                    *usage.Meter
 	// fencedTasks maps names to tasks of jobs that another holder has taken over.
-	fencedTasks map[string]fencedTask
-	collecting  collectingGang
-	draining    bool
+	fencedTasks    map[string]fencedTask
+	gangCollecting collectingGang
+	draining       bool
 }
 
 // fencedTask is a task of a job that another holder has taken over.
@@ -159,10 +159,10 @@
 		name: name, epoch: incarnation, lastTick: time.Now(), timing: t, dial: dial, observer: o, log: log, ctx: ctx,
 		wake:               make(chan struct{}, 1),
 		firstWorkerAdopted: make(chan struct{}, 1),
-		alloc:              allocator.New(placement.Balanced{}, allocator.Limits{Waiting: limits.MaxWaiting, UrgentWait: t.UrgentWait}),
-		attempts:           map[string]*attempt{}, sessions: map[string]*session{}, payloadLimit: limits.PayloadBytes, ejectionTracker: ejection.New(), usageMeter: usage.New(name, time.Now()), fencedTasks: map[string]fencedTask{},
+		alloc:              allocator.New(placement.Balanced{}, allocator.Limits{Waiting: limits.MaxWaiting, UrgentWait: t.MaxUrgentWait}),
+		attempts:           map[string]*attempt{}, sessions: map[string]*session{}, maxPayloadBytes: limits.PayloadBytes, ejectionTracker: ejection.New(), usageMeter: usage.New(name, time.Now()), fencedTasks: map[string]fencedTask{},
 	}
-	go w.loop()
+	go w.runMainLoop()
 	return w
 }
 
@@ -185,7 +185,7 @@
 // worker, so that the entry VM can advertise it to its peers at once.
 func (o *Owner) FirstWorkerAdopted() <-chan struct{} { return o.firstWorkerAdopted }
 
-// wakeLoop makes the loop dispatch attempts without waiting for the next tick.
+// wakeLoop makes the loop start queued attempts without waiting for the next tick.
 func (o *Owner) wakeLoop() {
 	select {
 	case o.wake <- struct{}{}:
@@ -193,8 +193,8 @@
 	}
 }
 
-// loop dispatches attempts and does the periodic work until the owner is stopped.
-func (o *Owner) loop() {
+// runMainLoop starts queued attempts and does the periodic work until the owner is stopped.
+func (o *Owner) runMainLoop() {
 	tick := time.NewTicker(o.timing.TickInterval)
 	defer tick.Stop()
 	for {
@@ -202,21 +202,21 @@
 		case <-o.ctx.Done():
 			return
 		case <-o.wake:
-			o.dispatch()
+			o.startQueuedAttempts()
 		case <-tick.C:
-			o.removeExpired()
-			o.dispatch()
+			o.removeExpiredAttempts()
+			o.startQueuedAttempts()
 			o.reclaimCapacity()
 		}
 	}
 }
 
-// dispatch starts every waiting attempt for which the allocator finds a worker,
+// startQueuedAttempts starts every waiting attempt for which the allocator finds a worker,
 // and drops those whose holder has stopped calling.
-func (o *Owner) dispatch() {
+func (o *Owner) startQueuedAttempts() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.collectForGang(time.Now())
+	o.reserveForCollectingGang(time.Now())
 	for {
 		now := time.Now()
 		o.advanceMeter(now)
@@ -237,7 +237,7 @@
 		o.observer.Started(a.task, d.Waited)
 		o.usageMeter.CountStart(a.task.Customer, a.task.Plan, string(a.task.Class), d.Waited)
 		o.ejectionTracker.RecordStart(d.Worker)
-		o.updateAccepting(s)
+		o.updateWorkerAccepting(s)
 		go o.startOnWorker(s.peer, newStartRequest(s.token, a), a)
 	}
 }
@@ -291,7 +291,7 @@
 		o.log.Info("worker_ejection", "worker", name, "ejected", after == ejection.Open)
 	}
 	if session := o.sessions[name]; session != nil {
-		o.updateAccepting(session)
+		o.updateWorkerAccepting(session)
 	}
 }
 
@@ -322,7 +322,7 @@
 			o.mutex.Unlock()
 			return
 		}
-		o.markUnresponsive(a.status.Worker)
+		o.markWorkerUnresponsive(a.status.Worker)
 		o.mutex.Unlock()
 		if !o.sleep(o.timing.RetryPause) {
 			return
@@ -330,15 +330,15 @@
 	}
 }
 
-// markUnresponsive stops the placement of attempts on a worker that did not
+// markWorkerUnresponsive stops the placement of attempts on a worker that did not
 // answer a call, until it answers a sync. The sync in flight is repeated at once.
-func (o *Owner) markUnresponsive(worker string) {
+func (o *Owner) markWorkerUnresponsive(worker string) {
 	s := o.sessions[worker]
 	if s == nil || s.unresponsive {
 		return
 	}
 	s.unresponsive, s.skipNextSyncWait = true, true
-	o.updateAccepting(s)
+	o.updateWorkerAccepting(s)
 	if s.interruptSync != nil {
 		s.interruptSync()
 	}
@@ -348,7 +348,7 @@
 // that was cancelled during the start is stopped.
 func (o *Owner) handleStarted(a *attempt, r worker.Record) {
 	if r.Phase.Ended() {
-		o.endAttempt(a.task.Attempt, statusOf(r))
+		o.endAttempt(a.task.Attempt, statusFromRecord(r))
 		return
 	}
 	o.setStatus(a, entry.Status{State: entry.Running})
@@ -384,15 +384,15 @@
 	}
 }
 
-// applyRefusal ends an attempt that the allocator dropped from its queue.
-func (o *Owner) applyRefusal(r allocator.DroppedTask) {
+// endDroppedAttempt ends an attempt that the allocator dropped from its queue.
+func (o *Owner) endDroppedAttempt(r allocator.DroppedTask) {
 	if a := o.attempts[r.Task.Attempt]; a != nil {
 		o.setStatus(a, entry.Status{State: entry.NotRun, Reason: string(r.Reason)})
 	}
 }
 
-// statusOf converts the record of a worker to the status for the holder.
-func statusOf(r worker.Record) entry.Status {
+// statusFromRecord converts the record of a worker to the status for the holder.
+func statusFromRecord(r worker.Record) entry.Status {
 	switch r.Phase {
 	case worker.Running:
 		return entry.Status{State: entry.Running}
--- a/internal/node/owner/session.go
+++ b/internal/node/owner/session.go
@@ -61,7 +61,7 @@
 			s.vm.Leaving = v.Leaving
 		}
 		s.assigned = ok
-		o.updateAccepting(s)
+		o.updateWorkerAccepting(s)
 	}
 	for name, v := range byName {
 		if o.sessions[name] == nil && !o.draining {
@@ -73,9 +73,9 @@
 	o.wakeLoop()
 }
 
-// updateAccepting tells the allocator whether it may place attempts on a
+// updateWorkerAccepting tells the allocator whether it may place attempts on a
 // worker. The caller holds the lock.
-func (o *Owner) updateAccepting(s *session) {
+func (o *Owner) updateWorkerAccepting(s *session) {
 	if !s.adopted {
 		return
 	}
@@ -102,7 +102,7 @@
 			continue
 		}
 		fenced := o.syncUntilLost(s)
-		if fenced && !o.sleep(o.timing.FencedPause) {
+		if fenced && !o.sleep(o.timing.FencedRetryPause) {
 			return
 		}
 	}
@@ -156,7 +156,7 @@
 			o.attempts[r.Attempt.ID] = a
 		}
 		if r.Phase.Ended() {
-			o.endAttempt(r.Attempt.ID, statusOf(r))
+			o.endAttempt(r.Attempt.ID, statusFromRecord(r))
 			continue
 		}
 		running = append(running, allocator.RunningAttempt{
@@ -166,7 +166,7 @@
 	}
 	err := o.alloc.AddWorker(s.vm.Name, reply.Rack, reply.Capacity, running)
 	o.log.Info("worker_adopted", "worker", s.vm.Name, "epoch", s.token.Epoch, "running", len(running), "ok", err == nil)
-	o.updateAccepting(s)
+	o.updateWorkerAccepting(s)
 	o.wakeLoop()
 	if o.alloc.Ledger().Len() > 1 {
 		return
@@ -208,7 +208,7 @@
 		}
 		lease = 0
 		s.unresponsive = true
-		o.updateAccepting(s)
+		o.updateWorkerAccepting(s)
 		if time.Since(s.lastRenewalSent) > o.maxRenewalAge() {
 			o.dropWorker(s, entry.Status{State: entry.Stopped, Reason: entry.ReasonLeaseLapsed})
 			o.mutex.Unlock()
@@ -258,9 +258,9 @@
 	s.lastAnsweredCallSent, s.unresponsive = sent, false
 	s.lastSequence = max(s.lastSequence, reply.Sequence)
 	for _, r := range reply.Records {
-		o.endAttempt(r.Attempt.ID, statusOf(r))
+		o.endAttempt(r.Attempt.ID, statusFromRecord(r))
 	}
-	o.updateAccepting(s)
+	o.updateWorkerAccepting(s)
 }
 
 // dropWorker removes a worker from the allocator, ends its attempts with the
@@ -273,7 +273,7 @@
 		o.endAttempt(id, status)
 	}
 	for _, r := range o.alloc.DropUnplaceable() {
-		o.applyRefusal(r)
+		o.endDroppedAttempt(r)
 	}
 }
 
@@ -284,10 +284,10 @@
 	defer o.mutex.Unlock()
 	o.draining = true
 	for _, r := range o.alloc.Drain() {
-		o.applyRefusal(r)
+		o.endDroppedAttempt(r)
 	}
 	for _, s := range o.sessions {
-		o.updateAccepting(s)
+		o.updateWorkerAccepting(s)
 	}
 }
 
