--- a/internal/operate/metrics/metrics.go
+++ b/internal/operate/metrics/metrics.go
@@ -37,11 +37,11 @@
 	// seconds: the sum of their requested milliprocessors times their declared
 	// run times.
 	Used int64 `json:"used_milliprocessor_seconds"`
-	// P50, P95 and P99 are percentiles of the waiting time.
-	P50     float64 `json:"waiting_p50_milliseconds"`
-	P95     float64 `json:"waiting_p95_milliseconds"`
-	P99     float64 `json:"waiting_p99_milliseconds"`
-	Started int64   `json:"started"`
+	// WaitingP50, WaitingP95 and WaitingP99 are percentiles of the waiting time.
+	WaitingP50 float64 `json:"waiting_p50_milliseconds"`
+	WaitingP95 float64 `json:"waiting_p95_milliseconds"`
+	WaitingP99 float64 `json:"waiting_p99_milliseconds"`
+	Started    int64   `json:"started"`
 }
 
 // group holds the metrics of one Key. The mutex guards the other two fields.
@@ -114,9 +114,9 @@
 	for _, g := range groups {
 		g.mutex.Lock()
 		s := g.summary
-		s.P50 = float64(g.waitingTimes.ValueAtQuantile(50))
-		s.P95 = float64(g.waitingTimes.ValueAtQuantile(95))
-		s.P99 = float64(g.waitingTimes.ValueAtQuantile(99))
+		s.WaitingP50 = float64(g.waitingTimes.ValueAtQuantile(50))
+		s.WaitingP95 = float64(g.waitingTimes.ValueAtQuantile(95))
+		s.WaitingP99 = float64(g.waitingTimes.ValueAtQuantile(99))
 		g.mutex.Unlock()
 		out = append(out, s)
 	}
--- a/internal/operate/report/plot.go
+++ b/internal/operate/report/plot.go
@@ -38,8 +38,8 @@
 	for _, row := range r.Rows {
 		names = append(names, row.Plan)
 		values["used"] = append(values["used"], row.UsedVMHours)
-		values["shared pool"] = append(values["shared pool"], row.SharedVMHours)
-		values["pool of its own"] = append(values["pool of its own"], row.AloneVMHours)
+		values["shared pool"] = append(values["shared pool"], row.SharedPoolVMHours)
+		values["pool of its own"] = append(values["pool of its own"], row.SeparatePoolVMHours)
 	}
 	for i, title := range []string{"used", "shared pool", "pool of its own"} {
 		if len(values[title]) == 0 {
--- a/internal/operate/report/report.go
+++ b/internal/operate/report/report.go
@@ -21,9 +21,9 @@
 	// integrated over the time of the report.
 	PoolVMHours float64 `json:"pool_vm_hours"`
 	Rows        []Row   `json:"rows"`
-	// Missing names the entry VMs that did not answer. Unless it is empty, the
+	// MissingEntryVMs names the entry VMs that did not answer. Unless it is empty, the
 	// figures are incomplete.
-	Missing []string `json:"missing,omitempty"`
+	MissingEntryVMs []string `json:"missing,omitempty"`
 	// Complete is false when an entry VM or the log service did not answer.
 	Complete bool `json:"complete"`
 	// Note explains to people why the report is incomplete.
@@ -38,16 +38,16 @@
 	UsedVMHours     float64 `json:"used_vm_hours"`
 	BorrowedVMHours float64 `json:"borrowed_vm_hours"`
 	LentVMHours     float64 `json:"lent_vm_hours"`
-	// SharedVMHours is what the plan is charged for in the shared pool: its own
+	// SharedPoolVMHours is what the plan is charged for in the shared pool: its own
 	// usage and its share of the idle time.
-	SharedVMHours float64 `json:"shared_vm_hours"`
-	// AloneVMHours is what a separate pool for the plan would need for the same
+	SharedPoolVMHours float64 `json:"shared_vm_hours"`
+	// SeparatePoolVMHours is what a separate pool for the plan would need for the same
 	// waiting times.
-	AloneVMHours float64 `json:"alone_vm_hours"`
-	// SharedCost and AloneCost are the costs of SharedVMHours and AloneVMHours at
-	// the plan's price per VM-hour.
-	SharedCost float64 `json:"shared_cost"`
-	AloneCost  float64 `json:"alone_cost"`
+	SeparatePoolVMHours float64 `json:"alone_vm_hours"`
+	// SharedPoolCost and SeparatePoolCost are the costs of SharedPoolVMHours and
+	// SeparatePoolVMHours at the plan's price per VM-hour.
+	SharedPoolCost   float64 `json:"shared_cost"`
+	SeparatePoolCost float64 `json:"alone_cost"`
 	// Started counts the started tasks.
 	Started int64 `json:"started"`
 	// Waiting maps each class to the counts of its started tasks by waiting time.
@@ -60,7 +60,7 @@
 // price of each plan. missing names the entry VMs that did not answer;
 // logAnswered is false when the log service did not answer.
 func New(periods []usage.Period, prices *plan.Index, missing []string, logAnswered bool) Report {
-	r := Report{Missing: missing, Complete: len(missing) == 0 && logAnswered}
+	r := Report{MissingEntryVMs: missing, Complete: len(missing) == 0 && logAnswered}
 	if !logAnswered {
 		r.Note = "the log gave no answer: earlier periods are missing"
 	}
@@ -100,10 +100,10 @@
 		Customer: s.Customer, Plan: s.Plan,
 		PromisedVMHours: s.Promised / secondsPerHour, UsedVMHours: s.Used / secondsPerHour,
 		BorrowedVMHours: s.Borrowed / secondsPerHour, LentVMHours: s.Lent / secondsPerHour,
-		SharedVMHours: (s.Used + s.Idle) / secondsPerHour, AloneVMHours: s.Alone / secondsPerHour,
+		SharedPoolVMHours: (s.Used + s.Idle) / secondsPerHour, SeparatePoolVMHours: s.Alone / secondsPerHour,
 		Started: s.Started, Waiting: s.Waiting,
 	}
-	row.SharedCost, row.AloneCost = row.SharedVMHours*price, row.AloneVMHours*price
+	row.SharedPoolCost, row.SeparatePoolCost = row.SharedPoolVMHours*price, row.SeparatePoolVMHours*price
 	return row
 }
 
@@ -111,11 +111,11 @@
 func (r Report) WriteTable(w io.Writer) {
 	_, _ = fmt.Fprintf(w, "sharing report, %s to %s, pool of %.3f VM-hours\n", r.Begin.UTC().Format(time.RFC3339), r.End.UTC().Format(time.RFC3339), r.PoolVMHours)
 	if !r.Complete {
-		_, _ = fmt.Fprintf(w, "INCOMPLETE: no answer from %v %s\n", r.Missing, r.Note)
+		_, _ = fmt.Fprintf(w, "INCOMPLETE: no answer from %v %s\n", r.MissingEntryVMs, r.Note)
 	}
 	_, _ = fmt.Fprintf(w, "%-12s %-16s %9s %9s %9s %9s %9s %9s %9s %9s %8s\n", "customer", "plan", "promised", "used", "borrowed", "lent", "shared", "alone", "cost", "cost_own", "started")
 	for _, x := range r.Rows {
 		_, _ = fmt.Fprintf(w, "%-12s %-16s %9.4f %9.4f %9.4f %9.4f %9.4f %9.4f %9.4f %9.4f %8d\n", x.Customer, x.Plan,
-			x.PromisedVMHours, x.UsedVMHours, x.BorrowedVMHours, x.LentVMHours, x.SharedVMHours, x.AloneVMHours, x.SharedCost, x.AloneCost, x.Started)
+			x.PromisedVMHours, x.UsedVMHours, x.BorrowedVMHours, x.LentVMHours, x.SharedPoolVMHours, x.SeparatePoolVMHours, x.SharedPoolCost, x.SeparatePoolCost, x.Started)
 	}
 }
