--- a/internal/node/request/gang.go
+++ b/internal/node/request/gang.go
@@ -44,7 +44,7 @@
 func (r *Runner) ReserveGang(ctx context.Context, domain string, members []Work) ([]ReservedTask, error) {
 	began := time.Now()
 	for try := 1; ctx.Err() == nil && !members[0].isAbandoned(); try++ {
-		if members[0].isPermitted() {
+		if members[0].isStartPermitted() {
 			collect := time.Since(began) > collectDelay
 			if reserved := r.tryReserveGang(ctx, domain, members, try, collect); reserved != nil {
 				return reserved, nil
@@ -76,13 +76,13 @@
 	}
 	held := map[string]ReservedTask{}
 	for {
-		gang, busy := r.reserveAll(ctx, owners, members, try, collect, held)
+		gang, busy := r.reserveAllMembers(ctx, owners, members, try, collect, held)
 		if gang != nil {
-			r.releaseUnused(held, gang)
+			r.releaseUnusedReservations(held, gang)
 			return gang
 		}
 		if busy || !time.Now().Before(deadline) || ctx.Err() != nil || members[0].isAbandoned() {
-			r.releaseUnused(held, nil)
+			r.releaseUnusedReservations(held, nil)
 			return nil
 		}
 		time.Sleep(collectRetryPause)
@@ -102,11 +102,11 @@
 	return out
 }
 
-// reserveAll asks the owners in turn to reserve capacity for the tasks that have
+// reserveAllMembers asks the owners in turn to reserve capacity for the tasks that have
 // none yet. It adds every reservation to held, which maps attempt IDs to reserved
 // tasks. If every task has a reservation, it returns one per task as gang. busy
 // is true when another gang is collecting.
-func (r *Runner) reserveAll(ctx context.Context, owners []Target, members []Work, try int, collect bool, held map[string]ReservedTask) (gang []ReservedTask, busy bool) {
+func (r *Runner) reserveAllMembers(ctx context.Context, owners []Target, members []Work, try int, collect bool, held map[string]ReservedTask) (gang []ReservedTask, busy bool) {
 	reserved := make([]ReservedTask, len(members))
 	missing := len(members)
 	for _, o := range owners {
@@ -173,9 +173,9 @@
 	})
 }
 
-// releaseUnused cancels the reservations in held that are not among the chosen
+// releaseUnusedReservations cancels the reservations in held that are not among the chosen
 // tasks.
-func (r *Runner) releaseUnused(held map[string]ReservedTask, chosen []ReservedTask) {
+func (r *Runner) releaseUnusedReservations(held map[string]ReservedTask, chosen []ReservedTask) {
 	isChosen := map[string]bool{}
 	for _, t := range chosen {
 		isChosen[t.Task.Attempt] = true
--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -134,7 +134,7 @@
 	}
 }
 
-func (w Work) isPermitted() bool { return w.Permit == nil || w.Permit() }
+func (w Work) isStartPermitted() bool { return w.Permit == nil || w.Permit() }
 
 // attemptID returns the ID of attempt number n. It contains the generation of
 // the holder, if there is one, so that attempts of different holders have
@@ -237,7 +237,7 @@
 	tried := map[string]bool{}
 	lastRefusal := entry.Status{State: entry.NotRun, Reason: reasonNoOwner, RetryAfter: time.Second}
 	for offers := 0; offers < maxOffersPerTask && ctx.Err() == nil && !w.isAbandoned(); offers++ {
-		if !w.isPermitted() {
+		if !w.isStartPermitted() {
 			return entry.Status{State: entry.NotRun, Reason: reasonNotPermitted, RetryAfter: time.Second}
 		}
 		target, ok := r.router.Route(r.eligibleTargets(w), w.Spec.Class, tried)
@@ -369,7 +369,7 @@
 		case status.State.Ended():
 			return status
 		}
-		if ctx.Err() != nil || status.State == entry.Waiting && !w.isPermitted() {
+		if ctx.Err() != nil || status.State == entry.Waiting && !w.isStartPermitted() {
 			r.cancelAttempt(t, attempt)
 		}
 		sent := time.Now()
--- a/internal/peer/entry/client.go
+++ b/internal/peer/entry/client.go
@@ -34,8 +34,8 @@
 // closed, and the next call opens a new one.
 type Client struct {
 	counter *traffic.Counter
-	// blocked reports whether fault injection cuts off a peer from this client.
-	blocked     func(a netip.AddrPort) bool
+	// isBlocked reports whether fault injection cuts off a peer from this client.
+	isBlocked   func(a netip.AddrPort) bool
 	mutex       sync.Mutex
 	connections map[netip.AddrPort]*peerConnection
 }
@@ -47,14 +47,14 @@
 	callsInFlight int
 	// dropped is closed together with the connection.
 	dropped chan struct{}
-	// probing is true while a goroutine pings the connection.
-	probing bool
+	// isProbing is true while a goroutine pings the connection.
+	isProbing bool
 }
 
 // NewClient returns a client that counts its traffic in counter. A call fails
 // when blocked returns true for its peer.
 func NewClient(counter *traffic.Counter, blocked func(a netip.AddrPort) bool) *Client {
-	return &Client{counter: counter, blocked: blocked, connections: map[netip.AddrPort]*peerConnection{}}
+	return &Client{counter: counter, isBlocked: blocked, connections: map[netip.AddrPort]*peerConnection{}}
 }
 
 // acquireConnection returns the open connection to a peer or dials a new one. It
@@ -90,16 +90,16 @@
 // while calls are in flight on it and drops the connection when a ping fails. The
 // caller must hold the mutex.
 func (c *Client) startProbing(a netip.AddrPort, p *peerConnection) {
-	if p.probing {
+	if p.isProbing {
 		return
 	}
-	p.probing = true
+	p.isProbing = true
 	go func() {
 		for {
 			time.Sleep(PingInterval)
 			c.mutex.Lock()
 			if p.callsInFlight == 0 {
-				p.probing = false
+				p.isProbing = false
 				c.mutex.Unlock()
 				return
 			}
@@ -107,7 +107,7 @@
 			call := p.rpcClient.Go(ServiceName+".Ping", Empty{}, &Empty{}, make(chan *rpc.Call, 1))
 			select {
 			case <-call.Done:
-				if call.Error == nil && !c.blocked(a) {
+				if call.Error == nil && !c.isBlocked(a) {
 					continue
 				}
 			case <-time.After(PingTimeout):
@@ -140,7 +140,7 @@
 // Call calls a method of a peer's service and waits for the reply until ctx ends.
 // Errors are of type *Error. KindNotSent guarantees that nothing was sent.
 func (c *Client) Call(ctx context.Context, a netip.AddrPort, method string, args, reply any) error {
-	if c.blocked(a) {
+	if c.isBlocked(a) {
 		return fault.Newf(method, KindNotSent, "fault injection blocks the peer")
 	}
 	p, err := c.acquireConnection(a)
@@ -151,7 +151,7 @@
 	call := p.rpcClient.Go(ServiceName+"."+method, args, reply, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
-		if c.blocked(a) {
+		if c.isBlocked(a) {
 			return fault.Newf(method, KindUnknown, "fault injection drops the answer of the peer")
 		}
 		return c.classifyError(a, p, method, call.Error)
