--- a/internal/node/owner/calls.go
+++ b/internal/node/owner/calls.go
@@ -255,7 +255,7 @@
 		return nil
 	}
 	if a.status.State == entry.Running {
-		go o.stopOnWorker(r.Attempt, worker.Stop)
+		go o.stopAttemptOnWorker(r.Attempt, worker.Stop)
 	}
 	return nil
 }
@@ -268,15 +268,15 @@
 // throttle and stop in this order until the attempt has ended.
 func (o *Owner) preemptAttempt(id string) {
 	for _, mode := range []worker.StopMode{worker.Checkpoint, worker.Throttle, worker.Stop} {
-		if o.stopOnWorker(id, mode) || !o.sleep(preemptGracePeriod) {
+		if o.stopAttemptOnWorker(id, mode) || !o.sleep(preemptGracePeriod) {
 			return
 		}
 	}
 }
 
-// stopOnWorker makes one stop call to the worker of an attempt and reports
+// stopAttemptOnWorker makes one stop call to the worker of an attempt and reports
 // whether the attempt has ended.
-func (o *Owner) stopOnWorker(id string, mode worker.StopMode) bool {
+func (o *Owner) stopAttemptOnWorker(id string, mode worker.StopMode) bool {
 	o.mutex.Lock()
 	reservation := o.alloc.Ledger().Reservation(id)
 	if reservation == nil {
--- a/internal/node/owner/gang.go
+++ b/internal/node/owner/gang.go
@@ -105,7 +105,7 @@
 	a.reservedUntil = time.Time{}
 	o.observer.Started(a.task, 0)
 	o.usageMeter.CountStart(a.task.Customer, a.task.Plan, string(a.task.Class), 0)
-	go o.startOnWorker(s.peer, newStartRequest(s.token, a), a)
+	go o.startAttemptOnWorker(s.peer, newStartRequest(s.token, a), a)
 }
 
 // expireReservations frees the capacity of reservations that were neither renewed
--- a/internal/node/owner/owner.go
+++ b/internal/node/owner/owner.go
@@ -92,7 +92,7 @@
 type Owner struct {
 	name               string
 	timing             Timing
-	dial               Dial
+	dialWorker         Dial
 	observer           Observer
 	log                logr.Logger
 	ctx                context.Context
@@ -156,7 +156,7 @@
 // incarnation is the first epoch of the owner.
 func New(ctx context.Context, name string, incarnation uint64, t Timing, limits Limits, dial Dial, o Observer, log logr.Logger) *Owner {
 	w := &Owner{
-		name: name, epoch: incarnation, lastTick: time.Now(), timing: t, dial: dial, observer: o, log: log, ctx: ctx,
+		name: name, epoch: incarnation, lastTick: time.Now(), timing: t, dialWorker: dial, observer: o, log: log, ctx: ctx,
 		wake:               make(chan struct{}, 1),
 		firstWorkerAdopted: make(chan struct{}, 1),
 		alloc:              allocator.New(placement.Balanced{}, allocator.Limits{Waiting: limits.MaxWaiting, UrgentWait: t.MaxUrgentWait}),
@@ -238,7 +238,7 @@
 		o.usageMeter.CountStart(a.task.Customer, a.task.Plan, string(a.task.Class), d.Waited)
 		o.ejectionTracker.RecordStart(d.Worker)
 		o.updateWorkerAccepting(s)
-		go o.startOnWorker(s.peer, newStartRequest(s.token, a), a)
+		go o.startAttemptOnWorker(s.peer, newStartRequest(s.token, a), a)
 	}
 }
 
@@ -274,13 +274,13 @@
 	if a.cancelled && s.State == entry.Stopped {
 		s.Reason = entry.ReasonCancelled
 	}
-	o.recordOutcome(a, s)
+	o.recordAttemptOutcome(a, s)
 	o.setStatus(a, s)
 }
 
-// recordOutcome passes the success or failure of an attempt to the ejection
+// recordAttemptOutcome passes the success or failure of an attempt to the ejection
 // tracker, which takes failing workers out of use.
-func (o *Owner) recordOutcome(a *attempt, s entry.Status) {
+func (o *Owner) recordAttemptOutcome(a *attempt, s entry.Status) {
 	if s.State != entry.Finished && s.State != entry.Failed {
 		return
 	}
@@ -295,12 +295,12 @@
 	}
 }
 
-// startOnWorker starts an attempt on its worker. It repeats the call until the
+// startAttemptOnWorker starts an attempt on its worker. It repeats the call until the
 // outcome is known; starts are idempotent per attempt. The request carries the
 // fencing token that this owner had when the allocator chose the worker. If this
 // owner adopts the worker again, its token changes, so the worker refuses start
 // calls from before, which this owner may have given up.
-func (o *Owner) startOnWorker(peer worker.Peer, request worker.StartRequest, a *attempt) {
+func (o *Owner) startAttemptOnWorker(peer worker.Peer, request worker.StartRequest, a *attempt) {
 	id := request.Attempt.ID
 	for isFirstCall := true; ; isFirstCall = false {
 		record, err := peer.Start(o.ctx, request)
@@ -353,7 +353,7 @@
 	}
 	o.setStatus(a, entry.Status{State: entry.Running})
 	if a.cancelled {
-		go o.stopOnWorker(a.task.Attempt, worker.Stop)
+		go o.stopAttemptOnWorker(a.task.Attempt, worker.Stop)
 	}
 }
 
--- a/internal/node/owner/session.go
+++ b/internal/node/owner/session.go
@@ -65,7 +65,7 @@
 	}
 	for name, v := range byName {
 		if o.sessions[name] == nil && !o.draining {
-			s := &session{vm: v, peer: o.dial(v), assigned: true}
+			s := &session{vm: v, peer: o.dialWorker(v), assigned: true}
 			o.sessions[name] = s
 			go o.runSession(s)
 		}
@@ -101,7 +101,7 @@
 			}
 			continue
 		}
-		fenced := o.syncUntilLost(s)
+		fenced := o.syncUntilWorkerLost(s)
 		if fenced && !o.sleep(o.timing.FencedRetryPause) {
 			return
 		}
@@ -185,12 +185,12 @@
 	}
 }
 
-// syncUntilLost renews the lease of an adopted worker and receives its records.
+// syncUntilWorkerLost renews the lease of an adopted worker and receives its records.
 // It returns when another owner has adopted the worker (fenced is true), when
 // the lease has ended because the worker did not answer, or when the owner
 // ends. After a call without an answer the syncs do not renew the lease until
 // one is answered, so that the owner knows when the lease ends at the worker.
-func (o *Owner) syncUntilLost(s *session) (fenced bool) {
+func (o *Owner) syncUntilWorkerLost(s *session) (fenced bool) {
 	lease := o.timing.Lease
 	for o.ctx.Err() == nil {
 		reply, sent, err := o.syncWorker(s, lease)
--- a/internal/node/request/gang.go
+++ b/internal/node/request/gang.go
@@ -15,9 +15,9 @@
 	// gangReservationLease is how long the capacity of a gang stays reserved unless the
 	// reservation is renewed.
 	gangReservationLease = 3 * time.Second
-	// collectDelay is how long a gang tries to reserve all its capacity at once
+	// delayBeforeCollecting is how long a gang tries to reserve all its capacity at once
 	// before it starts to collect capacity that becomes free.
-	collectDelay = 3 * time.Second
+	delayBeforeCollecting = 3 * time.Second
 	// maxCollectTime is how long one try collects capacity. After that the gang
 	// releases it, so that a gang that does not fit does not keep others from
 	// collecting.
@@ -45,7 +45,7 @@
 	began := time.Now()
 	for try := 1; ctx.Err() == nil && !members[0].isAbandoned(); try++ {
 		if members[0].isStartPermitted() {
-			collect := time.Since(began) > collectDelay
+			collect := time.Since(began) > delayBeforeCollecting
 			if reserved := r.tryReserveGang(ctx, domain, members, try, collect); reserved != nil {
 				return reserved, nil
 			}
--- a/internal/node/request/route.go
+++ b/internal/node/request/route.go
@@ -7,7 +7,7 @@
 	"github.com/almondpost/almondpost/internal/state/plan"
 )
 
-// TwoChoices is a Router. While the workers of the local entry VM have more free
+// TwoChoiceRouter is a Router. While the workers of the local entry VM have more free
 // capacity than minLocalFreeFraction and no queue, it keeps tasks there, since the
 // load balancer already spreads the callers and each hop costs control traffic.
 // Otherwise it chooses the less loaded of two random owners in the local failure
@@ -15,7 +15,7 @@
 // no owner left to try, or when the chosen local owner has a queue and no free
 // capacity while the remote owner has more free capacity than
 // minRemoteFreeFraction and no queue.
-type TwoChoices struct {
+type TwoChoiceRouter struct {
 	mutex  sync.Mutex
 	random *rand.Rand
 	name   string
@@ -24,8 +24,8 @@
 
 // NewTwoChoices returns a router for the entry VM with the given name in the
 // given failure domain.
-func NewTwoChoices(name, domain string, random *rand.Rand) *TwoChoices {
-	return &TwoChoices{random: random, name: name, domain: domain}
+func NewTwoChoices(name, domain string, random *rand.Rand) *TwoChoiceRouter {
+	return &TwoChoiceRouter{random: random, name: name, domain: domain}
 }
 
 // minLocalFreeFraction is a fraction of capacity. While more than this fraction
@@ -39,7 +39,7 @@
 const minRemoteFreeFraction = 0.2
 
 // Route implements Router.
-func (c *TwoChoices) Route(targets []Target, _ plan.Class, tried map[string]bool) (Target, bool) {
+func (c *TwoChoiceRouter) Route(targets []Target, _ plan.Class, tried map[string]bool) (Target, bool) {
 	var localTargets, remoteTargets []Target
 	for _, t := range targets {
 		switch {
@@ -68,7 +68,7 @@
 
 // pickLessLoaded returns the less loaded of two random targets, or false when
 // there are none.
-func (c *TwoChoices) pickLessLoaded(from []Target) (Target, bool) {
+func (c *TwoChoiceRouter) pickLessLoaded(from []Target) (Target, bool) {
 	if len(from) == 0 {
 		return Target{}, false
 	}
--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -115,8 +115,8 @@
 	// Abandoned is closed when another holder has taken the task over. This does
 	// not stop a running attempt.
 	Abandoned <-chan struct{}
-	// resumed is true once an attempt ran and was stopped or failed.
-	resumed bool
+	// hasRunBefore is true once an attempt ran and was stopped or failed.
+	hasRunBefore bool
 	// ExistingAttempt is an attempt that was made before Run is called: by a
 	// former holder or by StartReserved. Run waits for its end before it makes a new
 	// attempt.
@@ -173,7 +173,7 @@
 			out.Attempts++
 		}
 		if r.shouldRetry(ctx, w, status, &failures) {
-			w.resumed = true
+			w.hasRunBefore = true
 			continue
 		}
 		fillOutcome(ctx, &out, status)
@@ -319,7 +319,7 @@
 func (w Work) newTask(attempt string, remaining time.Duration) entry.Task {
 	return entry.Task{
 		Attempt: attempt, Customer: w.Customer, Plan: w.Spec.Plan, Class: w.Spec.Class, Size: w.Spec.Size,
-		Name: w.ID, Generation: w.Generation, Resumed: w.resumed,
+		Name: w.ID, Generation: w.Generation, Resumed: w.hasRunBefore,
 		Kind: w.Spec.Kind, Spread: w.Spec.Spread, Repeatable: w.Spec.Repeatable,
 		RunTime:   time.Duration(w.Spec.RunTimeMilliseconds) * time.Millisecond,
 		Remaining: remaining, Payload: w.Spec.Payload,
--- a/internal/operate/explain/explain.go
+++ b/internal/operate/explain/explain.go
@@ -48,7 +48,7 @@
 func PrintJobHistory(w io.Writer, id string, logs []io.Reader) error {
 	var jobLines, contextLines []logLine
 	for _, l := range logs {
-		if err := readLog(l, id, &jobLines, &contextLines); err != nil {
+		if err := collectLogLines(l, id, &jobLines, &contextLines); err != nil {
 			return err
 		}
 	}
@@ -72,14 +72,14 @@
 	return nil
 }
 
-// readLog appends the events of the job with the given ID to jobLines and the
+// collectLogLines appends the events of the job with the given ID to jobLines and the
 // contextEvents to contextLines.
-func readLog(r io.Reader, id string, jobLines, contextLines *[]logLine) error {
+func collectLogLines(r io.Reader, id string, jobLines, contextLines *[]logLine) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Text()
-		at, event, ok := parseLine(text)
+		at, event, ok := parseLogLine(text)
 		switch {
 		case !ok:
 		case strings.Contains(text, id):
@@ -94,9 +94,9 @@
 	return nil
 }
 
-// parseLine returns the time of a log line and its text from "event=" on. ok is false
+// parseLogLine returns the time of a log line and its text from "event=" on. ok is false
 // when the line lacks either.
-func parseLine(text string) (at time.Time, event string, ok bool) {
+func parseLogLine(text string) (at time.Time, event string, ok bool) {
 	match := timePattern.FindStringSubmatch(text)
 	i := strings.Index(text, "event=")
 	if match == nil || i < 0 {
