--- a/internal/node/owner/owner_test.go
+++ b/internal/node/owner/owner_test.go
@@ -134,10 +134,10 @@
 	return entry.RunArgs{Epoch: epoch, Wait: time.Millisecond, Task: entry.Task{Attempt: attempt, Plan: "p", Class: plan.Urgent, Size: capacity}}
 }
 
-// TestPayloadsAreBounded checks that an attempt is refused when its payload
+// TestPayloadLimitIsEnforced checks that an attempt is refused when its payload
 // does not fit into the payload limit, and that the end of an attempt frees its
 // part of the limit.
-func TestPayloadsAreBounded(t *testing.T) {
+func TestPayloadLimitIsEnforced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		o, stop := startOwner(is, &idleWorker{}, noopObserver{})
--- a/internal/node/request/resolve_test.go
+++ b/internal/node/request/resolve_test.go
@@ -26,12 +26,12 @@
 // verifies at once that it holds every worker.
 type lostReplyPeers struct {
 	fakeDomain
-	runCalls int
+	runCallCount int
 }
 
 func (p *lostReplyPeers) Targets() []request.Target {
 	return []request.Target{
-		{Name: "gone", Epoch: 1, Domain: "d", FreeFraction: 1, Usable: p.runCalls == 0, Reachable: false},
+		{Name: "gone", Epoch: 1, Domain: "d", FreeFraction: 1, Usable: p.runCallCount == 0, Reachable: false},
 		{Name: "other", Epoch: 1, Domain: "d", FreeFraction: 1, Usable: true, Reachable: true},
 	}
 }
@@ -39,7 +39,7 @@
 func (p *lostReplyPeers) Workers(string) []string { return []string{"w"} }
 
 func (p *lostReplyPeers) Run(_ context.Context, t request.Target, _ entry.RunArgs) (entry.Status, error) {
-	p.runCalls++
+	p.runCallCount++
 	if t.Name == "gone" {
 		return entry.Status{}, fault.New("Run", entry.KindUnknown, errors.New("lost"))
 	}
@@ -73,7 +73,7 @@
 		began := time.Now()
 		o := r.Run(context.Background(), request.Work{ID: "t", Spec: request.Spec{Repeatable: true, Class: plan.Urgent}})
 		is.Equal(o.State, request.Done)
-		is.Equal(p.runCalls, 2)
+		is.Equal(p.runCallCount, 2)
 		is.True(time.Since(began) >= entry.HolderLease)
 	})
 }
@@ -84,7 +84,7 @@
 func TestWaitingAttemptIsDroppedWithoutItsHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h := &runHistory{runningWorkers: map[string]int{}, startCounts: map[string]int{}, events: map[string][]string{}, began: time.Now()}
+		h := &runHistory{runningWorkers: map[string]int{}, startCounts: map[string]int{}, events: map[string][]string{}, startedAt: time.Now()}
 		net := &fakeNetwork{random: rand.New(rand.NewPCG(1, 1)), history: h, reliable: true}
 		w := &fakeWorker{network: net, name: "w", records: map[string]*worker.Record{}, changed: make(chan struct{})}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -128,7 +128,7 @@
 	r := request.New(p, firstUsableRouter{}, retry.New(1, 1), request.DefaultTiming, logr.Discard())
 	o := r.Run(context.Background(), request.Work{ID: "t", Domain: "near", Spec: request.Spec{Class: plan.Normal}})
 	is.Equal(o.State, request.NotRun)
-	is.Equal(p.runCalls, 0)
+	is.Equal(p.runCallCount, 0)
 	o = r.Run(context.Background(), request.Work{ID: "t", Spec: request.Spec{Class: plan.Normal}})
 	is.Equal(o.State, request.Done)
 }
--- a/internal/node/request/runner_test.go
+++ b/internal/node/request/runner_test.go
@@ -69,8 +69,8 @@
 	// violations describes the broken rules, each with the events of its task.
 	violations []string
 	// events maps each task to its events, which are printed with its violations.
-	events map[string][]string
-	began  time.Time
+	events    map[string][]string
+	startedAt time.Time
 }
 
 // recordEvent adds an event of an attempt to the events of its task.
@@ -83,7 +83,7 @@
 // recordEventLocked is recordEvent for a caller that holds the lock.
 func (h *runHistory) recordEventLocked(attempt, format string, args ...any) {
 	name := taskIDOf(attempt)
-	h.events[name] = append(h.events[name], fmt.Sprintf("%s %s: ", time.Since(h.began), attempt)+fmt.Sprintf(format, args...))
+	h.events[name] = append(h.events[name], fmt.Sprintf("%s %s: ", time.Since(h.startedAt), attempt)+fmt.Sprintf(format, args...))
 }
 
 // addViolation records a broken rule together with the events of the task.
@@ -126,9 +126,9 @@
 	owner  string
 }
 
-// callWorker makes one call to a worker over the faulty network. A lost call or
+// callWorkerWithFaults makes one call to a worker over the faulty network. A lost call or
 // reply is an error of the kind worker.KindUnreachable.
-func callWorker[Q, A any](ctx context.Context, l workerLink, q Q, f func(context.Context, Q) (A, error)) (A, error) {
+func callWorkerWithFaults[Q, A any](ctx context.Context, l workerLink, q Q, f func(context.Context, Q) (A, error)) (A, error) {
 	var none A
 	requestLost, replyLost, delay := l.worker.network.drawFaults()
 	timeout := 3 * time.Second
@@ -165,19 +165,19 @@
 }
 
 func (l workerLink) Adopt(ctx context.Context, q worker.AdoptRequest) (worker.AdoptReply, error) {
-	return callWorker(ctx, l, q, l.worker.adopt)
+	return callWorkerWithFaults(ctx, l, q, l.worker.adopt)
 }
 
 func (l workerLink) Start(ctx context.Context, q worker.StartRequest) (worker.Record, error) {
-	return callWorker(ctx, l, q, l.worker.start)
+	return callWorkerWithFaults(ctx, l, q, l.worker.start)
 }
 
 func (l workerLink) Sync(ctx context.Context, q worker.SyncRequest) (worker.SyncReply, error) {
-	return callWorker(ctx, l, q, l.worker.sync)
+	return callWorkerWithFaults(ctx, l, q, l.worker.sync)
 }
 
 func (l workerLink) Stop(ctx context.Context, q worker.StopRequest) (worker.StopReply, error) {
-	return callWorker(ctx, l, q, l.worker.stop)
+	return callWorkerWithFaults(ctx, l, q, l.worker.stop)
 }
 
 // setPhase changes the phase of an attempt, counts it in the history and wakes
@@ -481,9 +481,9 @@
 	return out
 }
 
-// callOwner makes one call to an owner over the faulty network. If the owner is
+// callOwnerWithFaults makes one call to an owner over the faulty network. If the owner is
 // gone when the reply is due, the reply is lost.
-func callOwner[A any](ctx context.Context, d *fakeDomain, t request.Target, method string, f func(o *owner.Owner) (A, error)) (A, error) {
+func callOwnerWithFaults[A any](ctx context.Context, d *fakeDomain, t request.Target, method string, f func(o *owner.Owner) (A, error)) (A, error) {
 	var none A
 	requestLost, replyLost, delay := d.network.drawFaults()
 	time.Sleep(min(delay, time.Second))
@@ -508,19 +508,19 @@
 }
 
 func (d *fakeDomain) Run(ctx context.Context, t request.Target, a entry.RunArgs) (entry.Status, error) {
-	s, err := callOwner(ctx, d, t, "Run", func(o *owner.Owner) (entry.Status, error) { return o.Run(a) })
+	s, err := callOwnerWithFaults(ctx, d, t, "Run", func(o *owner.Owner) (entry.Status, error) { return o.Run(a) })
 	d.network.history.recordEvent(a.Task.Attempt, "Run at %s epoch %d: %s %s %v", t.Name, a.Epoch, s.State, s.Reason, err)
 	return s, err
 }
 
 func (d *fakeDomain) Await(ctx context.Context, t request.Target, a entry.AwaitArgs) (entry.Status, error) {
-	s, err := callOwner(ctx, d, t, "Await", func(o *owner.Owner) (entry.Status, error) { return o.Await(a) })
+	s, err := callOwnerWithFaults(ctx, d, t, "Await", func(o *owner.Owner) (entry.Status, error) { return o.Await(a) })
 	d.network.history.recordEvent(a.Attempt, "Await at %s epoch %d: %s %s %v", t.Name, a.Epoch, s.State, s.Reason, err)
 	return s, err
 }
 
 func (d *fakeDomain) Resolve(ctx context.Context, t request.Target, a entry.ResolveArgs) (entry.ResolveReply, error) {
-	r, err := callOwner(ctx, d, t, "Resolve", func(o *owner.Owner) (entry.ResolveReply, error) { return o.Resolve(a) })
+	r, err := callOwnerWithFaults(ctx, d, t, "Resolve", func(o *owner.Owner) (entry.ResolveReply, error) { return o.Resolve(a) })
 	for _, id := range a.Attempts {
 		d.network.history.recordEvent(id, "Resolve at %s: %+v %v", t.Name, r, err)
 	}
@@ -528,11 +528,11 @@
 }
 
 func (d *fakeDomain) Reserve(ctx context.Context, t request.Target, a entry.ReserveArgs) (entry.ReserveReply, error) {
-	return callOwner(ctx, d, t, "Reserve", func(o *owner.Owner) (entry.ReserveReply, error) { return o.Reserve(a) })
+	return callOwnerWithFaults(ctx, d, t, "Reserve", func(o *owner.Owner) (entry.ReserveReply, error) { return o.Reserve(a) })
 }
 
 func (d *fakeDomain) Cancel(ctx context.Context, t request.Target, a entry.CancelArgs) error {
-	_, err := callOwner(ctx, d, t, "Cancel", func(o *owner.Owner) (struct{}, error) { return struct{}{}, o.Cancel(a) })
+	_, err := callOwnerWithFaults(ctx, d, t, "Cancel", func(o *owner.Owner) (struct{}, error) { return struct{}{}, o.Cancel(a) })
 	return err
 }
 
@@ -545,8 +545,8 @@
 	tasks           int
 	// ownerKills is how often an owner is killed.
 	ownerKills int
-	// ownerCuts is how often an owner is cut off from the holders.
-	ownerCuts int
+	// ownerDisconnections is how often an owner is cut off from the holders.
+	ownerDisconnections int
 	// workerMutes is how often a worker is muted.
 	workerMutes int
 	// contestWorkers makes two owners claim some workers at the same time.
@@ -561,13 +561,13 @@
 func TestAttemptsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := faultSchedule{
-			seed:            rapid.Uint64().Draw(rt, "seed"),
-			lossProbability: rapid.Float64Range(0, 0.2).Draw(rt, "loss"),
-			tasks:           rapid.IntRange(1, 30).Draw(rt, "tasks"),
-			ownerKills:      rapid.IntRange(0, 3).Draw(rt, "kills"),
-			ownerCuts:       rapid.IntRange(0, 2).Draw(rt, "cuts"),
-			workerMutes:     rapid.IntRange(0, 1).Draw(rt, "mutes"),
-			contestWorkers:  rapid.Bool().Draw(rt, "contest"),
+			seed:                rapid.Uint64().Draw(rt, "seed"),
+			lossProbability:     rapid.Float64Range(0, 0.2).Draw(rt, "loss"),
+			tasks:               rapid.IntRange(1, 30).Draw(rt, "tasks"),
+			ownerKills:          rapid.IntRange(0, 3).Draw(rt, "kills"),
+			ownerDisconnections: rapid.IntRange(0, 2).Draw(rt, "cuts"),
+			workerMutes:         rapid.IntRange(0, 1).Draw(rt, "mutes"),
+			contestWorkers:      rapid.Bool().Draw(rt, "contest"),
 		}
 		var faults []string
 		synctest.Test(t, func(t *testing.T) { faults = s.run(t) })
@@ -603,7 +603,7 @@
 // run runs the tasks of a schedule with its faults and returns the violations.
 func (s faultSchedule) run(t *testing.T) []string {
 	random := rand.New(rand.NewPCG(s.seed, 1))
-	h := &runHistory{runningWorkers: map[string]int{}, startCounts: map[string]int{}, events: map[string][]string{}, began: time.Now()}
+	h := &runHistory{runningWorkers: map[string]int{}, startCounts: map[string]int{}, events: map[string][]string{}, startedAt: time.Now()}
 	net := &fakeNetwork{random: rand.New(rand.NewPCG(s.seed, 2)), lossProbability: s.lossProbability, history: h}
 	d := &fakeDomain{network: net, owners: map[string]*owner.Owner{}, incarnations: map[string]uint64{}, stopFuncs: map[string]context.CancelFunc{}, unreachable: map[string]bool{}}
 	for i := range 4 {
@@ -646,7 +646,7 @@
 			d.assignWorkers(random, s.contestWorkers)
 		}
 	}
-	for range s.ownerCuts {
+	for range s.ownerDisconnections {
 		name := fmt.Sprintf("o%d", random.IntN(3))
 		if d.owners[name] == nil || len(d.owners) < 2 {
 			continue
--- a/internal/operate/deployment/deployment_test.go
+++ b/internal/operate/deployment/deployment_test.go
@@ -10,7 +10,7 @@
 	"github.com/almondpost/almondpost/internal/operate/deployment"
 )
 
-func TestExampleSizes(t *testing.T) {
+func TestExampleDeploymentSizes(t *testing.T) {
 	scenarios := []struct {
 		testName                  string
 		domains, entries, workers int
--- a/internal/peer/entry/client_test.go
+++ b/internal/peer/entry/client_test.go
@@ -47,7 +47,7 @@
 
 func neverBlocked(netip.AddrPort) bool { return false }
 
-func listen(is *is.I) (net.Listener, netip.AddrPort) {
+func listenOnLoopback(is *is.I) (net.Listener, netip.AddrPort) {
 	is.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -60,7 +60,7 @@
 // peer answers.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	is := is.New(t)
-	l, address := listen(is)
+	l, address := listenOnLoopback(is)
 	accepted := make(chan net.Conn, 4)
 	go func() {
 		for {
@@ -92,7 +92,7 @@
 // is not ended while its connection still answers other calls.
 func TestProbeKeepsConnectionOfSlowCall(t *testing.T) {
 	is := is.New(t)
-	l, address := listen(is)
+	l, address := listenOnLoopback(is)
 	h := slowHandler{release: make(chan struct{})}
 	server, err := entry.NewServer(l, h, &traffic.Counter{})
 	is.NoErr(err)
@@ -111,9 +111,9 @@
 	is.NoErr(<-done)
 }
 
-func TestKindsOfCallErrors(t *testing.T) {
+func TestCallErrorKinds(t *testing.T) {
 	is := is.New(t)
-	l, address := listen(is)
+	l, address := listenOnLoopback(is)
 	c := entry.NewClient(&traffic.Counter{}, neverBlocked)
 	defer c.Close()
 	server, err := entry.NewServer(l, slowHandler{}, &traffic.Counter{})
