--- a/internal/node/owner/calls.go
+++ b/internal/node/owner/calls.go
@@ -40,7 +40,7 @@
 		if a, err = o.admitAttempt(r.Task); err != nil {
 			o.mutex.Unlock()
 			kind := fault.KindOf[allocator.Kind](err)
-			return entry.Status{State: entry.NotRun, Reason: string(kind), RetryAfter: retryAfter(kind)}, nil
+			return entry.Status{State: entry.NotRun, Reason: string(kind), RetryAfter: retryDelayForRefusal(kind)}, nil
 		}
 	}
 	a.lastHolderCall = time.Now()
@@ -51,9 +51,9 @@
 	return o.waitForEnd(a, r.Wait), nil
 }
 
-// retryAfter returns the retry hint for a refusal, or zero when a retry would not
+// retryDelayForRefusal returns the retry hint for a refusal, or zero when a retry would not
 // help.
-func retryAfter(k allocator.Kind) time.Duration {
+func retryDelayForRefusal(k allocator.Kind) time.Duration {
 	switch k {
 	case allocator.KindQueueFull, allocator.KindShed, allocator.KindNoWorkers, allocator.KindDraining:
 		return busyRetryDelay
--- a/internal/node/request/gang.go
+++ b/internal/node/request/gang.go
@@ -114,7 +114,7 @@
 		if len(offers) == 0 {
 			break
 		}
-		reply, err := r.callReserve(ctx, o, members[0], offers, collect)
+		reply, err := r.reserveAtOwner(ctx, o, members[0], offers, collect)
 		if err != nil {
 			continue
 		}
@@ -157,8 +157,8 @@
 	return out
 }
 
-// callReserve makes one Reserve call to an owner.
-func (r *Runner) callReserve(ctx context.Context, o Target, w Work, offers map[string]gangOffer, collect bool) (entry.ReserveReply, error) {
+// reserveAtOwner makes one Reserve call to an owner.
+func (r *Runner) reserveAtOwner(ctx context.Context, o Target, w Work, offers map[string]gangOffer, collect bool) (entry.ReserveReply, error) {
 	tasks := make([]entry.Task, len(offers))
 	position := 0
 	for _, offer := range offers {
--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -176,7 +176,7 @@
 			w.hasRunBefore = true
 			continue
 		}
-		fillOutcome(ctx, &out, status)
+		setOutcomeFromStatus(ctx, &out, status)
 		if out.Attempts > 0 && out.State == NotRun {
 			out.State, out.Reason = MayHaveRun, entry.ReasonInterrupted
 		}
@@ -202,9 +202,9 @@
 	return false
 }
 
-// fillOutcome sets the state and the other results of an outcome from the
+// setOutcomeFromStatus sets the state and the other results of an outcome from the
 // status of the last attempt.
-func fillOutcome(ctx context.Context, out *Outcome, s entry.Status) {
+func setOutcomeFromStatus(ctx context.Context, out *Outcome, s entry.Status) {
 	out.Reason = s.Reason
 	out.RetryAfterMilliseconds = s.RetryAfter.Milliseconds()
 	switch s.State {
--- a/internal/peer/link/client.go
+++ b/internal/peer/link/client.go
@@ -41,14 +41,14 @@
 	service     string
 	mutex       sync.Mutex
 	connections map[netip.AddrPort]*rpc.Client
-	// lastUnanswered maps each peer to the time of its last unanswered call. A
+	// lastUnansweredCall maps each peer to the time of its last unanswered call. A
 	// successful call deletes the entry.
-	lastUnanswered map[netip.AddrPort]time.Time
+	lastUnansweredCall map[netip.AddrPort]time.Time
 }
 
 // NewClient returns a client for the methods of one net/rpc service.
 func NewClient(service string) *Client {
-	return &Client{service: service, connections: map[netip.AddrPort]*rpc.Client{}, lastUnanswered: map[netip.AddrPort]time.Time{}}
+	return &Client{service: service, connections: map[netip.AddrPort]*rpc.Client{}, lastUnansweredCall: map[netip.AddrPort]time.Time{}}
 }
 
 // connect returns the open connection to a peer or dials a new one.
@@ -80,7 +80,7 @@
 func (c *Client) Silent(a netip.AddrPort) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	at, ok := c.lastUnanswered[a]
+	at, ok := c.lastUnansweredCall[a]
 	return ok && time.Since(at) < silentPeriod
 }
 
@@ -92,9 +92,9 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if answered {
-		delete(c.lastUnanswered, a)
+		delete(c.lastUnansweredCall, a)
 	} else {
-		c.lastUnanswered[a] = time.Now()
+		c.lastUnansweredCall[a] = time.Now()
 	}
 }
 
--- a/internal/peer/logservice/log.go
+++ b/internal/peer/logservice/log.go
@@ -67,13 +67,13 @@
 
 // Client is a Log that sends JSON over HTTP.
 type Client struct {
-	baseURL string
-	client  *http.Client
+	baseURL    string
+	httpClient *http.Client
 }
 
 // New returns a client for the log service at an address.
 func New(address netip.AddrPort, client *http.Client) *Client {
-	return &Client{baseURL: "http://" + address.String(), client: client}
+	return &Client{baseURL: "http://" + address.String(), httpClient: client}
 }
 
 // Append implements Log.
@@ -81,7 +81,7 @@
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	var reply AppendReply
-	err := jsonhttp.Post(ctx, c.client, c.baseURL+"/v1/append", AppendRequest{Stream: stream, Records: records}, &reply)
+	err := jsonhttp.Post(ctx, c.httpClient, c.baseURL+"/v1/append", AppendRequest{Stream: stream, Records: records}, &reply)
 	if err != nil {
 		return 0, fault.New("append", KindUnreachable, err)
 	}
@@ -95,7 +95,7 @@
 	target := fmt.Sprintf("%s/v1/read?stream=%s&after=%d&limit=%d&wait_milliseconds=%d",
 		c.baseURL, url.QueryEscape(stream), after, limit, wait.Milliseconds())
 	var reply ReadReply
-	if err := jsonhttp.Get(ctx, c.client, target, &reply); err != nil {
+	if err := jsonhttp.Get(ctx, c.httpClient, target, &reply); err != nil {
 		return reply, fault.New("read", KindUnreachable, err)
 	}
 	return reply, nil
--- a/internal/peer/vmlist/vmlist.go
+++ b/internal/peer/vmlist/vmlist.go
@@ -59,8 +59,8 @@
 
 // Client is a Lister that reads JSON over HTTP.
 type Client struct {
-	baseURL string
-	client  *http.Client
+	baseURL    string
+	httpClient *http.Client
 
 	mutex sync.Mutex
 	// cachedLists maps a failure domain to its last list, so that the platform
@@ -76,7 +76,7 @@
 
 // New returns a client for the VM list at an address.
 func New(address netip.AddrPort, client *http.Client) *Client {
-	return &Client{baseURL: "http://" + address.String(), client: client, cachedLists: map[string]cachedList{}}
+	return &Client{baseURL: "http://" + address.String(), httpClient: client, cachedLists: map[string]cachedList{}}
 }
 
 // List implements Lister.
@@ -87,7 +87,7 @@
 	cached := c.cachedLists[domain]
 	c.mutex.Unlock()
 	var fresh List
-	tag, err := jsonhttp.GetIfChanged(ctx, c.client, c.baseURL+"/v1/vms?domain="+domain, cached.entityTag, &fresh)
+	tag, err := jsonhttp.GetIfChanged(ctx, c.httpClient, c.baseURL+"/v1/vms?domain="+domain, cached.entityTag, &fresh)
 	if err != nil {
 		return List{}, fault.New("list", KindUnreachable, err)
 	}
--- a/internal/peer/worker/client.go
+++ b/internal/peer/worker/client.go
@@ -17,13 +17,13 @@
 
 // Client is a Peer that sends JSON over HTTP.
 type Client struct {
-	baseURL string
-	client  *http.Client
+	baseURL    string
+	httpClient *http.Client
 }
 
 // New returns a client for the worker at an address.
 func New(address netip.AddrPort, client *http.Client) *Client {
-	return &Client{baseURL: "http://" + address.String(), client: client}
+	return &Client{baseURL: "http://" + address.String(), httpClient: client}
 }
 
 // Adopt implements Peer.
@@ -52,7 +52,7 @@
 	ctx, cancel := context.WithTimeout(ctx, wait+CallTimeout)
 	defer cancel()
 	var reply T
-	err := jsonhttp.Post(ctx, c.client, c.baseURL+"/v1/"+operation, request, &reply)
+	err := jsonhttp.Post(ctx, c.httpClient, c.baseURL+"/v1/"+operation, request, &reply)
 	if err == nil {
 		return reply, nil
 	}
