--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -115,8 +115,8 @@
 	// Abandoned is closed when another holder has taken the task over. This does
 	// not stop a running attempt.
 	Abandoned <-chan struct{}
-	// resumed is true once an attempt ran and was stopped or failed.
-	resumed bool
+	// hasRunBefore is true once an attempt ran and was stopped or failed.
+	hasRunBefore bool
 	// ExistingAttempt is an attempt that was made before Run is called: by a
 	// former holder or by StartReserved. Run waits for its end before it makes a new
 	// attempt.
@@ -134,7 +134,7 @@
 	}
 }
 
-func (w Work) isPermitted() bool { return w.Permit == nil || w.Permit() }
+func (w Work) isStartPermitted() bool { return w.Permit == nil || w.Permit() }
 
 // attemptID returns the ID of attempt number n. It contains the generation of
 // the holder, if there is one, so that attempts of different holders have
@@ -173,10 +173,10 @@
 			out.Attempts++
 		}
 		if r.shouldRetry(ctx, w, status, &failures) {
-			w.resumed = true
+			w.hasRunBefore = true
 			continue
 		}
-		fillOutcome(ctx, &out, status)
+		setOutcomeFromStatus(ctx, &out, status)
 		if out.Attempts > 0 && out.State == NotRun {
 			out.State, out.Reason = MayHaveRun, entry.ReasonInterrupted
 		}
@@ -202,9 +202,9 @@
 	return false
 }
 
-// fillOutcome sets the state and the other results of an outcome from the
+// setOutcomeFromStatus sets the state and the other results of an outcome from the
 // status of the last attempt.
-func fillOutcome(ctx context.Context, out *Outcome, s entry.Status) {
+func setOutcomeFromStatus(ctx context.Context, out *Outcome, s entry.Status) {
 	out.Reason = s.Reason
 	out.RetryAfterMilliseconds = s.RetryAfter.Milliseconds()
 	switch s.State {
@@ -237,7 +237,7 @@
 	tried := map[string]bool{}
 	lastRefusal := entry.Status{State: entry.NotRun, Reason: reasonNoOwner, RetryAfter: time.Second}
 	for offers := 0; offers < maxOffersPerTask && ctx.Err() == nil && !w.isAbandoned(); offers++ {
-		if !w.isPermitted() {
+		if !w.isStartPermitted() {
 			return entry.Status{State: entry.NotRun, Reason: reasonNotPermitted, RetryAfter: time.Second}
 		}
 		target, ok := r.router.Route(r.eligibleTargets(w), w.Spec.Class, tried)
@@ -319,7 +319,7 @@
 func (w Work) newTask(attempt string, remaining time.Duration) entry.Task {
 	return entry.Task{
 		Attempt: attempt, Customer: w.Customer, Plan: w.Spec.Plan, Class: w.Spec.Class, Size: w.Spec.Size,
-		Name: w.ID, Generation: w.Generation, Resumed: w.resumed,
+		Name: w.ID, Generation: w.Generation, Resumed: w.hasRunBefore,
 		Kind: w.Spec.Kind, Spread: w.Spec.Spread, Repeatable: w.Spec.Repeatable,
 		RunTime:   time.Duration(w.Spec.RunTimeMilliseconds) * time.Millisecond,
 		Remaining: remaining, Payload: w.Spec.Payload,
@@ -369,7 +369,7 @@
 		case status.State.Ended():
 			return status
 		}
-		if ctx.Err() != nil || status.State == entry.Waiting && !w.isPermitted() {
+		if ctx.Err() != nil || status.State == entry.Waiting && !w.isStartPermitted() {
 			r.cancelAttempt(t, attempt)
 		}
 		sent := time.Now()
