--- a/internal/cell/scheduler/advice_test.go
+++ b/internal/cell/scheduler/advice_test.go
@@ -48,7 +48,7 @@
 			s.Submit(&work.Job{ID: fmt.Sprintf("%s-%d", queueName, i), Queue: queueName, Accepted: now, Steps: []work.Step{{Count: 1, Size: taskSize, Estimate: 10 * time.Second}}}, now)
 		}
 	}
-	s.Plan(now)
+	s.Schedule(now)
 	requests := map[string]int{}
 	for _, a := range s.TakeEffects().AdviceRequests {
 		requests[a.Step.Job[:4]]++
@@ -78,12 +78,12 @@
 	now := time.Unix(1_700_000_000, 0)
 	s := newAdvisedScheduler(now, 1)
 	s.Submit(&work.Job{ID: "gang", Queue: "long", Accepted: now, Steps: []work.Step{{Count: 3, Gang: true, Size: workerCapacity, Estimate: time.Second}}}, now)
-	s.Plan(now)
+	s.Schedule(now)
 	now = now.Add(600 * time.Millisecond)
 	is.Equal(approveAllRequests(s, now), 3)
 	// The gang cannot start, because the workers have been silent for too long.
 	now = now.Add(1500 * time.Millisecond)
-	s.Plan(now)
+	s.Schedule(now)
 	is.Equal(approveAllRequests(s, now.Add(600*time.Millisecond)), 3) // The tickets are still valid but would expire before the answer.
 }
 
@@ -139,7 +139,7 @@
 			for i := range 10 {
 				s.Submit(&work.Job{ID: fmt.Sprintf("long-%d", i), Queue: "long", Accepted: now, Steps: []work.Step{{Count: 1, Size: taskSize, Estimate: 10 * time.Second}}}, now)
 			}
-			s.Plan(now)
+			s.Schedule(now)
 			s.TakeEffects()
 			for i, age := range sc.ages {
 				s.Submit(&work.Job{ID: fmt.Sprintf("short-%d", i), Queue: "short", Accepted: now.Add(-age), Steps: []work.Step{{Count: 1, Size: taskSize, Estimate: time.Second}}}, now)
@@ -147,7 +147,7 @@
 			if sc.vms == 8 {
 				s.SetAdviceVMs([]string{"vm-0", "vm-1", "vm-2", "vm-3", "vm-4", "vm-5"}) // Only one VM is still idle.
 			}
-			s.Plan(now)
+			s.Schedule(now)
 			var requested []string
 			for _, a := range s.TakeEffects().AdviceRequests {
 				requested = append(requested, a.Step.Job)
@@ -176,7 +176,7 @@
 			s.SetTable(&queue.Table{Version: 2, Queues: []queue.Queue{
 				{Name: "sort", Service: "desk", Priority: sc.priority, Stretch: 2, Objective: time.Second, Advice: &queue.AdviceCost{Fixed: 20 * time.Millisecond, Validity: 2 * time.Second}},
 			}})
-			s.Plan(now)
+			s.Schedule(now)
 			s.Submit(&work.Job{ID: "job", Queue: "sort", Accepted: now, Steps: []work.Step{{Count: 1, Size: taskSize, Estimate: time.Second}}}, now)
 			is.Equal(approveAllRequests(s, now.Add(20*time.Millisecond)) > 0, sc.expected > 0)
 			records := 0
--- a/internal/cell/scheduler/bench_test.go
+++ b/internal/cell/scheduler/bench_test.go
@@ -27,7 +27,7 @@
 			sm.runFor(time.Second)
 			b.ReportAllocs()
 			for b.Loop() {
-				l.scheduler.Plan(sm.now)
+				l.scheduler.Schedule(sm.now)
 			}
 		})
 	}
@@ -101,7 +101,7 @@
 			sm.runFor(3 * time.Second)
 			b.ReportAllocs()
 			for b.Loop() {
-				l.scheduler.Plan(sm.now)
+				l.scheduler.Schedule(sm.now)
 				l.scheduler.TakeEffects()
 			}
 		})
--- a/internal/cell/scheduler/commit_test.go
+++ b/internal/cell/scheduler/commit_test.go
@@ -38,7 +38,7 @@
 	s.SetTable(&queue.Table{Version: 1, Queues: []queue.Queue{{Name: "urgent", Service: "desk", MaxAttempts: 3, Stretch: 2, Objective: time.Second}}})
 	list := addHeldWorkers(s, 2, now, "desk")
 	s.Submit(&work.Job{ID: "job", Queue: "urgent", Accepted: now, Steps: []work.Step{{Count: 1, Size: taskSize, Estimate: time.Second}}}, now)
-	s.Plan(now)
+	s.Schedule(now)
 	first := s.NextCommit(now)
 	is.True(first != nil)
 	s.TakeEffects()
@@ -51,7 +51,7 @@
 		}
 	}
 	s.SetWorkers(list, now)
-	s.Plan(now)
+	s.Schedule(now)
 	s.Committed(first, now)
 	is.Equal(len(s.TakeEffects().Starts), 0) // The second placement is not stored yet.
 
--- a/internal/cell/scheduler/health_test.go
+++ b/internal/cell/scheduler/health_test.go
@@ -46,7 +46,7 @@
 			}
 			place := func(id string, count int) []scheduler.Order[backend.Start] {
 				s.Submit(&work.Job{ID: id, Queue: "urgent", Accepted: now, Steps: []work.Step{{Count: count, Size: taskSize, Estimate: time.Second}}}, now)
-				s.Plan(now)
+				s.Schedule(now)
 				s.Committed(s.NextCommit(now), now)
 				return s.TakeEffects().Starts
 			}
--- a/internal/cell/scheduler/schedule.go
+++ b/internal/cell/scheduler/schedule.go
@@ -10,9 +10,9 @@
 	"github.com/almondpost/almondpost/internal/peer/backend"
 )
 
-// Plan does a scheduling pass: it places the waiting tasks, reserves workers for
+// Schedule does a scheduling pass: it places the waiting tasks, reserves workers for
 // large steps without a place, and sends requests for advice.
-func (s *Scheduler) Plan(now time.Time) {
+func (s *Scheduler) Schedule(now time.Time) {
 	s.schedulingNeeded = false
 	sortedJobs := s.jobsInSchedulingOrder(now)
 	reserved := newReservations()
--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -489,7 +489,7 @@
 		s.HoldAnswered(r.Life, sent, &backend.Report{Life: r.Life, Clock: time.Second + now.Sub(time.Unix(1_700_000_000, 0)), Running: runs}, now)
 	}
 	plan := func() []scheduler.Order[backend.Start] {
-		s.Plan(now)
+		s.Schedule(now)
 		if c := s.NextCommit(now); c != nil {
 			s.Committed(c, now)
 		}
--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -471,7 +471,7 @@
 	}
 	var c *scheduler.Commit
 	l.updateScheduler(func(at time.Time) {
-		l.scheduler.Plan(at)
+		l.scheduler.Schedule(at)
 		c = l.scheduler.NextCommit(at)
 	})
 	if c == nil {
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -247,7 +247,7 @@
 		case <-l.schedulingSignal:
 		}
 		begun := now()
-		l.updateScheduler(func(s *scheduler.Scheduler, at time.Time) { s.Plan(at) })
+		l.updateScheduler(func(s *scheduler.Scheduler, at time.Time) { s.Schedule(at) })
 		sleep(l.ctx, max(minSchedulingPause, schedulingPauseFactor*now().Sub(begun)))
 	}
 }
--- a/internal/node/keeper/bench_test.go
+++ b/internal/node/keeper/bench_test.go
@@ -61,7 +61,7 @@
 		}
 		now = now.Add(10 * time.Millisecond)
 		s.Submit(&work.Job{ID: fmt.Sprintf("%016x", runs), Queue: "batch", Payload: "payload", Accepted: now, Steps: []work.Step{{Count: benchTasks, Size: resource.Vector{Milliprocessors: 17000, MemoryMebibytes: 20000}, Estimate: time.Second}}}, now)
-		s.Plan(now)
+		s.Schedule(now)
 		s.Committed(s.NextCommit(now), now)
 		for _, o := range s.TakeEffects().Starts {
 			w := workers[o.Worker]
