--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -191,9 +191,9 @@
 // Table returns the current configuration.
 func (s *Scheduler) Table() *queue.Table { return s.table }
 
-// NeedsPlan reports whether something has changed since the last scheduling pass, so
+// NeedsScheduling reports whether something has changed since the last scheduling pass, so
 // that another pass may place tasks.
-func (s *Scheduler) NeedsPlan() bool { return s.schedulingNeeded }
+func (s *Scheduler) NeedsScheduling() bool { return s.schedulingNeeded }
 
 // toSchedulerClock converts a wall-clock time to a time on the scheduler's clock.
 func (s *Scheduler) toSchedulerClock(wall time.Time) time.Time {
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -168,7 +168,7 @@
 	}
 	change(l.scheduler, now())
 	e := l.scheduler.TakeEffects()
-	needsScheduling := l.scheduler.NeedsPlan()
+	needsScheduling := l.scheduler.NeedsScheduling()
 	l.applyEffects(&e)
 	l.mutex.Unlock()
 	trySignal(l.commitSignal)
