--- a/internal/cell/scheduler/commit_test.go
+++ b/internal/cell/scheduler/commit_test.go
@@ -23,7 +23,7 @@
 	}
 	s.SetWorkers(list, now)
 	for _, r := range list {
-		_, sent, _ := s.HoldRequest(r.Life, now)
+		_, sent, _ := s.NextHold(r.Life, now)
 		s.HoldAnswered(r.Life, sent, &backend.Report{Life: r.Life, Clock: time.Second}, now)
 	}
 	return list
--- a/internal/cell/scheduler/health_test.go
+++ b/internal/cell/scheduler/health_test.go
@@ -40,7 +40,7 @@
 			running := map[backend.Life][]backend.Run{}
 			hold := func() {
 				for _, r := range list {
-					_, sent, _ := s.HoldRequest(r.Life, now)
+					_, sent, _ := s.NextHold(r.Life, now)
 					s.HoldAnswered(r.Life, sent, &backend.Report{Life: r.Life, Clock: time.Second + now.Sub(start), Running: running[r.Life]}, now)
 				}
 			}
--- a/internal/cell/scheduler/hold.go
+++ b/internal/cell/scheduler/hold.go
@@ -6,10 +6,10 @@
 	"github.com/almondpost/almondpost/internal/peer/backend"
 )
 
-// HoldRequest returns the hold (long-polled heartbeat) to send to a worker next. The
+// NextHold returns the hold (long-polled heartbeat) to send to a worker next. The
 // caller passes sent to HoldAnswered together with the answer. ok is false when the
 // scheduler has removed the worker.
-func (s *Scheduler) HoldRequest(life backend.Life, now time.Time) (hold backend.Hold, sent HoldSent, ok bool) {
+func (s *Scheduler) NextHold(life backend.Life, now time.Time) (hold backend.Hold, sent HoldSent, ok bool) {
 	w := s.workers[life]
 	if w == nil {
 		return hold, sent, false
--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -417,7 +417,7 @@
 	s := scheduler.New(timing, 1, start, start, logr.Discard())
 	life := backend.Life{ID: "worker", Born: 1}
 	s.SetWorkers([]backend.Registration{{Life: life, Service: "desk", Capacity: workerCapacity}}, start)
-	_, sent, ok := s.HoldRequest(life, start)
+	_, sent, ok := s.NextHold(life, start)
 	is.True(ok)
 	s.HoldAnswered(life, sent, &backend.Report{Life: life, Clock: time.Second, Ended: []backend.End{
 		{Number: 1, Task: work.TaskID{StepID: work.StepID{Job: "nobody"}}, Run: 1, Outcome: backend.Done},
@@ -425,7 +425,7 @@
 	c := s.NextCommit(start.Add(5 * time.Second))
 	is.Equal(len(c.Records), 0)
 	s.Committed(c, start.Add(5*time.Second))
-	hold, _, _ := s.HoldRequest(life, start.Add(9*time.Second))
+	hold, _, _ := s.NextHold(life, start.Add(9*time.Second))
 	is.Equal(hold.Deadline, 11*time.Second) // The leadership ends in one second; the worker's clock now reads 10 s.
 	is.Equal(hold.Acknowledged, int64(1))
 }
@@ -466,7 +466,7 @@
 	gone := backend.Registration{Life: backend.Life{ID: "gone", Born: 1}, Service: "desk", Capacity: workerCapacity}
 	s.SetWorkers([]backend.Registration{gone}, now)
 	is.Equal(len(s.TakeEffects().Opened), 1)
-	_, _, _ = s.HoldRequest(gone.Life, now)
+	_, _, _ = s.NextHold(gone.Life, now)
 	s.HoldFailed(gone.Life, backend.KindOtherLife, now)
 	s.SetWorkers([]backend.Registration{gone}, now)
 	is.Equal(len(s.TakeEffects().Opened), 0)
@@ -485,7 +485,7 @@
 	r := backend.Registration{Life: backend.Life{ID: "worker", Born: 1}, Service: "desk", Capacity: workerCapacity}
 	s.SetWorkers([]backend.Registration{r}, now)
 	hold := func(runs ...backend.Run) {
-		_, sent, _ := s.HoldRequest(r.Life, now)
+		_, sent, _ := s.NextHold(r.Life, now)
 		s.HoldAnswered(r.Life, sent, &backend.Report{Life: r.Life, Clock: time.Second + now.Sub(time.Unix(1_700_000_000, 0)), Running: runs}, now)
 	}
 	plan := func() []scheduler.Order[backend.Start] {
--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -389,7 +389,7 @@
 		if !l.sessions[life] {
 			return
 		}
-		hold, sent, ok := l.scheduler.HoldRequest(life, at)
+		hold, sent, ok := l.scheduler.NextHold(life, at)
 		if !ok {
 			return
 		}
--- a/internal/node/entryvm/session.go
+++ b/internal/node/entryvm/session.go
@@ -93,7 +93,7 @@
 	var sent scheduler.HoldSent
 	ok := false
 	s.leader.updateScheduler(func(c *scheduler.Scheduler, at time.Time) {
-		hold, sent, ok = c.HoldRequest(s.life, at)
+		hold, sent, ok = c.NextHold(s.life, at)
 	})
 	if !ok {
 		return false
--- a/internal/node/keeper/bench_test.go
+++ b/internal/node/keeper/bench_test.go
@@ -50,7 +50,7 @@
 	}
 	s.SetWorkers(list, now)
 	for _, w := range workers {
-		_, w.lastHold, _ = s.HoldRequest(w.life, now)
+		_, w.lastHold, _ = s.NextHold(w.life, now)
 		s.HoldAnswered(w.life, w.lastHold, &backend.Report{Life: w.life, Clock: time.Second}, now)
 	}
 	batches := gob.NewEncoder(io.Discard)
@@ -67,7 +67,7 @@
 			w := workers[o.Worker]
 			_ = batches.Encode(keeper.Batch{Leader: leaderAddress, Calls: []keeper.Call{{Number: int64(runs), Life: w.life, Start: &o.Order}}})
 			s.StartAnswered(w.life, &o.Order, "", time.Second, now)
-			hold, sent, _ := s.HoldRequest(w.life, now)
+			hold, sent, _ := s.NextHold(w.life, now)
 			_ = batches.Encode(keeper.Batch{Leader: leaderAddress, Calls: []keeper.Call{{Number: int64(runs), Life: w.life, Hold: &hold}}})
 			w.endedRuns++
 			s.HoldAnswered(w.life, sent, &backend.Report{Life: w.life, Clock: time.Second, Ended: []backend.End{{Number: w.endedRuns, Task: o.Order.Task, Run: o.Order.Run, Outcome: backend.Done}}}, now)
