--- a/internal/cell/scheduler/hold.go
+++ b/internal/cell/scheduler/hold.go
@@ -9,7 +9,7 @@
 // NextHold returns the hold (long-polled heartbeat) to send to a worker next. The
 // caller passes sent to HoldAnswered together with the answer. ok is false when the
 // scheduler has removed the worker.
-func (s *Scheduler) NextHold(life backend.Life, now time.Time) (hold backend.Hold, sent HoldSent, ok bool) {
+func (s *Scheduler) NextHold(life backend.Life, now time.Time) (hold backend.Hold, sent SentHold, ok bool) {
 	w := s.workers[life]
 	if w == nil {
 		return hold, sent, false
@@ -28,7 +28,7 @@
 	if hold.Deadline > 0 {
 		w.extendLease(now, s.timing)
 	}
-	return hold, HoldSent{eventSequence: s.eventSequence, token: w.token, sentAt: now}, true
+	return hold, SentHold{eventSequence: s.eventSequence, token: w.token, sentAt: now}, true
 }
 
 // EndsStored reports whether the effects of all ends of runs that a worker has listed
@@ -38,9 +38,9 @@
 	return w == nil || w.lastHandledEndNumber == w.lastStoredEndNumber
 }
 
-// HoldSent identifies a hold that was sent. With it, the scheduler determines which
+// SentHold identifies a hold that was sent. With it, the scheduler determines which
 // runs were confirmed only after the hold was sent, so that its report may lack them.
-type HoldSent struct {
+type SentHold struct {
 	eventSequence int64
 	token         int64
 	sentAt        time.Time
@@ -69,7 +69,7 @@
 const fencedTokenIncrement = 64
 
 // HoldAnswered handles the report with which a worker has answered a hold.
-func (s *Scheduler) HoldAnswered(life backend.Life, sent HoldSent, r *backend.Report, now time.Time) {
+func (s *Scheduler) HoldAnswered(life backend.Life, sent SentHold, r *backend.Report, now time.Time) {
 	w := s.workers[life]
 	if w == nil {
 		return
@@ -162,7 +162,7 @@
 // requeueMissingRuns requeues the tasks whose runs are missing in the report of their
 // worker. A task is not requeued if the run may have started after the report was
 // made.
-func (s *Scheduler) requeueMissingRuns(w *worker, listed map[runID]bool, sent HoldSent, truncated bool, now time.Time) {
+func (s *Scheduler) requeueMissingRuns(w *worker, listed map[runID]bool, sent SentHold, truncated bool, now time.Time) {
 	for _, t := range w.tasksSortedByID() {
 		if listed[runID{t.id, t.runNumber}] {
 			continue
--- a/internal/cell/scheduler/lease.go
+++ b/internal/cell/scheduler/lease.go
@@ -65,7 +65,7 @@
 
 // removeEndedOrphanedRuns removes the orphaned runs that are missing in a report and
 // frees their capacity.
-func (w *worker) removeEndedOrphanedRuns(listed map[runID]bool, sent HoldSent) {
+func (w *worker) removeEndedOrphanedRuns(listed map[runID]bool, sent SentHold) {
 	for v, r := range w.orphanedRuns {
 		if !listed[v] && sent.eventSequence > r.eventSequence {
 			delete(w.orphanedRuns, v)
--- a/internal/node/entryvm/session.go
+++ b/internal/node/entryvm/session.go
@@ -90,7 +90,7 @@
 // false if the session must end.
 func (s *workerSession) sendHold(interruptible context.Context) bool {
 	var hold backend.Hold
-	var sent scheduler.HoldSent
+	var sent scheduler.SentHold
 	ok := false
 	s.leader.updateScheduler(func(c *scheduler.Scheduler, at time.Time) {
 		hold, sent, ok = c.NextHold(s.life, at)
--- a/internal/node/keeper/bench_test.go
+++ b/internal/node/keeper/bench_test.go
@@ -30,7 +30,7 @@
 	// endedRuns is the number of runs that have ended on the worker.
 	endedRuns int64
 	// lastHold describes the last hold that was sent to the worker.
-	lastHold scheduler.HoldSent
+	lastHold scheduler.SentHold
 }
 
 // BenchmarkRun measures the leader's work for one run of a task in a fleet of 1,100
