--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -64,11 +64,11 @@
 
 // Effects lists what the caller has to do after calls to the scheduler.
 type Effects struct {
-	// Opened lists the workers for which the caller must open a session. In a
+	// SessionsToOpen lists the workers for which the caller must open a session. In a
 	// session, it sends holds to the worker one after the other. Closed lists the
 	// workers whose sessions must be closed.
-	Opened []backend.Registration
-	Closed []backend.Life
+	SessionsToOpen []backend.Registration
+	Closed         []backend.Life
 	// Wake lists the workers to which the next hold must be sent at once.
 	Wake           []backend.Life
 	Starts         []Order[backend.Start]
--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -465,14 +465,14 @@
 	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
 	gone := backend.Registration{Life: backend.Life{ID: "gone", Born: 1}, Service: "desk", Capacity: workerCapacity}
 	s.SetWorkers([]backend.Registration{gone}, now)
-	is.Equal(len(s.TakeEffects().Opened), 1)
+	is.Equal(len(s.TakeEffects().SessionsToOpen), 1)
 	_, _, _ = s.NextHold(gone.Life, now)
 	s.HoldFailed(gone.Life, backend.KindOtherLife, now)
 	s.SetWorkers([]backend.Registration{gone}, now)
-	is.Equal(len(s.TakeEffects().Opened), 0)
+	is.Equal(len(s.TakeEffects().SessionsToOpen), 0)
 	gone.Life.Born = 2
 	s.SetWorkers([]backend.Registration{gone}, now)
-	is.Equal(len(s.TakeEffects().Opened), 1) // The worker has restarted at an address of its own.
+	is.Equal(len(s.TakeEffects().SessionsToOpen), 1) // The worker has restarted at an address of its own.
 }
 
 // A speculative task was requeued, but its first run still exists on the only worker.
--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -321,7 +321,7 @@
 	}
 	change(sm.now)
 	e := l.scheduler.TakeEffects()
-	for _, r := range e.Opened {
+	for _, r := range e.SessionsToOpen {
 		if !l.sessions[r.Life] {
 			l.sessions[r.Life] = true
 			l.sendHold(r.Life)
--- a/internal/cell/scheduler/worker.go
+++ b/internal/cell/scheduler/worker.go
@@ -144,7 +144,7 @@
 	s.pools = nil
 	if !w.sessionOpen && !w.removed {
 		w.sessionOpen = true
-		s.effects.Opened = append(s.effects.Opened, r)
+		s.effects.SessionsToOpen = append(s.effects.SessionsToOpen, r)
 		s.log.Info("worker_opened", "worker", r.Life.ID, "service", r.Service, "zone", r.Zone, "capacity", r.Capacity.String())
 	}
 	s.stopLastingTasksIfDraining(w, now)
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -189,8 +189,8 @@
 // requested. It does not wait until the calls are answered. The caller must hold the
 // mutex.
 func (l *leader) applyEffects(e *scheduler.Effects) {
-	for i := range e.Opened {
-		r := e.Opened[i]
+	for i := range e.SessionsToOpen {
+		r := e.SessionsToOpen[i]
 		s := newWorkerSession(l, r)
 		l.sessions[r.Life] = s
 		go s.run()
