--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -67,8 +67,8 @@
 	// SessionsToOpen lists the workers for which the caller must open a session. In a
 	// session, it sends holds to the worker one after the other. Closed lists the
 	// workers whose sessions must be closed.
-	SessionsToOpen []backend.Registration
-	Closed         []backend.Life
+	SessionsToOpen  []backend.Registration
+	SessionsToClose []backend.Life
 	// Wake lists the workers to which the next hold must be sent at once.
 	Wake           []backend.Life
 	Starts         []Order[backend.Start]
--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -327,7 +327,7 @@
 			l.sendHold(r.Life)
 		}
 	}
-	for _, life := range e.Closed {
+	for _, life := range e.SessionsToClose {
 		delete(l.sessions, life)
 	}
 	for _, o := range e.Starts {
--- a/internal/cell/scheduler/worker.go
+++ b/internal/cell/scheduler/worker.go
@@ -185,7 +185,7 @@
 	s.requeueLapsedRuns(w, now)
 	if w.sessionOpen {
 		w.sessionOpen = false
-		s.effects.Closed = append(s.effects.Closed, w.registration.Life)
+		s.effects.SessionsToClose = append(s.effects.SessionsToClose, w.registration.Life)
 	}
 	delete(s.workers, w.registration.Life)
 	if s.latestWorkerByID[w.registration.Life.ID] == w {
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -195,7 +195,7 @@
 		l.sessions[r.Life] = s
 		go s.run()
 	}
-	for _, life := range e.Closed {
+	for _, life := range e.SessionsToClose {
 		if s := l.sessions[life]; s != nil {
 			s.close()
 			delete(l.sessions, life)
