--- a/internal/cell/scheduler/hold.go
+++ b/internal/cell/scheduler/hold.go
@@ -188,5 +188,5 @@
 // hold with the new token, it refuses every order that was sent with a lower one.
 func (s *Scheduler) raiseToken(w *worker) {
 	w.token++
-	s.effects.Wake = append(s.effects.Wake, w.registration.Life)
+	s.effects.HoldAtOnce = append(s.effects.HoldAtOnce, w.registration.Life)
 }
--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -69,8 +69,8 @@
 	// workers whose sessions must be closed.
 	SessionsToOpen  []backend.Registration
 	SessionsToClose []backend.Life
-	// Wake lists the workers to which the next hold must be sent at once.
-	Wake           []backend.Life
+	// HoldAtOnce lists the workers to which the next hold must be sent at once.
+	HoldAtOnce     []backend.Life
 	Starts         []Order[backend.Start]
 	Stops          []Order[backend.Stop]
 	Paces          []Order[backend.Pace]
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -216,7 +216,7 @@
 			go s.sendPace(e.Paces[i].Order)
 		}
 	}
-	for _, life := range e.Wake {
+	for _, life := range e.HoldAtOnce {
 		if s := l.sessions[life]; s != nil {
 			s.interruptHold()
 		}
