--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -77,9 +77,9 @@
 	AdviceRequests []AdviceRequest
 	// Observations lists the durations that the caller must record in the metrics.
 	Observations []Observation
-	// Dropped lists the IDs of ended jobs whose submissions the caller must delete
+	// SubmissionsToDelete lists the IDs of ended jobs whose submissions the caller must delete
 	// from the store.
-	Dropped []string
+	SubmissionsToDelete []string
 }
 
 // Observation is a measured duration for the metrics of a queue.
@@ -251,7 +251,7 @@
 		}
 		if !j.submissionDropped && now.Sub(j.endedAt) >= submissionDropDelay {
 			j.submissionDropped = true
-			s.effects.Dropped = append(s.effects.Dropped, id)
+			s.effects.SubmissionsToDelete = append(s.effects.SubmissionsToDelete, id)
 		}
 		if now.Sub(j.endedAt) > s.timing.Retention {
 			delete(s.jobs, id)
--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -522,7 +522,7 @@
 	dropped := func() []string {
 		now = now.Add(4 * time.Second)
 		s.Tick(now)
-		return s.TakeEffects().Dropped
+		return s.TakeEffects().SubmissionsToDelete
 	}
 	s.Submit(j, now)
 	is.Equal(dropped(), nil)
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -227,8 +227,8 @@
 	for _, o := range e.Observations {
 		l.node.measures.Observe(measure.Key{Name: o.Name, Label: o.Queue}, o.Took)
 	}
-	if len(e.Dropped) > 0 {
-		go l.deleteSubmissions(e.Dropped)
+	if len(e.SubmissionsToDelete) > 0 {
+		go l.deleteSubmissions(e.SubmissionsToDelete)
 	}
 }
 
