--- a/internal/cell/scheduler/advice_test.go
+++ b/internal/cell/scheduler/advice_test.go
@@ -26,7 +26,7 @@
 // newAdvisedScheduler returns a scheduler with three workers for each of two
 // services. Each worker has answered a hold.
 func newAdvisedScheduler(now time.Time, vms int) *scheduler.Scheduler {
-	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, HoldWait: time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
+	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, HoldWait: time.Second, EndedJobRetention: time.Hour}, 1, now, now, logr.Discard())
 	s.SetTable(adviceTestTable)
 	names := make([]string, vms)
 	for i := range names {
--- a/internal/cell/scheduler/commit_test.go
+++ b/internal/cell/scheduler/commit_test.go
@@ -34,7 +34,7 @@
 func TestStartWaitsForItsOwnRecord(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
-	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, HoldWait: time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
+	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, HoldWait: time.Second, EndedJobRetention: time.Hour}, 1, now, now, logr.Discard())
 	s.SetTable(&queue.Table{Version: 1, Queues: []queue.Queue{{Name: "urgent", Service: "desk", MaxAttempts: 3, Stretch: 2, Objective: time.Second}}})
 	list := addHeldWorkers(s, 2, now, "desk")
 	s.Submit(&work.Job{ID: "job", Queue: "urgent", Accepted: now, Steps: []work.Step{{Count: 1, Size: taskSize, Estimate: time.Second}}}, now)
--- a/internal/cell/scheduler/health_test.go
+++ b/internal/cell/scheduler/health_test.go
@@ -30,7 +30,7 @@
 			is := is.New(t)
 			now := time.Unix(1_700_000_000, 0)
 			start := now
-			s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, HoldWait: time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
+			s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, HoldWait: time.Second, EndedJobRetention: time.Hour}, 1, now, now, logr.Discard())
 			s.SetTable(newSimulation(1, faultProbabilities{}).table)
 			var list []backend.Registration
 			for i := range 2 {
--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -41,8 +41,8 @@
 	// HoldWait is how long a worker may wait before it answers a hold if no run ends
 	// in this time.
 	HoldWait time.Duration
-	// Retention is how long the state of a job is kept after the job has ended.
-	Retention time.Duration
+	// EndedJobRetention is how long the state of a job is kept after the job has ended.
+	EndedJobRetention time.Duration
 	// EarlyStart is how long before its due time an occurrence may start. 0 means
 	// that it starts at the due time at the earliest.
 	EarlyStart time.Duration
@@ -236,12 +236,12 @@
 
 func (s *Scheduler) dropEndedJobs(now time.Time) {
 	for id, at := range s.earlyCancellations {
-		if now.Sub(at) > s.timing.Retention {
+		if now.Sub(at) > s.timing.EndedJobRetention {
 			delete(s.earlyCancellations, id)
 		}
 	}
 	for life, at := range s.replacedLives {
-		if now.Sub(at) > s.timing.Retention {
+		if now.Sub(at) > s.timing.EndedJobRetention {
 			delete(s.replacedLives, life)
 		}
 	}
@@ -253,7 +253,7 @@
 			j.submissionDropped = true
 			s.effects.SubmissionsToDelete = append(s.effects.SubmissionsToDelete, id)
 		}
-		if now.Sub(j.endedAt) > s.timing.Retention {
+		if now.Sub(j.endedAt) > s.timing.EndedJobRetention {
 			delete(s.jobs, id)
 			s.expiredJobs = append(s.expiredJobs, id)
 		}
--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -462,7 +462,7 @@
 func TestReplacedWorkerIsNotOpenedAgain(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
-	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
+	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, EndedJobRetention: time.Hour}, 1, now, now, logr.Discard())
 	gone := backend.Registration{Life: backend.Life{ID: "gone", Born: 1}, Service: "desk", Capacity: workerCapacity}
 	s.SetWorkers([]backend.Registration{gone}, now)
 	is.Equal(len(s.TakeEffects().SessionsToOpen), 1)
@@ -480,7 +480,7 @@
 func TestCopyIsNotPlacedBesideTheFirstRun(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
-	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, HoldWait: time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
+	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, HoldWait: time.Second, EndedJobRetention: time.Hour}, 1, now, now, logr.Discard())
 	s.SetTable(newSimulation(1, faultProbabilities{}).table)
 	r := backend.Registration{Life: backend.Life{ID: "worker", Born: 1}, Service: "desk", Capacity: workerCapacity}
 	s.SetWorkers([]backend.Registration{r}, now)
@@ -516,7 +516,7 @@
 func TestSubmissionOfAnEndedJobIsDroppedAgain(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
-	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, Retention: time.Hour}, 1, now, now, logr.Discard())
+	s := scheduler.New(scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, EndedJobRetention: time.Hour}, 1, now, now, logr.Discard())
 	s.SetTable(newSimulation(1, faultProbabilities{}).table)
 	j := &work.Job{ID: "job", Queue: "urgent", Accepted: now, Steps: []work.Step{{Count: 1, Size: taskSize}}}
 	dropped := func() []string {
--- a/internal/node/entryvm/node_test.go
+++ b/internal/node/entryvm/node_test.go
@@ -56,7 +56,7 @@
 		link := memory.NewLink(f.store)
 		n, err := entryvm.New(entryvm.Settings{
 			Name: fmt.Sprintf("vm-%d", i), Domain: fmt.Sprintf("domain-%d", i%2), ListenAddress: netip.MustParseAddrPort("127.0.0.1:0"),
-			Timing: scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, HoldWait: 200 * time.Millisecond, Retention: time.Hour},
+			Timing: scheduler.Timing{Lease: 6 * time.Second, LeadershipLease: 8 * time.Second, HoldWait: 200 * time.Millisecond, EndedJobRetention: time.Hour},
 		}, entryvm.Dependencies{
 			Store: link, Adviser: f.fleet, Dial: f.fleet.Dial, DecodeTable: decodeTable, DecodeRegistration: memory.DecodeRegistration,
 		}, measure.New(), logr.Discard())
--- a/internal/node/keeper/bench_test.go
+++ b/internal/node/keeper/bench_test.go
@@ -39,7 +39,7 @@
 // lines are not included.
 func BenchmarkRun(b *testing.B) {
 	now := time.Unix(1_700_000_000, 0)
-	s := scheduler.New(scheduler.Timing{Lease: 10 * time.Second, LeadershipLease: 12 * time.Second, HoldWait: time.Second, Retention: 5 * time.Second}, 1, now, now, logr.Discard())
+	s := scheduler.New(scheduler.Timing{Lease: 10 * time.Second, LeadershipLease: 12 * time.Second, HoldWait: time.Second, EndedJobRetention: 5 * time.Second}, 1, now, now, logr.Discard())
 	s.SetTable(&queue.Table{Version: 1, Queues: []queue.Queue{{Name: "batch", Service: "desk", Priority: 2, MaxAttempts: 3, Stretch: 4, Objective: 3 * time.Second}}})
 	workers := map[backend.Life]*benchWorker{}
 	var list []backend.Registration
