--- a/internal/cell/scheduler/hold.go
+++ b/internal/cell/scheduler/hold.go
@@ -31,9 +31,9 @@
 	return hold, SentHold{eventSequence: s.eventSequence, token: w.token, sentAt: now}, true
 }
 
-// EndsStored reports whether the effects of all ends of runs that a worker has listed
+// ReportedEndsStored reports whether the effects of all ends of runs that a worker has listed
 // are stored.
-func (s *Scheduler) EndsStored(life backend.Life) bool {
+func (s *Scheduler) ReportedEndsStored(life backend.Life) bool {
 	w := s.workers[life]
 	return w == nil || w.lastHandledEndNumber == w.lastStoredEndNumber
 }
--- a/internal/node/entryvm/commits.go
+++ b/internal/node/entryvm/commits.go
@@ -15,7 +15,7 @@
 func (l *leader) reportedEndsStored(life backend.Life) (bool, chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.scheduler.EndsStored(life), l.nextCommitDone
+	return l.scheduler.ReportedEndsStored(life), l.nextCommitDone
 }
 
 // signalClaimRenewal makes the commit loop renew the claim at once. It is called when a worker
