--- a/internal/cell/scheduler/scheduler.go
+++ b/internal/cell/scheduler/scheduler.go
@@ -86,9 +86,9 @@
 type Observation struct {
 	// Name is "first_start" or "completed" for the time since the submission of the
 	// job, or "advice" for the time that the adviser took to answer a request.
-	Name  string
-	Queue string
-	Took  time.Duration
+	Name     string
+	Queue    string
+	Duration time.Duration
 }
 
 // Order is a start, stop or pace command to send to one worker.
--- a/internal/node/entryvm/leader.go
+++ b/internal/node/entryvm/leader.go
@@ -225,7 +225,7 @@
 		go l.requestAdvice(e.AdviceRequests[i])
 	}
 	for _, o := range e.Observations {
-		l.node.measures.Observe(measure.Key{Name: o.Name, Label: o.Queue}, o.Took)
+		l.node.measures.Observe(measure.Key{Name: o.Name, Label: o.Queue}, o.Duration)
 	}
 	if len(e.SubmissionsToDelete) > 0 {
 		go l.deleteSubmissions(e.SubmissionsToDelete)
