--- a/internal/node/entryvm/election.go
+++ b/internal/node/entryvm/election.go
@@ -247,7 +247,7 @@
 	others := e.node.members.otherMembers()
 	silent := 0
 	for _, m := range others {
-		if e.node.peerClient.Silent(m.Address) {
+		if e.node.peerClient.IsPeerSilent(m.Address) {
 			silent++
 		}
 	}
@@ -264,7 +264,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	for _, m := range others {
-		if e.node.peerClient.Silent(m.Address) {
+		if e.node.peerClient.IsPeerSilent(m.Address) {
 			silent++
 		}
 		go func() {
--- a/internal/node/entryvm/keepers.go
+++ b/internal/node/entryvm/keepers.go
@@ -61,7 +61,7 @@
 	var list []keeper.Member
 	for _, name := range answering {
 		m, ok := l.node.members.findByName(name)
-		if ok && name != l.node.settings.Name && !l.node.peerClient.Silent(m.Address) {
+		if ok && name != l.node.settings.Name && !l.node.peerClient.IsPeerSilent(m.Address) {
 			list = append(list, keeper.Member{Name: m.Name, Domain: m.Domain, Address: m.Address, Fitness: m.Fitness})
 		}
 	}
--- a/internal/peer/link/client.go
+++ b/internal/peer/link/client.go
@@ -75,9 +75,9 @@
 	return p, nil
 }
 
-// Silent reports whether a call to the peer went unanswered within the last
+// IsPeerSilent reports whether a call to the peer went unanswered within the last
 // silentPeriod and no later call succeeded.
-func (c *Client) Silent(a netip.AddrPort) bool {
+func (c *Client) IsPeerSilent(a netip.AddrPort) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	at, ok := c.lastUnansweredCall[a]
