--- a/internal/emulate/memory/fleet.go
+++ b/internal/emulate/memory/fleet.go
@@ -50,8 +50,8 @@
 	return r, err
 }
 
-// Starts returns how many runs of a task were started.
-func (f *Fleet) Starts(t work.TaskID) int {
+// StartCount returns how many runs of a task were started.
+func (f *Fleet) StartCount(t work.TaskID) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.startCounts[t]
--- a/internal/node/entryvm/keepers_test.go
+++ b/internal/node/entryvm/keepers_test.go
@@ -62,7 +62,7 @@
 				for k := range 2 {
 					task := firstTask(fmt.Sprintf("job-%d", i))
 					task.Index = k
-					is.Equal(f.fleet.Starts(task), 1)
+					is.Equal(f.fleet.StartCount(task), 1)
 				}
 			}
 		})
--- a/internal/node/entryvm/node_test.go
+++ b/internal/node/entryvm/node_test.go
@@ -139,7 +139,7 @@
 		id := fmt.Sprintf("job-%d", i)
 		f.is.NoErr(f.submit(n, id))
 		f.awaitState(f.nodes[(i+1)%3], id, work.Completed)
-		f.is.Equal(f.fleet.Starts(firstTask(id)), 1)
+		f.is.Equal(f.fleet.StartCount(firstTask(id)), 1)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -157,7 +157,7 @@
 	f.awaitState(f.nodes[0], "job", work.Completed)
 	f.is.NoErr(f.submit(f.nodes[1], "job")) // Submit the ended job again.
 	time.Sleep(time.Second)
-	f.is.Equal(f.fleet.Starts(firstTask("job")), 1)
+	f.is.Equal(f.fleet.StartCount(firstTask("job")), 1)
 }
 
 // The leader can read the cancellation of a job before the job itself. The job must
@@ -183,7 +183,7 @@
 	f.is.NoErr(f.submit(other, "later"))
 	f.awaitState(other, "job", work.Completed)
 	f.awaitState(other, "later", work.Completed)
-	f.is.Equal(f.fleet.Starts(firstTask("job")), 1) // The run continued through the take-over.
+	f.is.Equal(f.fleet.StartCount(firstTask("job")), 1) // The run continued through the take-over.
 }
 
 // A leader that is about to stop hands the leadership over and still serves callers.
@@ -249,7 +249,7 @@
 		l.RefuseCalls(false)
 	}
 	time.Sleep(2 * time.Second)
-	f.is.Equal(f.fleet.Starts(firstTask("job")), 0) // A job that was not accepted must not run.
+	f.is.Equal(f.fleet.StartCount(firstTask("job")), 0) // A job that was not accepted must not run.
 	f.is.NoErr(f.submit(f.nodes[0], "later"))
 	f.awaitState(f.nodes[1], "later", work.Completed)
 }
@@ -264,7 +264,7 @@
 	}
 	f.is.NoErr(f.submit(f.nodes[0], "job"))
 	f.awaitState(f.nodes[1], "job", work.Completed)
-	f.is.Equal(f.fleet.Starts(firstTask("job")), 1)
+	f.is.Equal(f.fleet.StartCount(firstTask("job")), 1)
 }
 
 // An append without an answer may have stored the job, so Submit must not report that
@@ -339,7 +339,7 @@
 	f.awaitState(other, "job", work.Completed)
 	f.is.NoErr(f.submit(other, "job")) // A second submission with the same ID is the same job.
 	time.Sleep(500 * time.Millisecond)
-	f.is.Equal(f.fleet.Starts(firstTask("job")), 1)
+	f.is.Equal(f.fleet.StartCount(firstTask("job")), 1)
 }
 
 // When the store drops old records that a VM has not read yet, the VM must start again
@@ -395,7 +395,7 @@
 	time.Sleep(50 * time.Millisecond) // The successor is reading, and its append that fences the previous leader is in flight.
 	f.is.NoErr(f.submit(f.nodes[first], "job"))
 	f.awaitState(f.nodes[1-first], "job", work.Completed)
-	f.is.Equal(f.fleet.Starts(firstTask("job")), 1)
+	f.is.Equal(f.fleet.StartCount(firstTask("job")), 1)
 }
 
 // A VM that reaches neither the store nor another failure domain must refuse calls at
@@ -508,5 +508,5 @@
 	leader := f.leaderIndex()
 	f.nodes[leader].Close()
 	f.awaitState(f.nodes[(leader+1)%3], "job", work.Completed)
-	f.is.Equal(f.fleet.Starts(firstTask("job")), 1)
+	f.is.Equal(f.fleet.StartCount(firstTask("job")), 1)
 }
--- a/internal/node/entryvm/renewal_test.go
+++ b/internal/node/entryvm/renewal_test.go
@@ -15,5 +15,5 @@
 	f.is.NoErr(f.submit(f.nodes[first], "job"))
 	f.awaitState(f.nodes[first], "job", work.Running)
 	time.Sleep(14 * time.Second) // More than two leases.
-	f.is.Equal(f.fleet.Starts(firstTask("job")), 1)
+	f.is.Equal(f.fleet.StartCount(firstTask("job")), 1)
 }
