--- a/internal/emulate/memory/store.go
+++ b/internal/emulate/memory/store.go
@@ -102,9 +102,9 @@
 	return l.endOffset(), nil
 }
 
-// Drop removes all records of a partition, as the platform does when their retention
+// DropRecords removes all records of a partition, as the platform does when their retention
 // ends. Link.Newest still returns the newest record of each key.
-func (s *Store) Drop(t store.Topic, part int) {
+func (s *Store) DropRecords(t store.Topic, part int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	l := s.logOf(t, part)
--- a/internal/node/entryvm/node_test.go
+++ b/internal/node/entryvm/node_test.go
@@ -351,7 +351,7 @@
 	f.awaitState(f.nodes[1], "before", work.Completed)
 	for _, topic := range []store.Topic{store.Jobs, store.Progress, store.Claims, store.VMs, store.Configuration, store.Workers} {
 		for part := range 4 {
-			f.store.Drop(topic, part)
+			f.store.DropRecords(topic, part)
 		}
 	}
 	f.publishConfiguration(9, "mail")
