--- a/internal/cell/scheduler/runs.go
+++ b/internal/cell/scheduler/runs.go
@@ -73,7 +73,7 @@
 }
 
 // applyRunEnd handles the end of a run that a worker has reported.
-func (s *Scheduler) applyRunEnd(w *worker, e *backend.End, now time.Time) {
+func (s *Scheduler) applyRunEnd(w *worker, e *backend.EndedRun, now time.Time) {
 	s.log.Info("run_ended", "task", e.Task.String(), "run", e.Run, "worker", w.registration.Life.ID, "number", e.Number, "outcome", string(e.Outcome))
 	t := s.findTask(e.Task)
 	if t == nil {
@@ -108,7 +108,7 @@
 // worker that the task has left. A failed run counts as one of the attempts of the
 // task. A completed run completes the task, even if the task was placed again. The
 // later run is then stopped, and uses capacity until it has ended.
-func (s *Scheduler) applyOrphanRunEnd(t *task, e *backend.End, now time.Time) {
+func (s *Scheduler) applyOrphanRunEnd(t *task, e *backend.EndedRun, now time.Time) {
 	if t.phase == phaseDone || t.step.spec.Lasting || t.step.job.state.Ended() {
 		return
 	}
@@ -183,7 +183,7 @@
 
 // recordRunOutcome updates the failure count of a worker, and the average run time of
 // the image if the run has completed.
-func (s *Scheduler) recordRunOutcome(w *worker, t *task, e *backend.End, now time.Time) {
+func (s *Scheduler) recordRunOutcome(w *worker, t *task, e *backend.EndedRun, now time.Time) {
 	switch e.Outcome {
 	case backend.Done:
 		w.consecutiveFailures = 0
--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -419,7 +419,7 @@
 	s.SetWorkers([]backend.Registration{{Life: life, Service: "desk", Capacity: workerCapacity}}, start)
 	_, sent, ok := s.NextHold(life, start)
 	is.True(ok)
-	s.HoldAnswered(life, sent, &backend.Report{Life: life, Clock: time.Second, Ended: []backend.End{
+	s.HoldAnswered(life, sent, &backend.Report{Life: life, Clock: time.Second, Ended: []backend.EndedRun{
 		{Number: 1, Task: work.TaskID{StepID: work.StepID{Job: "nobody"}}, Run: 1, Outcome: backend.Done},
 	}}, start)
 	c := s.NextCommit(start.Add(5 * time.Second))
--- a/internal/cell/scheduler/simulation_test.go
+++ b/internal/cell/scheduler/simulation_test.go
@@ -216,7 +216,7 @@
 }
 
 // Ended implements fleet.Observer. It records ends that an expired lease has caused.
-func (sm *simulation) Ended(on *fleet.Worker, e backend.End, _ time.Time) {
+func (sm *simulation) Ended(on *fleet.Worker, e backend.EndedRun, _ time.Time) {
 	if e.Outcome == backend.LeaseExpired {
 		sm.lastExpiredLeaseEnd[on.Registration.Life] = e.Number
 	}
@@ -225,7 +225,7 @@
 // Acknowledged implements fleet.Observer. It records that a task has completed,
 // unless the lease of the worker expired after the run had ended and before this was
 // acknowledged.
-func (sm *simulation) Acknowledged(on *fleet.Worker, e backend.End, _ time.Time) {
+func (sm *simulation) Acknowledged(on *fleet.Worker, e backend.EndedRun, _ time.Time) {
 	if e.Outcome == backend.Done && sm.lastExpiredLeaseEnd[on.Registration.Life] < e.Number && !sm.taskProfiles[e.Task].Lasting {
 		sm.completedTasks[e.Task] = true
 	}
--- a/internal/emulate/fleet/worker.go
+++ b/internal/emulate/fleet/worker.go
@@ -38,10 +38,10 @@
 	// Started reports that a new run began.
 	Started(w *Worker, s backend.Start, at time.Time)
 	// Ended reports that a run ended.
-	Ended(w *Worker, e backend.End, at time.Time)
+	Ended(w *Worker, e backend.EndedRun, at time.Time)
 	// Acknowledged reports that the scheduler has confirmed an end, so that the
 	// worker stops reporting it.
-	Acknowledged(w *Worker, e backend.End, at time.Time)
+	Acknowledged(w *Worker, e backend.EndedRun, at time.Time)
 }
 
 // taskRun is one execution of a task that has not ended.
@@ -71,7 +71,7 @@
 	// or ordered to stop. Starts with this or a lower number are refused.
 	highestRunNumbers map[work.TaskID]int64
 	// unacknowledgedEnds lists the ends that the worker still reports.
-	unacknowledgedEnds  []backend.End
+	unacknowledgedEnds  []backend.EndedRun
 	lastEndReportNumber int64
 	taskProfile         func(work.TaskID) TaskProfile
 	observer            Observer
@@ -141,7 +141,7 @@
 func (w *Worker) recordRunEnd(r *taskRun, outcome backend.Outcome, now time.Time) {
 	delete(w.running, r.task)
 	w.lastEndReportNumber++
-	e := backend.End{Number: w.lastEndReportNumber, Task: r.task, Run: r.number, Outcome: outcome}
+	e := backend.EndedRun{Number: w.lastEndReportNumber, Task: r.task, Run: r.number, Outcome: outcome}
 	w.unacknowledgedEnds = append(w.unacknowledgedEnds, e)
 	w.observer.Ended(w, e, now)
 }
--- a/internal/emulate/memory/fleet.go
+++ b/internal/emulate/memory/fleet.go
@@ -61,10 +61,10 @@
 func (f *Fleet) Started(_ *fleet.Worker, s backend.Start, _ time.Time) { f.startCounts[s.Task]++ }
 
 // Ended implements fleet.Observer and does nothing.
-func (f *Fleet) Ended(*fleet.Worker, backend.End, time.Time) {}
+func (f *Fleet) Ended(*fleet.Worker, backend.EndedRun, time.Time) {}
 
 // Acknowledged implements fleet.Observer and does nothing.
-func (f *Fleet) Acknowledged(*fleet.Worker, backend.End, time.Time) {}
+func (f *Fleet) Acknowledged(*fleet.Worker, backend.EndedRun, time.Time) {}
 
 // Dial returns a connection to a worker. If Add has not started the worker, each
 // order over the connection fails with KindUnknown.
--- a/internal/node/keeper/bench_test.go
+++ b/internal/node/keeper/bench_test.go
@@ -70,7 +70,7 @@
 			hold, sent, _ := s.NextHold(w.life, now)
 			_ = batches.Encode(keeper.Batch{Leader: leaderAddress, Calls: []keeper.Call{{Number: int64(runs), Life: w.life, Hold: &hold}}})
 			w.endedRuns++
-			s.HoldAnswered(w.life, sent, &backend.Report{Life: w.life, Clock: time.Second, Ended: []backend.End{{Number: w.endedRuns, Task: o.Order.Task, Run: o.Order.Run, Outcome: backend.Done}}}, now)
+			s.HoldAnswered(w.life, sent, &backend.Report{Life: w.life, Clock: time.Second, Ended: []backend.EndedRun{{Number: w.endedRuns, Task: o.Order.Task, Run: o.Order.Run, Outcome: backend.Done}}}, now)
 		}
 		s.Committed(s.NextCommit(now), now)
 		s.Tick(now)
--- a/internal/peer/backend/backend.go
+++ b/internal/peer/backend/backend.go
@@ -154,8 +154,8 @@
 	Figure int64
 }
 
-// End describes a run that has ended.
-type End struct {
+// EndedRun describes a run that has ended.
+type EndedRun struct {
 	// Number is 1 higher for each run that ends in the current life of the
 	// worker.
 	Number     int64
@@ -172,7 +172,7 @@
 	Clock   time.Duration
 	Running []Run
 	// Ended lists the ended runs that have not been acknowledged.
-	Ended []End
+	Ended []EndedRun
 	// Truncated means that Ended may be incomplete. The worker reports the other
 	// ended runs once these have been acknowledged.
 	Truncated bool
