--- a/internal/emulate/fleet/worker.go
+++ b/internal/emulate/fleet/worker.go
@@ -164,7 +164,7 @@
 		return ""
 	}
 	if w.Clock(now) > s.Deadline {
-		return backend.KindLate
+		return backend.KindDeadlinePassed
 	}
 	w.extendLease(s.Deadline, now)
 	if s.Run <= w.highestRunNumbers[s.Task] {
--- a/internal/peer/backend/backend.go
+++ b/internal/peer/backend/backend.go
@@ -28,8 +28,8 @@
 	// KindStaleRun means that a run of the same task with the same or a higher
 	// number has already ended on the worker.
 	KindStaleRun Kind = "stale_run"
-	// KindLate means that the lease deadline of the order has passed.
-	KindLate Kind = "late"
+	// KindDeadlinePassed means that the lease deadline of the order has passed.
+	KindDeadlinePassed Kind = "late"
 	// KindNoRoom means that the worker has too little free capacity.
 	KindNoRoom Kind = "no_room"
 	// KindTicket means that the order lacks a valid ticket.
