--- a/internal/cell/scheduler/runs.go
+++ b/internal/cell/scheduler/runs.go
@@ -60,7 +60,7 @@
 			s.raiseToken(w)
 		}
 		return // The next report, for a hold with a higher token, shows whether the run exists.
-	case backend.KindTicket:
+	case backend.KindInvalidTicket:
 		t.step.advice.expireTicket(w)
 	case backend.KindNoRoom, backend.KindUnhealthy:
 		w.avoidUntil = now.Add(pauseAfterRefusal)
--- a/internal/peer/backend/backend.go
+++ b/internal/peer/backend/backend.go
@@ -32,8 +32,8 @@
 	KindDeadlinePassed Kind = "late"
 	// KindNoRoom means that the worker has too little free capacity.
 	KindNoRoom Kind = "no_room"
-	// KindTicket means that the order lacks a valid ticket.
-	KindTicket Kind = "ticket"
+	// KindInvalidTicket means that the order lacks a valid ticket.
+	KindInvalidTicket Kind = "ticket"
 	// KindOtherLife means that the process at the worker's address is not the one
 	// that the order is meant for.
 	KindOtherLife Kind = "other_life"
