--- a/internal/emulate/cluster/cluster.go
+++ b/internal/emulate/cluster/cluster.go
@@ -308,7 +308,7 @@
 	e := &EntryVM{Process: p, Domain: domain, CallerAddress: addresses.CallerAddress, PeerAddress: addresses.PeerAddress}
 	e.Name = name
 	c.EntryVMs = append(c.EntryVMs, e)
-	return e, c.postControl(ctx, c.vmListAddress, "set", vmlist.VM{Name: name, Role: vmlist.Entry, Domain: domain, Address: e.PeerAddress})
+	return e, c.postControl(ctx, c.vmListAddress, "set", vmlist.VM{Name: name, Role: vmlist.RoleEntry, Domain: domain, Address: e.PeerAddress})
 }
 
 // IsReady reports whether an entry VM answers its readiness check with status 200.
--- a/internal/node/app/quickstart.go
+++ b/internal/node/app/quickstart.go
@@ -104,7 +104,7 @@
 		if err != nil {
 			return err
 		}
-		list.Set(vmlist.VM{Name: v.Name, Role: vmlist.Entry, Domain: v.Domain, Address: e.node.PeerAddress()})
+		list.Set(vmlist.VM{Name: v.Name, Role: vmlist.RoleEntry, Domain: v.Domain, Address: e.node.PeerAddress()})
 	}
 	version, err := configuration.Publish(ctx, q.logService, 0, "quickstart", d.Lists)
 	if err != nil {
--- a/internal/node/daemon/members.go
+++ b/internal/node/daemon/members.go
@@ -93,7 +93,7 @@
 		}
 	}
 	for _, v := range n.vmList.VMs {
-		if v.Role == vmlist.Entry && !knownAddresses[v.Address] {
+		if v.Role == vmlist.RoleEntry && !knownAddresses[v.Address] {
 			targets[v.Address] = false
 		}
 	}
--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -54,7 +54,7 @@
 		return m.Address, true
 	}
 	for _, v := range n.vmList.VMs {
-		if v.Role == vmlist.Entry && v.Name == name {
+		if v.Role == vmlist.RoleEntry && v.Name == name {
 			return v.Address, true
 		}
 	}
--- a/internal/node/daemon/usage.go
+++ b/internal/node/daemon/usage.go
@@ -90,7 +90,7 @@
 	defer n.mutex.Unlock()
 	var names []string
 	for _, v := range n.vmList.VMs {
-		if v.Role == vmlist.Entry && v.Name != n.Settings.Name && !v.Leaving {
+		if v.Role == vmlist.RoleEntry && v.Name != n.Settings.Name && !v.Leaving {
 			names = append(names, v.Name)
 		}
 	}
--- a/internal/peer/vmlist/vmlist.go
+++ b/internal/peer/vmlist/vmlist.go
@@ -27,8 +27,8 @@
 
 // The roles of VMs.
 const (
-	Entry  Role = "entry"
-	Worker Role = "worker"
+	RoleEntry Role = "entry"
+	Worker    Role = "worker"
 )
 
 // VM is one entry of the list.
