--- a/internal/emulate/cluster/cluster.go
+++ b/internal/emulate/cluster/cluster.go
@@ -206,7 +206,7 @@
 		}
 		c.workerControls = append(c.workerControls, started.Address)
 		for _, w := range file.Workers {
-			rows = append(rows, vmlist.VM{Name: w.Name, Role: vmlist.Worker, Domain: w.Domain, Rack: w.Rack, Address: started.Workers[w.Name]})
+			rows = append(rows, vmlist.VM{Name: w.Name, Role: vmlist.RoleWorker, Domain: w.Domain, Rack: w.Rack, Address: started.Workers[w.Name]})
 		}
 	}
 	return rows, nil
--- a/internal/node/app/quickstart.go
+++ b/internal/node/app/quickstart.go
@@ -89,7 +89,7 @@
 	}
 	var vms []vmlist.VM
 	for _, w := range rows {
-		vms = append(vms, vmlist.VM{Name: w.Name, Role: vmlist.Worker, Domain: w.Domain, Rack: w.Rack, Address: addresses[w.Name]})
+		vms = append(vms, vmlist.VM{Name: w.Name, Role: vmlist.RoleWorker, Domain: w.Domain, Rack: w.Rack, Address: addresses[w.Name]})
 	}
 	list := standin.NewVMList(vms)
 	q.logService = standin.NewLog(standin.DefaultRetainedRecords)
--- a/internal/node/daemon/members.go
+++ b/internal/node/daemon/members.go
@@ -196,7 +196,7 @@
 	owners := n.memberView.Owners()
 	var assigned []vmlist.VM
 	for _, v := range n.vmList.VMs {
-		if v.Role != vmlist.Worker || v.Domain != n.Settings.Domain {
+		if v.Role != vmlist.RoleWorker || v.Domain != n.Settings.Domain {
 			continue
 		}
 		if membership.Rendezvous(v.Name, owners) == n.Settings.Name {
--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -38,7 +38,7 @@
 	defer n.mutex.Unlock()
 	var names []string
 	for _, v := range n.vmList.VMs {
-		if v.Role == vmlist.Worker && v.Domain == domain {
+		if v.Role == vmlist.RoleWorker && v.Domain == domain {
 			names = append(names, v.Name)
 		}
 	}
--- a/internal/node/request/runner_test.go
+++ b/internal/node/request/runner_test.go
@@ -379,7 +379,7 @@
 func (d *fakeDomain) vms() []vmlist.VM {
 	var out []vmlist.VM
 	for _, w := range d.workers {
-		out = append(out, vmlist.VM{Name: w.name, Role: vmlist.Worker, Domain: "d"})
+		out = append(out, vmlist.VM{Name: w.name, Role: vmlist.RoleWorker, Domain: "d"})
 	}
 	return out
 }
--- a/internal/peer/vmlist/vmlist.go
+++ b/internal/peer/vmlist/vmlist.go
@@ -27,8 +27,8 @@
 
 // The roles of VMs.
 const (
-	RoleEntry Role = "entry"
-	Worker    Role = "worker"
+	RoleEntry  Role = "entry"
+	RoleWorker Role = "worker"
 )
 
 // VM is one entry of the list.
