--- a/internal/decide/allocator/allocator.go
+++ b/internal/decide/allocator/allocator.go
@@ -108,10 +108,10 @@
 type Limits struct {
 	// Waiting is the maximum number of waiting tasks of all plans together.
 	Waiting int
-	// UrgentWait is the maximum time that an urgent task waits; zero means no
+	// MaxUrgentWait is the maximum time that an urgent task waits; zero means no
 	// limit. After that time the task is dropped and reported as not run, since
 	// a late start is of little use to its caller.
-	UrgentWait time.Duration
+	MaxUrgentWait time.Duration
 }
 
 // Allocator holds the workers, plans and waiting tasks of one entry VM.
@@ -300,7 +300,7 @@
 	if !t.Deadline.IsZero() {
 		i.Deadline = t.Deadline.Add(-t.RunTime)
 	}
-	if limit := now.Add(a.limits.UrgentWait); a.limits.UrgentWait > 0 && t.Class == plan.Urgent && !t.Resumed && (i.Deadline.IsZero() || limit.Before(i.Deadline)) {
+	if limit := now.Add(a.limits.MaxUrgentWait); a.limits.MaxUrgentWait > 0 && t.Class == plan.Urgent && !t.Resumed && (i.Deadline.IsZero() || limit.Before(i.Deadline)) {
 		i.Deadline = limit
 	}
 	a.waitingByAttempt[t.Attempt] = i
--- a/internal/node/owner/owner.go
+++ b/internal/node/owner/owner.go
@@ -159,7 +159,7 @@
 		name: name, epoch: incarnation, lastTick: time.Now(), timing: t, dialWorker: dial, observer: o, log: log, ctx: ctx,
 		wake:               make(chan struct{}, 1),
 		firstWorkerAdopted: make(chan struct{}, 1),
-		alloc:              allocator.New(placement.Balanced{}, allocator.Limits{Waiting: limits.MaxWaiting, UrgentWait: t.MaxUrgentWait}),
+		alloc:              allocator.New(placement.Balanced{}, allocator.Limits{Waiting: limits.MaxWaiting, MaxUrgentWait: t.MaxUrgentWait}),
 		attempts:           map[string]*attempt{}, sessions: map[string]*session{}, maxPayloadBytes: limits.PayloadBytes, ejectionTracker: ejection.New(), usageMeter: usage.New(name, time.Now()), fencedTasks: map[string]fencedTask{},
 	}
 	go w.runMainLoop()
