--- a/internal/decide/allocator/next.go
+++ b/internal/decide/allocator/next.go
@@ -229,11 +229,11 @@
 	return out
 }
 
-// ReserveNow reserves capacity for a task immediately, without queueing it. A
+// ReserveWithoutQueueing reserves capacity for a task immediately, without queueing it. A
 // gang needs this to reserve capacity for all of its tasks before any of them
-// starts. ReserveNow returns false when no worker fits, the plan is at its
+// starts. ReserveWithoutQueueing returns false when no worker fits, the plan is at its
 // limit, the attempt already has a reservation, or the allocator is draining.
-func (a *Allocator) ReserveNow(t *Task) (worker string, ok bool) {
+func (a *Allocator) ReserveWithoutQueueing(t *Task) (worker string, ok bool) {
 	account := a.shares.Account(t.Plan)
 	if a.draining || !account.StaysWithinLimitWith(t.Size) || a.ledger.Reservation(t.Attempt) != nil {
 		return "", false
--- a/internal/node/owner/gang.go
+++ b/internal/node/owner/gang.go
@@ -64,7 +64,7 @@
 // returns false when no worker has enough.
 func (o *Owner) reserveTask(t entry.Task, until time.Time) bool {
 	o.advanceMeter(time.Now())
-	worker, ok := o.alloc.ReserveNow(&allocator.Task{
+	worker, ok := o.alloc.ReserveWithoutQueueing(&allocator.Task{
 		Attempt: t.Attempt, Plan: t.Plan, Class: t.Class, Size: t.Size, SpreadGroup: t.Spread, RunTime: t.RunTime,
 	})
 	if !ok {
