--- a/internal/node/daemon/members.go
+++ b/internal/node/daemon/members.go
@@ -161,7 +161,7 @@
 		if err := n.peerClient.Call(ctx, h.Address, "Configuration", entry.Empty{}, &reply); err != nil {
 			return
 		}
-		if err := n.configuration.Learn(reply.Offset, reply.Lists); err != nil {
+		if err := n.configuration.ReplaceIfNewer(reply.Offset, reply.Lists); err != nil {
 			n.Log.Error(err, "configuration_refused", "from", h.Name)
 		}
 	}()
--- a/internal/state/configuration/store.go
+++ b/internal/state/configuration/store.go
@@ -245,9 +245,9 @@
 	return data, err == nil
 }
 
-// Learn replaces the current version by an accepted version from a peer if the
+// ReplaceIfNewer replaces the current version by an accepted version from a peer if the
 // peer's version is newer. It returns an error of KindInvalid for invalid lists.
-func (s *Store) Learn(offset uint64, lists plan.Lists) error {
+func (s *Store) ReplaceIfNewer(offset uint64, lists plan.Lists) error {
 	index, err := plan.NewIndex(lists)
 	if err != nil {
 		return fault.New("learn", KindInvalid, err)
--- a/internal/state/configuration/store_test.go
+++ b/internal/state/configuration/store_test.go
@@ -150,7 +150,7 @@
 				readers[i] = newReader()
 			case 5:
 				learned := readers[rapid.IntRange(0, len(readers)-1).Draw(rt, "peer")].store.Current()
-				if err := r.store.Learn(learned.Offset, learned.Lists); err != nil {
+				if err := r.store.ReplaceIfNewer(learned.Offset, learned.Lists); err != nil {
 					rt.Fatal(err)
 				}
 			case 6:
