--- a/internal/node/daemon/keyed_requests.go
+++ b/internal/node/daemon/keyed_requests.go
@@ -44,7 +44,7 @@
 // same, so the key is released in the background.
 func (r *Requests) refuseRequestWithoutClaim(w request.Work, err error) request.Outcome {
 	kind := fault.KindOf[claim.Kind](err)
-	if kind != claim.KindUnavailable {
+	if kind != claim.KindLogUnavailable {
 		return refusedOutcome(w.ID, string(kind), 0)
 	}
 	go r.releaseKey(w)
--- a/internal/state/claim/claim.go
+++ b/internal/state/claim/claim.go
@@ -22,9 +22,9 @@
 
 // The kinds of Error.
 const (
-	// KindUnavailable means that an append or a read of the log failed, so the
+	// KindLogUnavailable means that an append or a read of the log failed, so the
 	// work must not start.
-	KindUnavailable Kind = "log_unavailable"
+	KindLogUnavailable Kind = "log_unavailable"
 	// KindMalformed means that the key is not a ULID.
 	KindMalformed Kind = "key_malformed"
 	// KindKeyExpired means that the key is older than MaxKeyAge, so that earlier
@@ -180,7 +180,7 @@
 	defer s.mutex.Unlock()
 	current := s.claimByScopedKey[scoped]
 	if current == nil {
-		return Result{}, fault.Newf("claim", KindUnavailable, "the claim at offset %d was released", offset)
+		return Result{}, fault.Newf("claim", KindLogUnavailable, "the claim at offset %d was released", offset)
 	}
 	return Result{Won: current.holder == requestID, Holder: current.holder, Outcome: current.outcome}, nil
 }
@@ -208,7 +208,7 @@
 	}
 	offset, err := b.appender.Append(ctx, s.name, data)
 	if err != nil {
-		return 0, fault.New("append", KindUnavailable, err)
+		return 0, fault.New("append", KindLogUnavailable, err)
 	}
 	return offset, nil
 }
@@ -220,10 +220,10 @@
 	for s.readOffset < until {
 		reply, err := b.log.Read(ctx, s.name, s.readOffset, maxRecordsPerRead, 0)
 		if err != nil {
-			return fault.New("read", KindUnavailable, err)
+			return fault.New("read", KindLogUnavailable, err)
 		}
 		if len(reply.Records) == 0 {
-			return fault.Newf("read", KindUnavailable, "the log returned no records before offset %d was reached", until)
+			return fault.Newf("read", KindLogUnavailable, "the log returned no records before offset %d was reached", until)
 		}
 		for _, r := range reply.Records {
 			s.applyRecord(r)
--- a/internal/state/claim/claim_test.go
+++ b/internal/state/claim/claim_test.go
@@ -98,7 +98,7 @@
 	key := newKeyAt(baseTime)
 	l.failAfterAppend = true
 	_, err := first.Claim(ctx, "p", key, "r1")
-	is.Equal(fault.KindOf[claim.Kind](err), claim.KindUnavailable)
+	is.Equal(fault.KindOf[claim.Kind](err), claim.KindLogUnavailable)
 	l.failAfterAppend = false
 	r, err := second.Claim(ctx, "p", key, "r2")
 	is.NoErr(err)
