--- a/internal/node/daemon/requests.go
+++ b/internal/node/daemon/requests.go
@@ -196,7 +196,7 @@
 		case request.NotRun:
 			s.NotRun++
 		default:
-			s.Other++
+			s.OtherOutcomes++
 		}
 	})
 }
--- a/internal/operate/metrics/metrics.go
+++ b/internal/operate/metrics/metrics.go
@@ -30,9 +30,9 @@
 	Submitted int64 `json:"submitted"`
 	Answered  int64 `json:"answered"`
 	NotRun    int64 `json:"not_run"`
-	// Other counts the ended requests that are counted neither in Answered nor in
+	// OtherOutcomes counts the ended requests that are counted neither in Answered nor in
 	// NotRun.
-	Other int64 `json:"other"`
+	OtherOutcomes int64 `json:"other"`
 	// Used is the processor use of the answered requests in milliprocessor
 	// seconds: the sum of their requested milliprocessors times their declared
 	// run times.
