--- a/internal/node/daemon/node.go
+++ b/internal/node/daemon/node.go
@@ -139,7 +139,7 @@
 	n.configuration = configuration.New(n.handleConfigurationChange)
 	n.recorder = recorder.New(ctx, n.logService, totalAppendsPerSecond)
 	n.claims = claim.New(n.recorder, n.logService, time.Now)
-	n.runner = request.New(n, request.NewTwoChoices(c.Settings.Name, c.Settings.Domain, rand.New(rand.NewPCG(rand.Uint64(), n.incarnation))), retry.New(retryRatio, retryBurst), request.DefaultTiming, c.Log)
+	n.runner = request.New(n, request.NewTwoChoiceRouter(c.Settings.Name, c.Settings.Domain, rand.New(rand.NewPCG(rand.Uint64(), n.incarnation))), retry.New(retryRatio, retryBurst), request.DefaultTiming, c.Log)
 	n.requests = NewRequests(n)
 	n.jobs = NewJobs(n)
 	n.publishVariables()
--- a/internal/node/request/route.go
+++ b/internal/node/request/route.go
@@ -22,9 +22,9 @@
 	domain string
 }
 
-// NewTwoChoices returns a router for the entry VM with the given name in the
+// NewTwoChoiceRouter returns a router for the entry VM with the given name in the
 // given failure domain.
-func NewTwoChoices(name, domain string, random *rand.Rand) *TwoChoiceRouter {
+func NewTwoChoiceRouter(name, domain string, random *rand.Rand) *TwoChoiceRouter {
 	return &TwoChoiceRouter{random: random, name: name, domain: domain}
 }
 
--- a/internal/node/request/runner_test.go
+++ b/internal/node/request/runner_test.go
@@ -622,7 +622,7 @@
 	}
 	d.assignWorkers(random, false)
 	time.Sleep(time.Second)
-	runner := request.New(d, request.NewTwoChoices("o0", "d", rand.New(rand.NewPCG(s.seed, 3))), retry.New(0.5, 100), request.DefaultTiming, logr.Discard())
+	runner := request.New(d, request.NewTwoChoiceRouter("o0", "d", rand.New(rand.NewPCG(s.seed, 3))), retry.New(0.5, 100), request.DefaultTiming, logr.Discard())
 	outcomes := make([]request.Outcome, s.tasks)
 	repeatable := make([]bool, s.tasks)
 	var group sync.WaitGroup
@@ -708,7 +708,7 @@
 		{State: entry.Stopped, Reason: entry.ReasonPreempted},
 		{State: entry.NotRun, Reason: string(allocator.KindDeadlineOver)},
 	}}
-	r := request.New(p, request.NewTwoChoices("o", "d", rand.New(rand.NewPCG(1, 1))), retry.New(1, 1), request.DefaultTiming, logr.Discard())
+	r := request.New(p, request.NewTwoChoiceRouter("o", "d", rand.New(rand.NewPCG(1, 1))), retry.New(1, 1), request.DefaultTiming, logr.Discard())
 	o := r.Run(context.Background(), request.Work{ID: "t", Spec: request.Spec{Repeatable: true, Class: plan.Urgent}})
 	is.Equal(o.State, request.MayHaveRun)
 	is.Equal(o.Reason, entry.ReasonInterrupted)
