--- a/internal/node/daemon/job_run.go
+++ b/internal/node/daemon/job_run.go
@@ -154,7 +154,7 @@
 		shouldRetry := outcome.State == request.NotRun && !request.IsPermanentRefusal(outcome.Reason) || outcome.Reason == entry.ReasonInterrupted
 		if shouldRetry && ctx.Err() == nil {
 			w.ExistingAttempt = entry.FoundAttempt{}
-			w.FirstAttempt = outcome.NextAttempt
+			w.FirstAttemptNumber = outcome.NextAttempt
 			time.Sleep(taskRetryPause)
 			continue
 		}
--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -104,8 +104,8 @@
 	// later holder has to ask only those owners about its attempts; empty means
 	// any domain.
 	Domain string
-	// FirstAttempt is the number of the first attempt; 0 means 1.
-	FirstAttempt int
+	// FirstAttemptNumber is the number of the first attempt; 0 means 1.
+	FirstAttemptNumber int
 	// Generation is the generation of the job's holder; it is 0 for requests.
 	Generation int
 	// Permit reports whether the holder may still start the task; nil means
@@ -160,7 +160,7 @@
 	r.retryBudget.RecordFirstAttempt()
 	out := Outcome{ID: w.ID}
 	failures := 0
-	nextAttempt := max(1, w.FirstAttempt)
+	nextAttempt := max(1, w.FirstAttemptNumber)
 	for {
 		var status entry.Status
 		if w.ExistingAttempt.Attempt != "" {
