--- a/internal/node/daemon/job_run.go
+++ b/internal/node/daemon/job_run.go
@@ -114,7 +114,7 @@
 	}
 	found := map[string]request.LocatedAttempt{}
 	for i, p := range placed {
-		attempt, target := j.node.runner.StartReserved(p)
+		attempt, target := j.node.runner.StartReservedTask(p)
 		found[job.TaskID(id, unfinished[i])] = request.LocatedAttempt{Attempt: attempt, Owner: target}
 	}
 	j.node.Log.Info("gang_started", "job", id, "tasks", len(placed))
--- a/internal/node/request/gang.go
+++ b/internal/node/request/gang.go
@@ -187,11 +187,11 @@
 	}
 }
 
-// StartReserved starts a task whose capacity is reserved. It returns the attempt and its
+// StartReservedTask starts a task whose capacity is reserved. It returns the attempt and its
 // owner, which the caller sets as ExistingAttempt and ExistingAttemptOwner of the
 // Work that it passes to Run. If the call fails, the state of the attempt is
 // Moved, so that Run finds out whether it was started.
-func (r *Runner) StartReserved(t ReservedTask) (entry.FoundAttempt, Target) {
+func (r *Runner) StartReservedTask(t ReservedTask) (entry.FoundAttempt, Target) {
 	ctx, cancel := context.WithTimeout(context.Background(), entry.CallTimeout)
 	defer cancel()
 	status, err := r.peers.Run(ctx, t.Owner, entry.RunArgs{Epoch: t.Owner.Epoch, Task: t.Task})
