--- a/internal/cell/scheduler/hold.go
+++ b/internal/cell/scheduler/hold.go
@@ -54,7 +54,7 @@
 		return
 	}
 	switch kind {
-	case backend.KindOtherLife:
+	case backend.KindLifeMismatch:
 		s.replaceWorker(w, now)
 	case backend.KindFenced:
 		s.log.Info("hold_fenced", "worker", life.ID, "token", w.token)
--- a/internal/cell/scheduler/runs.go
+++ b/internal/cell/scheduler/runs.go
@@ -52,7 +52,7 @@
 			s.raiseToken(w)
 		}
 		return
-	case backend.KindOtherLife:
+	case backend.KindLifeMismatch:
 		s.replaceWorker(w, now)
 		return
 	case backend.KindFenced:
--- a/internal/cell/scheduler/scheduler_test.go
+++ b/internal/cell/scheduler/scheduler_test.go
@@ -467,7 +467,7 @@
 	s.SetWorkers([]backend.Registration{gone}, now)
 	is.Equal(len(s.TakeEffects().SessionsToOpen), 1)
 	_, _, _ = s.NextHold(gone.Life, now)
-	s.HoldFailed(gone.Life, backend.KindOtherLife, now)
+	s.HoldFailed(gone.Life, backend.KindLifeMismatch, now)
 	s.SetWorkers([]backend.Registration{gone}, now)
 	is.Equal(len(s.TakeEffects().SessionsToOpen), 0)
 	gone.Life.Born = 2
--- a/internal/peer/backend/backend.go
+++ b/internal/peer/backend/backend.go
@@ -34,9 +34,9 @@
 	KindNoRoom Kind = "no_room"
 	// KindInvalidTicket means that the order lacks a valid ticket.
 	KindInvalidTicket Kind = "ticket"
-	// KindOtherLife means that the process at the worker's address is not the one
+	// KindLifeMismatch means that the process at the worker's address is not the one
 	// that the order is meant for.
-	KindOtherLife Kind = "other_life"
+	KindLifeMismatch Kind = "other_life"
 	// KindUnhealthy means that the worker temporarily accepts no orders.
 	KindUnhealthy Kind = "unhealthy"
 	// KindInvalid means that the worker rejected the order as malformed or for a
