--- a/internal/decide/allocator/allocator.go
+++ b/internal/decide/allocator/allocator.go
@@ -45,7 +45,7 @@
 	// favour of a more urgent one.
 	KindShed Kind = "shed"
 	// KindDeadlineOver means that a waiting task was dropped because it can no
-	// longer complete by its deadline or has waited for Limits.UrgentWait.
+	// longer complete by its deadline or has waited for Limits.MaxUrgentWait.
 	KindDeadlineOver Kind = "deadline_over"
 	// KindDraining means that the entry VM no longer accepts tasks.
 	KindDraining Kind = "draining"
@@ -72,7 +72,7 @@
 	// zero means no deadline.
 	Deadline time.Time
 	// Resumed is true if an earlier attempt of the task ran and was stopped.
-	// Limits.UrgentWait does not apply to such a task, because its caller would
+	// Limits.MaxUrgentWait does not apply to such a task, because its caller would
 	// be told that the task was not run, which would no longer be true.
 	Resumed bool
 	// Payload is returned with the task; the allocator does not read it.
@@ -389,7 +389,7 @@
 func (a *Allocator) IsWaiting(attempt string) bool { return a.waitingByAttempt[attempt] != nil }
 
 // Expire drops and returns the waiting tasks that can no longer complete by
-// their deadline, and the urgent ones that have waited for Limits.UrgentWait.
+// their deadline, and the urgent ones that have waited for Limits.MaxUrgentWait.
 func (a *Allocator) Expire(now time.Time) []DroppedTask {
 	var out []DroppedTask
 	for _, q := range a.activeQueues {
--- a/internal/node/request/gang.go
+++ b/internal/node/request/gang.go
@@ -38,7 +38,7 @@
 
 // ReserveGang reserves capacity for all tasks of a job at the owners of one
 // failure domain, which it asks in the order of their names. It tries again until
-// all tasks have capacity; the caller then starts each one with StartReserved. When
+// all tasks have capacity; the caller then starts each one with StartReservedTask. When
 // ctx ends or the job is abandoned, it releases all reserved capacity and returns an
 // error.
 func (r *Runner) ReserveGang(ctx context.Context, domain string, members []Work) ([]ReservedTask, error) {
--- a/internal/node/request/runner.go
+++ b/internal/node/request/runner.go
@@ -118,7 +118,7 @@
 	// hasRunBefore is true once an attempt ran and was stopped or failed.
 	hasRunBefore bool
 	// ExistingAttempt is an attempt that was made before Run is called: by a
-	// former holder or by StartReserved. Run waits for its end before it makes a new
+	// former holder or by StartReservedTask. Run waits for its end before it makes a new
 	// attempt.
 	ExistingAttempt entry.FoundAttempt
 	// ExistingAttemptOwner is the owner of ExistingAttempt.
--- a/internal/state/claim/claim.go
+++ b/internal/state/claim/claim.go
@@ -158,7 +158,7 @@
 
 // Claim claims a key of a plan for a request and returns who holds the key. If it
 // returns an error, the work must not start, although the claim may be in the log.
-// After an error of KindUnavailable the caller must therefore also call Release.
+// After an error of KindLogUnavailable the caller must therefore also call Release.
 func (b *Registry) Claim(ctx context.Context, plan, key, requestID string) (Result, error) {
 	if err := b.CheckKey(key); err != nil {
 		return Result{}, err
